--- a/benchmarks/fleet_rules.py
+++ b/benchmarks/fleet_rules.py
@@ -24,7 +24,7 @@
 import click
 
 from martentide.agreement.core import Terms
-from martentide.net.fleet.show import AskError, propose
+from martentide.net.fleet.show import QueryError, propose
 from martentide.net.links import unix_ms
 from martentide_lab.fleet.agreeing import AgreeingFleet, rule_set
 from martentide_lab.fleet.faults import Link
@@ -76,7 +76,7 @@
     try:
         verdict = await asyncio.to_thread(propose, rig.proxies[name].operator, said, 16.0)
         one.heard, one.done, one.number = unix_ms(), verdict["done"], verdict["number"]
-    except (AskError, KeyError, ValueError) as error:
+    except (QueryError, KeyError, ValueError) as error:
         one.refused = "classes" in str(error)
     return one
 
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -13,19 +13,19 @@
 import tracemalloc
 
 from benchmarks.scale.results import Row
-from martentide.fleet.core import Core
+from martentide.fleet.core import Membership
 from martentide.fleet.events import Due, Heard, Send
 from martentide.fleet.terms import Terms
-from martentide.fleet.wire import Datagram, Frame, Kind, MemberWord, State
+from martentide.fleet.wire import Datagram, Frame, Kind, MemberRecord, State
 
 HEADERS = 28  # of IP and UDP
 SECONDS, WARM = 20, 3  # measured, after so many that are not
 STEP = 5.0  # ms between two looks at the member's timers
 
 
-def word(at: int) -> MemberWord:
+def word(at: int) -> MemberRecord:
     host = f"10.{at // 65536 % 256}.{at // 256 % 256}.{at % 256}"
-    return MemberWord(f"p{at}", 1, at + 1, 1, int(State.ALIVE), f"z{at % 13}", host, 7500)
+    return MemberRecord(f"p{at}", 1, at + 1, 1, int(State.ALIVE), f"z{at % 13}", host, 7500)
 
 
 class CalmFleet:
@@ -38,7 +38,7 @@
         self.by_life = {one.life: one for one in self.words}
         terms = dataclasses.replace(Terms(), most_members=max(Terms().most_members, members + 1))
         me = word(0)
-        self.core = Core("p0", me.zone, (me.host, me.port), (), terms, seed, 0.0)
+        self.core = Membership("p0", me.zone, (me.host, me.port), (), terms, seed, 0.0)
         self.sent = self.datagrams = 0
         self.now = 0.0
         first = self.words[0]
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -28,7 +28,7 @@
         fleet.run(fleet.now + 1_000.0)
         for node in fleet.nodes.values():
             assert node.core is not None
-            held = sum(1 for _ in node.core.facets_of(KIND, node.clock(fleet.now)))
+            held = sum(1 for _ in node.core.state_entries_of(KIND, node.clock(fleet.now)))
             wanted += members - 1
             missing += members - 1 - held
     total = sum(node.sent for node in fleet.nodes.values()) - sent
--- a/martentide/agreement/core.py
+++ b/martentide/agreement/core.py
@@ -25,9 +25,7 @@
 import msgspec
 
 from martentide.agreement import raft
-from martentide.agreement.raft import Name, Raft, Role, Saved
-from martentide.agreement.ruleset import RuleSet, contradictions, meet, read_rules
-from martentide.agreement.words import (
+from martentide.agreement.messages import (
     MOST_WHY,
     Ask,
     Ballot,
@@ -47,6 +45,8 @@
     read_word,
     write,
 )
+from martentide.agreement.raft import Name, Raft, Role, Saved
+from martentide.agreement.ruleset import RuleSet, contradictions, meet, read_rules
 
 MOST_KEPT, MOST_KEPT_BYTES = 8, 16_000  # versions before the one in force, for those who want one back
 SEPARATOR = "#"  # in the id of a voter that took another's place
--- a/martentide/cli.py
+++ b/martentide/cli.py
@@ -179,11 +179,11 @@
 @OPERATOR
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def fleet_show(operator: str, as_json: bool) -> None:
-    from martentide.net.fleet.show import AskError, ask, table
+    from martentide.net.fleet.show import QueryError, query, table
 
     try:
-        status = ask(operator)
-    except AskError as error:
+        status = query(operator)
+    except QueryError as error:
         click.echo(f"martentide: {operator}: {error}", err=True)
         sys.exit(CANNOT_LISTEN)
     click.echo(status if as_json else table(status))
--- a/martentide/control/messages.py
+++ b/martentide/control/messages.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from martentide.fleet.wire import Bad, Unreadable
+from martentide.fleet.wire import DatagramError, DatagramFault
 
 MOST_PRESSURE = 1_000  # thousandths
 
@@ -141,13 +141,13 @@
 
 
 def read_control(body: bytes) -> ControlMessage:
-    """Raises Unreadable, also for figures that nobody could mean."""
+    """Raises DatagramError, also for figures that nobody could mean."""
     try:
         message: ControlMessage = _DECODER.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
-        raise Unreadable(Bad.MALFORMED) from None
+        raise DatagramError(DatagramFault.MALFORMED) from None
     if not _sound(message):
-        raise Unreadable(Bad.MALFORMED)
+        raise DatagramError(DatagramFault.MALFORMED)
     return message
 
 
--- a/martentide/extproc/ledger.py
+++ b/martentide/extproc/ledger.py
@@ -27,7 +27,7 @@
 from enum import Enum
 from math import isfinite
 
-from martentide.carriage import Ended, Stood
+from martentide.attempt_messages import Ended, Stood
 from martentide.extproc.limits import Admission
 from martentide.extproc.messages import (
     Ask,
@@ -72,7 +72,7 @@
     single: bool = False
 
 
-# ---- from the decider, the list, the stream and the timers ------------------------------------------------
+# ---- from the dispatcher, the list, the stream and the timers ---------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
--- a/martentide/fleet/core.py
+++ b/martentide/fleet/core.py
@@ -32,18 +32,18 @@
     Send,
     TableFull,
 )
-from martentide.fleet.table import BUCKETS, Facet, Member, Probe, Relay, bucket
+from martentide.fleet.table import BUCKETS, Member, Probe, Relay, StoredEntry, bucket
 from martentide.fleet.terms import DATAGRAM, Terms
 from martentide.fleet.wire import (
     CHECK,
     HEAD,
     Datagram,
-    FacetWord,
     Held,
     Kind,
-    MemberWord,
+    MemberRecord,
     Name,
     State,
+    StateEntry,
     size,
 )
 
@@ -60,7 +60,7 @@
 OVERHEAD = FRAME + 28 + 60  # of a datagram that only carries news: headers of IP and UDP, the own word
 
 
-class Core:
+class Membership:
     """``seeds`` are addresses at which members may be found; the own one may stand among them."""
 
     def __init__(
@@ -77,16 +77,16 @@
         self.random = random.Random(seed)
         self.terms, self.seeds = terms, tuple(one for one in seeds if one != address)
         life = life or self.random.getrandbits(62) + 1
-        self.me = MemberWord(name, 1, life, 1, State.ALIVE, zone, *address)
+        self.me = MemberRecord(name, 1, life, 1, State.ALIVE, zone, *address)
         self.members: dict[Name, Member] = {}
         self.gone: set[Name] = set()  # the dead and departed among them
-        self.up: tuple[MemberWord, ...] | None = ()  # the words of the others; None: to be read anew
+        self.up: tuple[MemberRecord, ...] | None = ()  # the words of the others; None: to be read anew
         self.places: dict[Address, Name] = {}  # who was heard of there last
         self.sums = [0] * BUCKETS
         self.in_bucket: list[dict[Name, None]] = [{} for _ in range(BUCKETS)]  # of ``members``
         self.full_told = -1e18  # when the table's being full was last said
         self.past: OrderedDict[Address, None] = OrderedDict()  # of the dead that were forgotten
-        self.facets: dict[int, Facet] = {}
+        self.facets: dict[int, StoredEntry] = {}
         self.owners: dict[int, dict[Name, None]] = {}  # who may have a facet of that kind
         self.news: OrderedDict[Name, int] = OrderedDict()  # and how often it was told
         self.facet_news: OrderedDict[tuple[Name, int], int] = OrderedDict()
@@ -125,13 +125,13 @@
             first = min(first, self.probe.helpers_due or self.probe.end)
         return first + self.lost + 0.001  # so that rounding never brings the host before its time
 
-    def living(self) -> list[MemberWord]:
+    def living(self) -> list[MemberRecord]:
         """The words of all that are not known to be dead or gone, this one's first."""
         if self.up is None:
-            self.up = tuple(one.word for one in self.members.values() if one.up)
+            self.up = tuple(one.record for one in self.members.values() if one.up)
         return [self.me, *self.up]
 
-    def facets_of(self, kind: int, now: float) -> Iterator[tuple[MemberWord, FacetWord, float]]:
+    def state_entries_of(self, kind: int, now: float) -> Iterator[tuple[MemberRecord, StateEntry, float]]:
         """The facets of that kind that count, the owner's word, and their age."""
         owners = self.owners.get(kind, {})
         for name in list(owners):
@@ -140,7 +140,7 @@
             if member is None or known is None:
                 del owners[name]
             elif member.up and known.counts(now):
-                yield member.word, known.word, known.age(now)
+                yield member.record, known.word, known.age(now)
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.actions = []
@@ -157,7 +157,7 @@
                 self._depart()
             case Carry(to, body):
                 if not self.departing and (one := self.members.get(to)) is not None:
-                    self._send_to(one.address, Kind.CARRY, one.word.life, member=one, news=False, body=body)
+                    self._send_to(one.address, Kind.CARRY, one.record.life, member=one, news=False, body=body)
             case Due():
                 pass
         self._run()
@@ -278,7 +278,7 @@
         direct = own + self.terms.probe_timeout * slow
         # Ends before the next one begins, so that one is under way at a time.
         self.probe = Probe(
-            name, member.word.life, self.numbers, direct, own + self.terms.period * slow * 0.97
+            name, member.record.life, self.numbers, direct, own + self.terms.period * slow * 0.97
         )
         self._send(Kind.PING, member, probe=self.numbers)
 
@@ -292,7 +292,7 @@
             return
         self.probe = None
         member = self.members.get(probe.name)
-        if member is None or member.word.life != probe.life or not member.up:
+        if member is None or member.record.life != probe.life or not member.up:
             return
         if probe.helpers >= 2 and not probe.nacks:
             self._worse(1)  # nobody at all answers: it may well be this one that can't be heard
@@ -310,11 +310,11 @@
     def _accuse(self, member: Member, by: Name, evidence: str) -> None:
         if by in member.accusers and member.state is State.SUSPECT:
             return
-        word = msgspec.structs.replace(member.word, state=int(State.SUSPECT), by=by)
+        word = msgspec.structs.replace(member.record, state=int(State.SUSPECT), by=by)
         if member.state is State.SUSPECT:
             if len(member.accusers) < self.terms.accusers:
                 member.accusers.add(by)
-                member.word = word
+                member.record = word
                 self.up = None
                 self._tell(member)
             return
@@ -338,9 +338,11 @@
                 self._bury(member, self.me.name, f"suspect for {own - member.suspect_own:.0f} ms, by {by}")
 
     def _bury(self, member: Member, by: Name, evidence: str) -> None:
-        self.suspects.discard(member.word.name)
+        self.suspects.discard(member.record.name)
         member.facets.clear()
-        self._change(member, msgspec.structs.replace(member.word, state=int(State.DEAD), by=by), by, evidence)
+        self._change(
+            member, msgspec.structs.replace(member.record, state=int(State.DEAD), by=by), by, evidence
+        )
 
     # ---- reaching for those who are not there -------------------------------------------------------------
 
@@ -358,7 +360,7 @@
             return
         one: Address | Member = self.random.choice(self.random.choice(ways))
         if isinstance(one, Member):
-            self._send(Kind.PING, one, first=[one.word])
+            self._send(Kind.PING, one, first=[one.record])
         else:
             self._send_to(one, Kind.PING, 0)
 
@@ -406,7 +408,7 @@
             if not names or len(found) >= most:
                 break
             member = self.members.get(self.random.choice(names))
-            if member is not None and member.up and member not in found and member.word.name != but:
+            if member is not None and member.up and member not in found and member.record.name != but:
                 found.append(member)
         return found
 
@@ -423,13 +425,13 @@
         *,
         probe: int = 0,
         target: Name = "",
-        first: list[MemberWord] | None = None,
+        first: list[MemberRecord] | None = None,
         room: int = 600,
     ) -> None:
         words = list(first or ())
         if member.state is State.SUSPECT and not words:
-            words.append(member.word)  # whom it concerns most hears it first
-        self._send_to(member.address, kind, member.word.life, probe, target, words, room, member)
+            words.append(member.record)  # whom it concerns most hears it first
+        self._send_to(member.address, kind, member.record.life, probe, target, words, room, member)
 
     def _send_to(
         self,
@@ -438,11 +440,11 @@
         life: int,
         probe: int = 0,
         target: Name = "",
-        words: list[MemberWord] | None = None,
+        words: list[MemberRecord] | None = None,
         room: int = 600,
         member: Member | None = None,
         news: bool = True,
-        facets: list[FacetWord] | None = None,
+        facets: list[StateEntry] | None = None,
         digest: list[int] | None = None,
         buckets: list[int] | None = None,
         held: list[Held] | None = None,
@@ -472,7 +474,7 @@
         self.tokens -= cost
         return True
 
-    def _fill(self, words: list[MemberWord], facets: list[FacetWord], room: int) -> None:
+    def _fill(self, words: list[MemberRecord], facets: list[StateEntry], room: int) -> None:
         """Add news that fits whole, that told least first; members before facets."""
         rounds = self.terms.rounds(len(self.members) + 1)
         for _ in range(len(self.news)):
@@ -521,25 +523,25 @@
             if len(facets) >= len(self.facet_news):
                 return
 
-    def _word_of(self, name: Name) -> MemberWord | None:
+    def _word_of(self, name: Name) -> MemberRecord | None:
         if name == self.me.name:
             return self.me
         member = self.members.get(name)
-        return None if member is None else member.word
+        return None if member is None else member.record
 
-    def _facet_of(self, owner: Name, kind: int) -> Facet | None:
+    def _facet_of(self, owner: Name, kind: int) -> StoredEntry | None:
         if owner == self.me.name:
             return self.facets.get(kind)
         member = self.members.get(owner)
         return None if member is None else member.facets.get(kind)
 
-    def _aged(self, facet: Facet) -> FacetWord:
+    def _aged(self, facet: StoredEntry) -> StateEntry:
         # Rounded up: an age may be too high, never too low.
         return msgspec.structs.replace(facet.word, age=int(facet.age(self.now)) + 1)
 
     def _tell(self, member: Member | None) -> None:
         """News of a member, or of this one: told first from now on."""
-        name = self.me.name if member is None else member.word.name
+        name = self.me.name if member is None else member.record.name
         if member is not None:
             self._recount(member)
         self.news[name] = 0
@@ -547,11 +549,11 @@
         while len(self.news) > MOST_NEWS:
             self.news.popitem()
 
-    def _change(self, member: Member, word: MemberWord, by: Name, evidence: str) -> None:
+    def _change(self, member: Member, word: MemberRecord, by: Name, evidence: str) -> None:
         old = member.state
-        if word.generation != member.word.generation and self.places.get(member.address) == word.name:
+        if word.generation != member.record.generation and self.places.get(member.address) == word.name:
             del self.places[member.address]
-        member.word = word
+        member.record = word
         self.up = None
         member.since = self.own
         self.places[member.address] = word.name
@@ -576,7 +578,7 @@
         member = self.members.get(word.name)
         if member is None:
             return  # no room for it, or it says itself that it is gone
-        mine = member.word
+        mine = member.record
         current = mine.life == word.life and mine.generation == word.generation
         if current:
             member.heard = self.own
@@ -591,7 +593,7 @@
             for facet in said.facets:
                 self._take_facet(facet, transit, said.kind == Kind.LACKING)
         # It speaks, and is held for dead, gone or another's past: it has to hear so, to refute it.
-        tell_back = [member.word] if not current or not member.up else []
+        tell_back = [member.record] if not current or not member.up else []
         self._answer(said, member, tell_back)
         if (unknown or raised) and self.members.get(word.name) is member:
             self._compare_with(member)
@@ -604,7 +606,7 @@
         passed = self.now - said.echo - said.kept * (1.0 - DRIFT)
         return passed if passed >= 0.0 else None  # below, the echo is a lie
 
-    def _answer(self, said: Datagram, member: Member, back: list[MemberWord]) -> None:
+    def _answer(self, said: Datagram, member: Member, back: list[MemberRecord]) -> None:
         match said.kind:
             case Kind.PING:
                 self._send_to(
@@ -625,14 +627,14 @@
             case Kind.VERSIONS:
                 self._exchange(said, member)
             case Kind.CARRY if said.to == self.me.life and not back:
-                self.actions.append(Carried(member.word, said.body))
+                self.actions.append(Carried(member.record, said.body))
         if back:
             address = (said.sender.host, said.sender.port)
             self._send_to(address, Kind.NEWS, said.sender.life, 0, "", back, news=False)
 
     @staticmethod
-    def _suspicion_of(member: Member) -> list[MemberWord]:
-        return [member.word] if member.state is State.SUSPECT else []
+    def _suspicion_of(member: Member) -> list[MemberRecord]:
+        return [member.record] if member.state is State.SUSPECT else []
 
     def _acked(self, said: Datagram) -> None:
         probe = self.probe
@@ -656,18 +658,18 @@
             return
         self.numbers += 1
         end = self.own + self.terms.probe_timeout * 0.8
-        self.relays[self.numbers] = Relay(asker.word.name, said.probe, said.target, end)
+        self.relays[self.numbers] = Relay(asker.record.name, said.probe, said.target, end)
         if len(self.relays) > MOST_RELAYS:
             self.relays.popitem(last=False)
         self._send(Kind.PING, target, probe=self.numbers)
 
-    def _take(self, word: MemberWord, by: Name, direct: bool, bulk: bool = False) -> bool:
+    def _take(self, word: MemberRecord, by: Name, direct: bool, bulk: bool = False) -> bool:
         """Take a word on another member for what it is worth; whether it raised a dead one."""
         known = self.members.get(word.name)
         if known is None:
             self._meet(word, by, direct, bulk)
             return False
-        if word.generation > known.word.generation:
+        if word.generation > known.record.generation:
             old = known.state
             known.accusers.clear()
             known.facets.clear()
@@ -680,17 +682,17 @@
             if old is State.ALIVE and known.state is State.ALIVE:
                 self.actions.append(Changed(word, old, by, f"began anew, generation {word.generation}"))
             return old is State.DEAD and known.state is State.ALIVE
-        if word.generation < known.word.generation or word.life != known.word.life:
+        if word.generation < known.record.generation or word.life != known.record.life:
             self.counts["old-word"] += not direct
             return False
-        if word.rank() <= known.word.rank():
-            same = word.incarnation == known.word.incarnation
+        if word.rank() <= known.record.rank():
+            same = word.incarnation == known.record.incarnation
             if same and word.state == State.SUSPECT and known.state is State.SUSPECT and word.by:
                 self._accuse(known, word.by, "")
             return False
         return self._better_word(known, word, by, direct)
 
-    def _better_word(self, known: Member, word: MemberWord, by: Name, direct: bool) -> bool:
+    def _better_word(self, known: Member, word: MemberRecord, by: Name, direct: bool) -> bool:
         old = known.state
         match State(word.state):
             case State.ALIVE:
@@ -704,8 +706,8 @@
             case State.DEAD:
                 # One member's verdict is an accusation here: whoever is wronged has time to refute it.
                 if old is State.DEAD:
-                    known.word = word  # of a later incarnation, which was never heard of here
-                elif old is State.ALIVE or word.incarnation > known.word.incarnation:
+                    known.record = word  # of a later incarnation, which was never heard of here
+                elif old is State.ALIVE or word.incarnation > known.record.incarnation:
                     self._accept_suspicion(known, word)
                 elif old is State.SUSPECT:
                     least = self.terms.suspicion_least / 2
@@ -719,13 +721,13 @@
                 self._change(known, word, by, "left by its own word")
         return False
 
-    def _accept_suspicion(self, known: Member, word: MemberWord) -> None:
+    def _accept_suspicion(self, known: Member, word: MemberRecord) -> None:
         by = word.by or "?"
-        known.word = msgspec.structs.replace(known.word, incarnation=word.incarnation)
+        known.record = msgspec.structs.replace(known.record, incarnation=word.incarnation)
         self.up = None
         self._accuse(known, by, f"accused by {by}")
 
-    def _meet(self, word: MemberWord, by: Name, direct: bool, bulk: bool) -> None:
+    def _meet(self, word: MemberRecord, by: Name, direct: bool, bulk: bool) -> None:
         """One that is new here. Nobody is made known as dead: a forgotten one stays forgotten."""
         if word.state != State.ALIVE:
             return  # also a suspect: if it lives, its refutation makes it known
@@ -752,11 +754,11 @@
         self.me = msgspec.structs.replace(self.me, generation=generation, incarnation=1)
         for kind, facet in self.facets.items():
             word = msgspec.structs.replace(facet.word, generation=generation)
-            self.facets[kind] = Facet(word, facet.at)
+            self.facets[kind] = StoredEntry(word, facet.at)
             self._tell_facet(self.me.name, kind)
         self._tell(None)
 
-    def _about_me(self, word: MemberWord) -> None:
+    def _about_me(self, word: MemberRecord) -> None:
         """What others say of this name."""
         if word.generation < self.me.generation:
             return
@@ -775,7 +777,7 @@
         if not same_place and word.state < State.DEAD:
             self._send_to((word.host, word.port), Kind.PING, 0)  # is anybody there who bears it too?
 
-    def _namesake(self, word: MemberWord) -> None:
+    def _namesake(self, word: MemberRecord) -> None:
         """Another process speaks under this name, by its own mouth. The newer one keeps the name."""
         if word.state >= State.DEAD:
             return
@@ -798,7 +800,7 @@
         self.facet_news.clear()
         self.news.clear()
         for member in self._some_living(FAREWELLS):
-            self._send_to(member.address, Kind.NEWS, member.word.life, news=False)
+            self._send_to(member.address, Kind.NEWS, member.record.life, news=False)
 
     # ---- facets -----------------------------------------------------------------------------------------
 
@@ -810,11 +812,11 @@
             raise ValueError(f"facet {event.kind}: {len(event.body)} bytes, {len(self.facets)} facets")
         known = self.facets.get(event.kind)
         counter = 1 if known is None else known.word.counter + 1
-        word = FacetWord(
+        word = StateEntry(
             self.me.name, self.me.generation, self.me.life, event.kind, counter, event.schema, 0, event.end,
             event.body,
         )  # fmt: skip
-        self.facets[event.kind] = Facet(word, self.now)
+        self.facets[event.kind] = StoredEntry(word, self.now)
         self._tell_facet(self.me.name, event.kind)
 
     def _tell_facet(self, owner: Name, kind: int) -> None:
@@ -823,19 +825,19 @@
         while len(self.facet_news) > MOST_NEWS:
             self.facet_news.popitem()
 
-    def _take_facet(self, word: FacetWord, transit: float, bulk: bool) -> None:
+    def _take_facet(self, word: StateEntry, transit: float, bulk: bool) -> None:
         """Newest by (generation, counter); kinds that this version does not know are kept and told on."""
         member = self.members.get(word.owner)
         if member is None or not member.up or len(word.body) > self.terms.most_body:
             return
-        if word.generation != member.word.generation or word.life != member.word.life:
+        if word.generation != member.record.generation or word.life != member.record.life:
             return  # of a former life, or of one that is still to be heard of
         known = member.facets.get(word.kind)
         if known is None and len(member.facets) >= self.terms.most_facets:
             return
         if known is not None and known.word.version >= word.version:
             return
-        facet = Facet(msgspec.structs.replace(word, age=int(word.age + transit) + 1), self.now)
+        facet = StoredEntry(msgspec.structs.replace(word, age=int(word.age + transit) + 1), self.now)
         if facet.age(self.now) >= word.end:
             return
         member.facets[word.kind] = facet
@@ -847,17 +849,17 @@
 
     # ---- comparisons ------------------------------------------------------------------------------------
 
-    def _sum(self, word: MemberWord, facets: dict[int, Facet]) -> int:
+    def _sum(self, word: MemberRecord, facets: dict[int, StoredEntry]) -> int:
         versions = sorted(self._versions(facets).items())
         return zlib.crc32(repr((word.name, word.generation, word.life, versions)).encode())
 
-    def _versions(self, facets: dict[int, Facet]) -> dict[int, int]:
+    def _versions(self, facets: dict[int, StoredEntry]) -> dict[int, int]:
         return {kind: one.word.counter for kind, one in facets.items() if one.age(self.now) < one.word.end}
 
     def _recount(self, member: Member) -> None:
         """Sums are of the living: the dead are told where sums differ, and each forgets them in its time."""
-        counted = self._sum(member.word, member.facets) if member.up else 0
-        self.sums[bucket(member.word.name)] ^= member.counted ^ counted
+        counted = self._sum(member.record, member.facets) if member.up else 0
+        self.sums[bucket(member.record.name)] ^= member.counted ^ counted
         member.counted = counted
 
     def _sums(self) -> list[int]:
@@ -868,14 +870,19 @@
     def _compare_with(self, member: Member) -> None:
         if self._afford(200):
             self._send_to(
-                member.address, Kind.DIGEST, member.word.life, member=member, news=False, digest=self._sums()
+                member.address,
+                Kind.DIGEST,
+                member.record.life,
+                member=member,
+                news=False,
+                digest=self._sums(),
             )
 
     def _hold(self, name: Name) -> Held | None:
         if name == self.me.name:
             word, facets = self.me, self.facets
         elif (member := self.members.get(name)) is not None:
-            word, facets = member.word, member.facets
+            word, facets = member.record, member.facets
         else:
             return None
         versions = self._versions(facets)
@@ -906,7 +913,7 @@
             told.append(at)
         if self._afford(DATAGRAM - room):
             self._send_to(
-                member.address, Kind.VERSIONS, member.word.life, member=member, news=False, buckets=told,
+                member.address, Kind.VERSIONS, member.record.life, member=member, news=False, buckets=told,
                 held=held,
             )  # fmt: skip
 
@@ -921,8 +928,8 @@
         """Send what the other lacks; ask, once, for what is lacking here (``target`` marks that answer)."""
         asked = said.target == ""
         lacking: list[Held] = []
-        words: list[MemberWord] = []
-        facets: list[FacetWord] = []
+        words: list[MemberRecord] = []
+        facets: list[StateEntry] = []
         seen = set()
         for theirs in said.held:
             seen.add(theirs.name)
@@ -953,7 +960,7 @@
                 kept.append(one)
             if self._afford(DATAGRAM - max(0, room)):
                 self._send_to(
-                    member.address, Kind.VERSIONS, member.word.life, target="?", member=member, news=False,
+                    member.address, Kind.VERSIONS, member.record.life, target="?", member=member, news=False,
                     held=kept,
                 )  # fmt: skip
         self._send_whole(member, words, facets)
@@ -969,7 +976,7 @@
             return True
         return any(counter > here.facets.get(kind, 0) for kind, counter in there.facets.items())
 
-    def _bring(self, theirs: Held, words: list[MemberWord], facets: list[FacetWord]) -> None:
+    def _bring(self, theirs: Held, words: list[MemberRecord], facets: list[StateEntry]) -> None:
         word = self._word_of(theirs.name)
         if word is None or (theirs.generation == 0 and word.state >= State.DEAD):
             return
@@ -982,22 +989,22 @@
             if facet.counts(self.now) and (not same or facet.word.counter > theirs.facets.get(kind, 0)):
                 facets.append(self._aged(facet))
 
-    def _send_whole(self, member: Member, words: list[MemberWord], facets: list[FacetWord]) -> None:
+    def _send_whole(self, member: Member, words: list[MemberRecord], facets: list[StateEntry]) -> None:
         """In as many datagrams as the bytes allow; what is left comes with a later comparison."""
         start = DATAGRAM - FRAME - size(self.me)
         while words or facets:
             room = start
-            part: list[MemberWord] = []
+            part: list[MemberRecord] = []
             while words and (cost := size(words[0])) <= room:
                 room -= cost
                 part.append(words.pop(0))
-            rest: list[FacetWord] = []
+            rest: list[StateEntry] = []
             while not words and facets and (cost := size(facets[0])) <= room:
                 room -= cost
                 rest.append(facets.pop(0))
             if not self._afford(DATAGRAM - room):
                 return
             self._send_to(
-                member.address, Kind.LACKING, member.word.life, words=part, member=member, news=False,
+                member.address, Kind.LACKING, member.record.life, words=part, member=member, news=False,
                 facets=rest,
             )  # fmt: skip
--- a/martentide/fleet/events.py
+++ b/martentide/fleet/events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from martentide.fleet.wire import Datagram, FacetWord, MemberWord, Name, State
+from martentide.fleet.wire import Datagram, MemberRecord, Name, State, StateEntry
 
 Address = tuple[str, int]
 
@@ -62,7 +62,7 @@
     """What this member holds of another is another state now; ``old`` is None for one that is new.
     ``evidence`` says in words why, ``by`` who brought it."""
 
-    word: MemberWord
+    record: MemberRecord
     old: State | None
     by: Name
     evidence: str
@@ -72,14 +72,14 @@
 class Learned:
     """A newer facet of another member."""
 
-    word: FacetWord
+    entry: StateEntry
 
 
 @dataclass(frozen=True, slots=True)
 class Displaced:
     """Another process bears this name by a newer right: this one is silent in the fleet from now on."""
 
-    by: MemberWord
+    by: MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
 class Carried:
     """A word for another part of this process."""
 
-    sender: MemberWord
+    sender: MemberRecord
     body: bytes
 
 
--- a/martentide/fleet/duty.py
+++ b/martentide/fleet/health_check_assignment.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from martentide.fleet.core import Core
+from martentide.fleet.core import Membership
 from martentide.interface import AttemptEnded, Ending, Event, PeerNews, ProbeEnded, Stands, TestDuty
 
 DOUBTS, FINDINGS = 1, 2  # kinds of facet
@@ -100,7 +100,7 @@
 
 
 @dataclass
-class Duty:
+class HealthCheckAssignment:
     """``name`` and ``zone`` are the own ones."""
 
     name: str
@@ -307,7 +307,9 @@
                 del old[server]
 
 
-def look(core: Core, duty: Duty, now: float, servers: Mapping[str, Doubtable]) -> tuple[Outlook, int]:
+def look(
+    core: Membership, duty: HealthCheckAssignment, now: float, servers: Mapping[str, Doubtable]
+) -> tuple[Outlook, int]:
     """One look with what the member holds of others; and how many facets could not be read. A member that is
     displaced, or has nobody, is alone: it tests as without a fleet."""
     doubted = [name for name, one in servers.items() if one.suspect or one.cold_from is not None]
@@ -316,12 +318,12 @@
     doubts: list[list[str]] = []
     findings: list[tuple[float, list[Finding]]] = []
     bad = 0
-    for _, facet, _ in core.facets_of(DOUBTS, now):
+    for _, facet, _ in core.state_entries_of(DOUBTS, now):
         try:
             doubts.append([name for name in read_doubts(facet.body) if name in servers])
         except (msgspec.DecodeError, msgspec.ValidationError):
             bad += 1
-    for _, facet, age in core.facets_of(FINDINGS, now):
+    for _, facet, age in core.state_entries_of(FINDINGS, now):
         try:
             findings.append((age, read_findings(facet.body)))
         except (msgspec.DecodeError, msgspec.ValidationError):
--- a/martentide/fleet/table.py
+++ b/martentide/fleet/table.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, field
 
 from martentide.fleet.events import Address
-from martentide.fleet.wire import FacetWord, MemberWord, Name, State
+from martentide.fleet.wire import MemberRecord, Name, State, StateEntry
 
 BUCKETS = 32  # of the sums that two members compare
 STATES = tuple(State)
 
 
 @dataclass(slots=True)
-class Facet:
-    word: FacetWord
+class StoredEntry:
+    word: StateEntry
     at: float  # when it had the age in the word
 
     def age(self, now: float) -> float:
@@ -30,7 +30,7 @@
     """Another member as this one knows it. Times with ``own`` are of the clock that stands still while this
     process does."""
 
-    word: MemberWord
+    record: MemberRecord
     since: float
     heard: float  # own clock of its last datagram or of the news of it
     accusers: set[Name] = field(default_factory=set)
@@ -38,21 +38,21 @@
     stamp: int = -1
     stamp_at: float = 0.0
     stamp_life: int = 0
-    facets: dict[int, Facet] = field(default_factory=dict)
+    facets: dict[int, StoredEntry] = field(default_factory=dict)
     counted: int = 0  # what of it is in the sums
 
     @property
     def state(self) -> State:
-        return STATES[self.word.state]
+        return STATES[self.record.state]
 
     @property
     def up(self) -> bool:
         """Not known to be dead or gone."""
-        return self.word.state < State.DEAD
+        return self.record.state < State.DEAD
 
     @property
     def address(self) -> Address:
-        return (self.word.host, self.word.port)
+        return (self.record.host, self.record.port)
 
 
 @dataclass(slots=True)
--- a/martentide/fleet/wire.py
+++ b/martentide/fleet/wire.py
@@ -22,7 +22,7 @@
 CHECK = 8
 
 
-class Bad(Enum):
+class DatagramFault(Enum):
     """Why a datagram was passed over; each has a counter."""
 
     STRANGE = "strange"  # not ours at all
@@ -33,8 +33,8 @@
     OVERSIZED = "oversized"
 
 
-class Unreadable(Exception):
-    def __init__(self, why: Bad) -> None:
+class DatagramError(Exception):
+    def __init__(self, why: DatagramFault) -> None:
         super().__init__(why.value)
         self.why = why
 
@@ -63,7 +63,7 @@
 Name = str
 
 
-class MemberWord(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class MemberRecord(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """What is said of one member. ``life`` is drawn anew by each process, so that two under one name and one
     generation can be told apart."""
 
@@ -82,7 +82,7 @@
         return (1 if self.state == State.LEFT else 0, self.incarnation, self.state)
 
 
-class FacetWord(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class StateEntry(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """One facet of one member, as its owner said it; ``age`` in ms is the only thing that others change."""
 
     owner: Name
@@ -116,15 +116,15 @@
     sender of that stamp can bound how old all in this datagram is, by its own clock alone."""
 
     kind: int
-    sender: MemberWord
+    sender: MemberRecord
     to: int  # life of the process meant, 0 where it is not known
     stamp: int
     echo: int = -1  # -1: none
     kept: int = 0
     probe: int = 0
     target: Name = ""
-    members: list[MemberWord] = []
-    facets: list[FacetWord] = []
+    members: list[MemberRecord] = []
+    facets: list[StateEntry] = []
     digest: list[int] = []
     buckets: list[int] = []
     held: list[Held] = []
@@ -154,27 +154,27 @@
         return self.seal(_ENCODER.encode(datagram))
 
     def open(self, data: bytes) -> bytes:
-        """The body of a datagram of this fleet; raises Unreadable."""
+        """The body of a datagram of this fleet; raises DatagramError."""
         if len(data) > DATAGRAM:
-            raise Unreadable(Bad.OVERSIZED)
+            raise DatagramError(DatagramFault.OVERSIZED)
         if len(data) < HEAD + CHECK or data[:2] != MAGIC:
-            raise Unreadable(Bad.STRANGE)
+            raise DatagramError(DatagramFault.STRANGE)
         if data[2] != VERSION:
-            raise Unreadable(Bad.OTHER_VERSION)
+            raise DatagramError(DatagramFault.OTHER_VERSION)
         if data[3:HEAD] != self.head[3:]:
-            raise Unreadable(Bad.OTHER_FLEET)
+            raise DatagramError(DatagramFault.OTHER_FLEET)
         if self._check(data[:-CHECK]) != data[-CHECK:]:
-            raise Unreadable(Bad.DAMAGED)
+            raise DatagramError(DatagramFault.DAMAGED)
         return data[HEAD:-CHECK]
 
     def read(self, data: bytes) -> Datagram:
-        """Raises Unreadable."""
+        """Raises DatagramError."""
         try:
             said = _DECODER.decode(self.open(data))
         except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
-            raise Unreadable(Bad.MALFORMED) from None
+            raise DatagramError(DatagramFault.MALFORMED) from None
         if not sound(said):
-            raise Unreadable(Bad.MALFORMED)
+            raise DatagramError(DatagramFault.MALFORMED)
         return said
 
 
@@ -191,7 +191,7 @@
     return all(1 <= len(one.name) <= 64 and len(one.facets) <= 64 for one in said.held)
 
 
-def _sound_member(word: MemberWord) -> bool:
+def _sound_member(word: MemberRecord) -> bool:
     return (
         1 <= len(word.name) <= 64
         and len(word.zone) <= 64
@@ -205,7 +205,7 @@
     )
 
 
-def _sound_facet(word: FacetWord) -> bool:
+def _sound_facet(word: StateEntry) -> bool:
     return (
         1 <= len(word.owner) <= 64
         and 0 <= word.kind < 256
@@ -216,12 +216,12 @@
     )
 
 
-def size(entry: MemberWord | FacetWord | Held) -> int:
+def size(entry: MemberRecord | StateEntry | Held) -> int:
     """Bytes it takes in a datagram."""
     return len(_ENCODER.encode(entry))
 
 
-def fitting(entries: Sequence[MemberWord | FacetWord | Held], room: int) -> int:
+def fitting(entries: Sequence[MemberRecord | StateEntry | Held], room: int) -> int:
     """How many of them, from the first on, fit whole into the room."""
     for count, entry in enumerate(entries):
         room -= size(entry)
--- a/martentide/net/call_trace.py
+++ b/martentide/net/call_trace.py
@@ -10,7 +10,7 @@
 import os
 from enum import Enum
 
-from martentide.net.endings import LOG
+from martentide.net.close_reason import LOG
 
 
 class CallStep(Enum):
--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -1,7 +1,7 @@
 """The front for today's protocol: the listener, and one actor for each party that calls.
 
 A party is a machine that callers' connections come from. A call that stands belongs to the party, not to one
-of its connections. The actor hears its links and the decider through its mailbox.
+of its connections. The actor hears its links and the dispatcher through its mailbox.
 """
 
 from __future__ import annotations
@@ -16,16 +16,17 @@
 from martentide.codec.messages import MOST_BYTES, Cause, Code, Message, Type, write_message, write_release
 from martentide.handover.wire import MOST_RECORDS, Left, MovedCalls, MovedLink, Said
 from martentide.net.call_trace import CALL_TRACE, CallStep
+from martentide.net.client_connections import ClientConnections, Send
+from martentide.net.close_reason import LOG, CloseReason, log_event
 from martentide.net.config import Address
-from martentide.net.decider import GiveUp, Offer, ReleaseIn, time_for_answer
-from martentide.net.door import Door, Send
-from martentide.net.endings import LOG, Reason, log_event
+from martentide.net.dispatcher import GiveUp, Offer, ReleaseIn, time_for_answer
 from martentide.net.links import Link, LinkEnded, Received
 from martentide.net.listeners import bound
 
 MOST_OWED = 20_000  # releases kept for a party without a connection
-ACCEPTED_AT_A_TIME = 32  # connections that are accepted before the door looks at them, at most
-# And at most one in so many of the callers' descriptors: the door hears of them three turns later.
+ACCEPTED_AT_A_TIME = 32  # connections that are accepted before the client connections look at them, at most
+# And at most one in so many of the callers' descriptors: the client connections hear of them three turns
+# later.
 ACCEPTED_OF = 12
 FREED_AT_A_TIME = 4  # idle connections that are closed when the system has no descriptor left
 LEAST_DOOR = 8  # descriptors that callers have at least, beside a predecessor's connections
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Say:
-    """What the decider tells about a call: ``message`` for the caller, ``stands`` if it is an answer.
+    """What the dispatcher tells about a call: ``message`` for the caller, ``stands`` if it is an answer.
 
     ``foreign``: the predecessor says so.
     """
@@ -126,16 +127,16 @@
 
 
 class Party:
-    """The actor of one calling party; ``tell`` is the decider's mailbox."""
+    """The actor of one calling party; ``tell`` is the dispatcher's mailbox."""
 
     def __init__(
         self,
         host: str,
         tell: Callable[[Offer | GiveUp | ReleaseIn], None],
         leave: Callable[[str], None],
-        door: Door,
+        client_connections: ClientConnections,
     ) -> None:
-        self.host, self.tell, self.leave, self.door = host, tell, leave, door
+        self.host, self.tell, self.leave, self.client_connections = host, tell, leave, client_connections
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
         self.links: dict[Link, int] = {}  # and how many calls stood that came on it
@@ -154,10 +155,10 @@
             except Exception:
                 LOG.exception("internal-error", party=self.host, item=type(item).__name__)
                 if isinstance(item, Received):
-                    item.link.close(Reason.INTERNAL)
+                    item.link.close(CloseReason.INTERNAL)
             if isinstance(item, Received):
                 item.link.taken()
-            self.door.calls(self.host, bool(self.records or self.owed))
+            self.client_connections.calls(self.host, bool(self.records or self.owed))
             if not (self.links or self.records or self.owed) and self.mailbox.empty():
                 self.leave(
                     self.host
@@ -196,16 +197,18 @@
 
     def welcome(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         port = (writer.get_extra_info("peername") or (self.host, 0))[1]
-        link = Link("caller", f"{self.host}:{port}", (reader, writer), self.post, self.door.stall)
+        link = Link(
+            "caller", f"{self.host}:{port}", (reader, writer), self.post, self.client_connections.stall
+        )
         self.post(Opened(link))
-        self.door.arrived(link, self.host)
+        self.client_connections.arrived(link, self.host)
 
     def take_over(self, frame: MovedLink, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """A link of the predecessor's, with what it had read of a message."""
         peer = f"{self.host}:{frame.port}"
-        link = Link("caller", peer, (reader, writer), self.post, self.door.stall, frame.begun)
+        link = Link("caller", peer, (reader, writer), self.post, self.client_connections.stall, frame.begun)
         self.post(MoveIn(frame, link))
-        self.door.arrived(link, self.host)
+        self.client_connections.arrived(link, self.host)
 
     def _opened(self, link: Link) -> None:
         self.links[link] = 0
@@ -215,7 +218,7 @@
 
     def _link_ended(self, link: Link) -> None:
         del self.links[link]
-        self.door.left(link)
+        self.client_connections.left(link)
         for call, record in [(call, record) for call, record in self.records.items() if record.link is link]:
             if record.stands:
                 record.link = None
@@ -233,18 +236,18 @@
             case Type.RELEASE:
                 link.write(write_message(Type.RELEASE_HEARD, message.call))
                 record = self.records.pop(message.call, None)
-                if record is None and self.door.predecessor is not None:
-                    self.door.predecessor(Left(self.host, message.call))  # it may stand there
+                if record is None and self.client_connections.predecessor is not None:
+                    self.client_connections.predecessor(Left(self.host, message.call))  # it may stand there
                 if record is not None:
                     self._over(record)
                     self._end(message.call, record)
                     if not record.stands and record.link is not None:
-                        self.door.ended(record.link, answered=False)
+                        self.client_connections.ended(record.link, answered=False)
                     elif record.stands:
-                        self.door.of_use(link)
+                        self.client_connections.of_use(link)
             case Type.TEST:
-                self.door.of_use(link)
-                passed = b"\x01" if self.door.ready() else b"\0"
+                self.client_connections.of_use(link)
+                passed = b"\x01" if self.client_connections.ready() else b"\0"
                 link.write(write_message(Type.TEST_RESULT, message.call, {Code.CAUSE: passed}))
 
     def _set_up(self, link: Link, message: Message, at: float) -> None:
@@ -255,7 +258,7 @@
         elif known is not None:
             # Guards against one answer for two set-ups, or two for one: which is whose could not be told.
             log_event("duplicate-call", party=self.host, call=message.call.hex())
-            link.close(Reason.DUPLICATE_ID)
+            link.close(CloseReason.DUPLICATE_ID)
             return
         parts = message.parameters
         LOG.debug("set-up", party=self.host, call=message.call.hex(), parameters=parts)
@@ -285,13 +288,13 @@
             CALL_TRACE.step(message.call, CallStep.WRITTEN, stands=False, peer=link.peer)
             link.write(write_release(message.call, Cause.CONGESTION))
             return
-        if self.door.open.get(link, 0) >= FIRST_WINDOW + self.links[link]:
+        if self.client_connections.open.get(link, 0) >= FIRST_WINDOW + self.links[link]:
             # Guards against hundreds of set-ups at once from one that has brought none that stood: a caller's
             # window grows with what it has set up.
             link.write(write_release(message.call, Cause.CONGESTION))
             return
         self.records[message.call] = Record(link)
-        self.door.opened(link)
+        self.client_connections.opened(link)
         self.tell(offer)
 
     def _end(self, call: bytes, record: Record) -> None:
@@ -299,14 +302,14 @@
         CALL_TRACE.step(call, CallStep.CALLER_LEFT, stands=record.stands, foreign=record.foreign)
         if not record.foreign:
             self.tell(ReleaseIn(call) if record.stands else GiveUp(call))
-        elif self.door.predecessor is not None:
-            self.door.predecessor(Left(self.host, call))
+        elif self.client_connections.predecessor is not None:
+            self.client_connections.predecessor(Left(self.host, call))
 
     def _over(self, record: Record) -> None:
         if record.stands and record.link is not None:
-            self.door.stands(record.link, -1)
+            self.client_connections.stands(record.link, -1)
 
-    # ---- what the decider says --------------------------------------------------------------------------
+    # ---- what the dispatcher says -----------------------------------------------------------------------
 
     def answer(self, call: bytes, description: bytes) -> None:
         message = write_message(Type.ANSWER, call, {Code.DESCRIPTION: description})
@@ -327,10 +330,10 @@
             record = Record(None, stands=True, foreign=True)  # its caller came back after its link had ended
             self.records[item.call] = record
         if record is None:
-            return  # the caller has left; the decider is being told
-        if record.moved and self.door.successor is not None:
+            return  # the caller has left; the dispatcher is being told
+        if record.moved and self.client_connections.successor is not None:
             CALL_TRACE.step(item.call, CallStep.PASSED_ON, stands=item.stands)
-            self.door.successor(Said(self.host, item.call, item.message, item.stands), None)
+            self.client_connections.successor(Said(self.host, item.call, item.message, item.stands), None)
             record.stands = item.stands
             if not item.stands:
                 del self.records[item.call]
@@ -343,11 +346,11 @@
             self._end(item.call, record)
             return
         if not record.stands and record.link is not None:
-            self.door.ended(record.link, answered=True)
+            self.client_connections.ended(record.link, answered=True)
         if item.stands and link is not None:
             record.stands = True
             self.links[link] += 1
-            self.door.stands(link, 1)
+            self.client_connections.stands(link, 1)
         else:
             del self.records[item.call]
             self._over(record)
@@ -357,8 +360,15 @@
         CALL_TRACE.step(item.call, step, stands=item.stands, peer="none" if link is None else link.peer)
         if link is not None:
             link.write(item.message)
-        elif record.stands and not item.stands and self.door.successor is not None and not record.foreign:
-            self.door.successor(Said(self.host, item.call, item.message, False), None)  # it may come there
+        elif (
+            record.stands
+            and not item.stands
+            and self.client_connections.successor is not None
+            and not record.foreign
+        ):
+            self.client_connections.successor(
+                Said(self.host, item.call, item.message, False), None
+            )  # it may come there
         elif record.stands and not item.stands:
             self._owe(item.call, item.message)
 
@@ -371,7 +381,7 @@
 
     def _move_out(self) -> None:
         """Hand the party over: first what belongs to no link, then each link as soon as it can go."""
-        if self.door.successor is None:
+        if self.client_connections.successor is None:
             return
         linkless = {call: record for call, record in self.records.items() if record.link is None}
         standing = [call for call, record in linkless.items() if record.stands and not record.moved]
@@ -379,7 +389,9 @@
         self.owed.clear()
         for at in range(0, max(len(standing), len(owed)), MOST_RECORDS):
             part = slice(at, at + MOST_RECORDS)
-            self.door.successor(MovedCalls(self.host, tuple(standing[part]), tuple(owed[part])), None)
+            self.client_connections.successor(
+                MovedCalls(self.host, tuple(standing[part]), tuple(owed[part])), None
+            )
         for call in standing:
             self.records[call].moved = True
         until = self.loop.time() + MOVE_LIMIT
@@ -388,7 +400,7 @@
 
     def _move_link(self, item: MoveLink) -> None:
         link = item.link
-        send = self.door.successor
+        send = self.client_connections.successor
         if send is None or link not in self.links or not link.alive:
             return
         link.pause()
@@ -397,7 +409,7 @@
             if self.loop.time() < item.until:
                 self.loop.call_later(MOVE_AGAIN, self.post, item)
             else:
-                link.close(Reason.BLOCKED)
+                link.close(CloseReason.BLOCKED)
             return
         records = {call: record for call, record in self.records.items() if record.link is link}
         calls = [[call for call, one in records.items() if one.stands is stands] for stands in (False, True)]
@@ -405,7 +417,7 @@
             host=self.host,
             port=int(link.peer.rpartition(":")[2]),
             begun=bytes(link.begun),
-            mute=link in self.door.mute,
+            mute=link in self.client_connections.mute,
             stood=self.links[link],
             open=tuple(calls[0]),
             standing=tuple(calls[1][:MOST_RECORDS]),
@@ -434,10 +446,10 @@
         for call in frame.open:
             CALL_TRACE.step(call, CallStep.MOVED_IN, peer=link.peer)
             self.records[call] = Record(link, foreign=True)
-            self.door.opened(link)
-        self.door.stands(link, len(frame.standing))
+            self.client_connections.opened(link)
+        self.client_connections.stands(link, len(frame.standing))
         if not frame.mute:
-            self.door.of_use(link)
+            self.client_connections.of_use(link)
 
     def _deserted(self) -> None:
         """Calls that stand have no connection until their callers come back; the others are given up."""
@@ -467,7 +479,7 @@
     """The listener: hands each connection to its party's actor."""
 
     def __init__(self, most: int, tell: Callable[[Offer | GiveUp | ReleaseIn], None]) -> None:
-        self.door, self.tell, self.most = Door(most), tell, most
+        self.client_connections, self.tell, self.most = ClientConnections(most), tell, most
         self.parties: dict[str, Party] = {}
         self.socket: socket.socket | None = None
         self.server: asyncio.Server | None = None
@@ -482,8 +494,8 @@
         if self.socket is None or self.server is not None:
             return
         # So many are accepted at a time, whatever waits: a flood must not use up the descriptors before the
-        # door has closed any. Then the queue of those that wait is made long again. The server gets a
-        # descriptor of its own, so that it can be ended and another begun on the same queue.
+        # client connections have closed any. Then the queue of those that wait is made long again. The server
+        # gets a descriptor of its own, so that it can be ended and another begun on the same queue.
         self.server = await asyncio.start_server(
             self._accept,
             sock=self.socket.dup(),
@@ -504,11 +516,11 @@
 
     def make_room(self) -> int:
         """Close a few connections that are cheapest to lose; how many were."""
-        return self.door.free(FREED_AT_A_TIME)
+        return self.client_connections.free(FREED_AT_A_TIME)
 
     def _party(self, host: str) -> Party:
         if host not in self.parties:
-            self.parties[host] = Party(host, self.tell, self.parties.__delitem__, self.door)
+            self.parties[host] = Party(host, self.tell, self.parties.__delitem__, self.client_connections)
         return self.parties[host]
 
     def pause(self) -> None:
@@ -546,7 +558,7 @@
             return
         if descriptor is None:
             return
-        self.door.most = min(self.most, self.door.most + 1)
+        self.client_connections.most = min(self.most, self.client_connections.most + 1)
         reader, writer = await asyncio.open_connection(
             sock=socket.socket(fileno=descriptor), limit=MOST_BYTES
         )
@@ -557,8 +569,8 @@
         if frame.host in self.parties or not frame.stands:
             say = Say(frame.call, frame.message, frame.stands, foreign=True)
             self._party(frame.host).post(say)
-        elif self.door.predecessor is not None:
-            self.door.predecessor(Left(frame.host, frame.call))
+        elif self.client_connections.predecessor is not None:
+            self.client_connections.predecessor(Left(frame.host, frame.call))
 
     def left(self, frame: Left) -> None:
         """The successor tells what a caller said of a call of this process."""
@@ -567,21 +579,24 @@
 
     def beside(self, predecessor: Callable[[Left], None], links: int) -> None:
         """A predecessor is there, with so many links: both together have one budget of descriptors."""
-        self.door.predecessor, self.door.most = predecessor, max(LEAST_DOOR, self.most - links)
+        self.client_connections.predecessor, self.client_connections.most = (
+            predecessor,
+            max(LEAST_DOOR, self.most - links),
+        )
 
     def yield_to(self, successor: Send) -> None:
         """The successor accepts from now on, this process no more."""
         self.pause()
-        self.door.successor = successor
+        self.client_connections.successor = successor
 
     def successor_gone(self) -> None:
         """Connections that it had are over."""
-        self.door.successor, self.moving = None, False
+        self.client_connections.successor, self.moving = None, False
         for party in list(self.parties.values()):
             party.post(Deserted())
 
     def orphaned(self) -> None:
         """The predecessor is gone."""
-        self.door.predecessor, self.door.most = None, self.most
+        self.client_connections.predecessor, self.client_connections.most = None, self.most
         for party in list(self.parties.values()):
             party.post(Orphaned())
--- a/martentide/net/door.py
+++ b/martentide/net/client_connections.py
@@ -6,23 +6,23 @@
 from collections.abc import Callable
 
 from martentide.handover.wire import Left, MovedCalls, MovedLink, Said
-from martentide.net.endings import Reason
+from martentide.net.close_reason import CloseReason
 from martentide.net.links import Link
 
 PROBATION = 2.0  # s in which a new connection must have brought something that can be answered
 PROBATION_AGAIN = 0.25  # s until the next look while it waits for an answer or a release
 STALL = 1.5  # s in which a message begun by a caller must be whole
 SLOW_STALL = 2.6  # s instead, on a connection that came while there was room: some need 2 s to write one
-ROOM = (
-    0.75  # of the door's descriptors in use, above which there is none: half messages must not hold the rest
-)
+# Of the client connections' descriptors in use, above which there is none: half messages must not hold the
+# rest.
+ROOM = 0.75
 MUTE_GRACE = 1.0  # s in which a new connection may bring its first byte before a drain closes it
 REST_AGAIN = 0.02  # s until the next look at a link that is to be closed and is not at rest
 
 Send = Callable[[MovedLink | MovedCalls | Said | Left, int | None], None]  # a frame with its descriptor
 
 
-class Door:
+class ClientConnections:
     """The descriptors set aside for callers, and who gives one up when they run short.
 
     A link is mute until something on it was answered, busy while a set-up on it is open, and rests otherwise.
@@ -58,7 +58,7 @@
         if len(self.open) > self.most:
             last = self._dearest(link)
             self.left(last)
-            last.close(Reason.TOO_MANY)
+            last.close(CloseReason.TOO_MANY)
 
     def calls(self, host: str, any_left: bool) -> None:
         """Whether the party has calls, or releases to hear: it may wait for them on quiet links."""
@@ -85,7 +85,7 @@
         idle.sort(key=lambda one: self.host[one] in self.calling)  # keeps the order otherwise
         for link in idle[:count]:
             self.left(link)
-            link.close(Reason.TOO_MANY)
+            link.close(CloseReason.TOO_MANY)
         return len(idle[:count])
 
     def left(self, link: Link) -> None:
@@ -147,7 +147,7 @@
             self.loop.call_later(max(young, REST_AGAIN), self._leave, link)
             return
         self.left(link)
-        link.close(Reason.DRAINED)
+        link.close(CloseReason.DRAINED)
 
     def _probation_over(self, link: Link) -> None:
         if link not in self.mute:
@@ -157,4 +157,4 @@
             self.loop.call_later(PROBATION_AGAIN, self._probation_over, link)
             return
         self.left(link)
-        link.close(Reason.MUTE)
+        link.close(CloseReason.MUTE)
--- a/martentide/net/endings.py
+++ b/martentide/net/close_reason.py
@@ -12,7 +12,7 @@
 LOG = structlog.get_logger()
 
 
-class Reason(Enum):
+class CloseReason(Enum):
     PEER_CLOSED = "peer-closed"
     PEER_RESET = "peer-reset"
     TRUNCATED = "truncated"
@@ -40,22 +40,22 @@
     DIAL_ERROR = "dial-error"
 
 
-QUIET = (
-    Reason.PEER_CLOSED,
-    Reason.SERVER_GONE,
-    Reason.REPLACED,
-    Reason.MOVED,
-    Reason.SHUTDOWN,
-    Reason.TAKEN_OVER,
-    Reason.DRAINED,
-    Reason.HANDED_OVER,
-    Reason.ANSWERED,
+ROUTINE_REASONS = (
+    CloseReason.PEER_CLOSED,
+    CloseReason.SERVER_GONE,
+    CloseReason.REPLACED,
+    CloseReason.MOVED,
+    CloseReason.SHUTDOWN,
+    CloseReason.TAKEN_OVER,
+    CloseReason.DRAINED,
+    CloseReason.HANDED_OVER,
+    CloseReason.ANSWERED,
 )
 
 
-def log_ended(role: str, peer: str, reason: Reason, detail: str = "") -> None:
+def log_connection_closed(role: str, peer: str, reason: CloseReason, detail: str = "") -> None:
     """The one line that an ended connection leaves; roles are in ``docs/ON-CALL.md``."""
-    write = LOG.info if reason in QUIET else LOG.warning
+    write = LOG.info if reason in ROUTINE_REASONS else LOG.warning
     more = {"detail": repr(detail)} if detail else {}
     write("connection-ended", role=role, peer=peer, reason=reason.value, **more)
 
--- a/martentide/net/config.py
+++ b/martentide/net/config.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from martentide.codec import CodecError
-from martentide.codec.board import Notice, read_known
+from martentide.codec.discovery import Notice, read_known
 from martentide.interface import Settings
 from martentide.settings import SettingsError, check_settings, key_paths, settings_from
 
--- a/martentide/net/control.py
+++ b/martentide/net/control.py
@@ -10,8 +10,8 @@
 from collections.abc import Awaitable, Callable
 
 from martentide.codec.control import ControlCall, Refused, Request
+from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
 from martentide.net.config import Address
-from martentide.net.endings import LOG, Reason, log_ended
 from martentide.net.listeners import bound
 
 CALL_LIMIT = 0.8  # s in which a call must be whole; every answer is owed within 1 s
@@ -55,15 +55,15 @@
             oldest = next(iter(self.unfinished))
             self.unfinished.pop(oldest)
             oldest.cancel()
-        reason = Reason.INTERNAL
+        reason = CloseReason.INTERNAL
         try:
             reason = await self._call(task, reader, writer)
         except asyncio.CancelledError:
-            reason = Reason.TOO_MANY
+            reason = CloseReason.TOO_MANY
         except (ConnectionResetError, BrokenPipeError):
-            reason = Reason.PEER_RESET
+            reason = CloseReason.PEER_RESET
         except OSError:
-            reason = Reason.IO_ERROR
+            reason = CloseReason.IO_ERROR
         except Exception:  # one bad call must not take the listener down
             LOG.exception("internal-error operator's call")
         finally:
@@ -71,11 +71,11 @@
             self.open.discard(task)
             writer.transport.abort()
             peer = writer.get_extra_info("peername") or ("unknown", 0)
-            log_ended("operator", f"{peer[0]}:{peer[1]}", reason)
+            log_connection_closed("operator", f"{peer[0]}:{peer[1]}", reason)
 
     async def _call(
         self, task: asyncio.Task[None], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-    ) -> Reason:
+    ) -> CloseReason:
         call = ControlCall()
         said: Request | Refused | None = None
         began = False
@@ -84,12 +84,12 @@
                 while said is None:
                     data = await reader.read(AT_ONCE)
                     if not data and not began:
-                        return Reason.PEER_CLOSED
+                        return CloseReason.PEER_CLOSED
                     began = True
                     said = call.feed(data)
         except TimeoutError:
             if not began:
-                return Reason.MUTE
+                return CloseReason.MUTE
             said = Refused(408, f"the call was not whole within {CALL_LIMIT:g} s")
         self.unfinished.pop(task, None)
         if isinstance(said, Request):
@@ -106,4 +106,4 @@
                     pass
         except TimeoutError:
             pass
-        return Reason.ANSWERED if isinstance(said, Request) else Reason.TURNED_DOWN
+        return CloseReason.ANSWERED if isinstance(said, Request) else CloseReason.TURNED_DOWN
--- a/martentide/net/descriptors.py
+++ b/martentide/net/descriptors.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from martentide.net.endings import log_event
+from martentide.net.close_reason import log_event
 
 CALLERS_SHARE = 0.5  # callers hold a third at most, old connections may overlap new ones
 OWN = 16  # standard streams, event loop, listeners, the board, files: what the process needs for itself
--- a/martentide/net/board.py
+++ b/martentide/net/discovery.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 
 from martentide.codec import CodecError
-from martentide.codec.board import LENGTH, Notice, frame_length, read_frame, write_number
+from martentide.codec.discovery import LENGTH, Notice, frame_length, read_frame, write_number
+from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
 from martentide.net.config import Address
-from martentide.net.endings import LOG, Reason, log_ended
 
 SILENCE = 2.2  # s without a frame after which the connection is dead
 REDIAL_AFTER = (0.1, 0.4)  # s, drawn between the two
@@ -35,7 +35,7 @@
     address: Address
 
 
-class Board:
+class DiscoveryClient:
     def __init__(
         self,
         address: Address,
@@ -81,7 +81,7 @@
         await asyncio.sleep(pause)
         address, begun_at = self.address, asyncio.get_running_loop().time()
         writer: asyncio.StreamWriter | None = None
-        reason, detail, lived = Reason.INTERNAL, "", False
+        reason, detail, lived = CloseReason.INTERNAL, "", False
         try:
             async with asyncio.timeout(self.connect_timeout):
                 reader, writer = await asyncio.open_connection(address.host, address.port)
@@ -94,21 +94,21 @@
                 if notice is not None:
                     self.mailbox.put_nowait(notice)
         except TimeoutError:
-            reason = Reason.DIAL_TIMEOUT if writer is None else Reason.SILENT
+            reason = CloseReason.DIAL_TIMEOUT if writer is None else CloseReason.SILENT
         except asyncio.IncompleteReadError as error:
             whole = not error.partial and error.expected == LENGTH.size
-            reason = Reason.PEER_CLOSED if whole else Reason.TRUNCATED
+            reason = CloseReason.PEER_CLOSED if whole else CloseReason.TRUNCATED
         except CodecError as error:
-            reason, detail = Reason.MALFORMED, str(error)
+            reason, detail = CloseReason.MALFORMED, str(error)
         except ConnectionRefusedError:
-            reason = Reason.DIAL_REFUSED
+            reason = CloseReason.DIAL_REFUSED
         except ConnectionResetError:
-            reason = Reason.PEER_RESET
+            reason = CloseReason.PEER_RESET
         except OSError as error:
             self.short(error)
-            reason, detail = (Reason.DIAL_ERROR if writer is None else Reason.IO_ERROR), str(error)
+            reason, detail = (CloseReason.DIAL_ERROR if writer is None else CloseReason.IO_ERROR), str(error)
         except asyncio.CancelledError:
-            reason = Reason.SHUTDOWN if attempt == self.attempt else Reason.MOVED
+            reason = CloseReason.SHUTDOWN if attempt == self.attempt else CloseReason.MOVED
             raise
         except Exception:
             LOG.exception("internal-error board")
@@ -116,5 +116,5 @@
             if writer is not None:
                 writer.close()
             lasted = asyncio.get_running_loop().time() - begun_at >= LASTED
-            log_ended("board", str(address), reason, detail)
+            log_connection_closed("board", str(address), reason, detail)
             self.mailbox.put_nowait(FollowEnded(attempt, lived and lasted))
--- a/martentide/net/decider.py
+++ b/martentide/net/dispatcher.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from martentide.carriage import Client, ClientLeft, Ended, Heard, Order, Presence, Stood, Withdraw
-from martentide.codec.board import Listed, Notice
+from martentide.attempt_messages import Client, ClientLeft, Ended, Heard, Order, Presence, Stood, Withdraw
+from martentide.codec.discovery import Listed, Notice
 from martentide.interface import (
     Action,
     Admission,
@@ -45,7 +45,7 @@
     TestDuty,
     TimerDue,
 )
-from martentide.net.endings import LOG, log_event
+from martentide.net.close_reason import LOG, log_event
 from martentide.net.links import unix_ms
 from martentide.rules import Controller
 
@@ -68,7 +68,7 @@
 
 
 class Caller(Protocol):
-    """What the decider tells the party that offered a call; each call gets one of the first three."""
+    """What the dispatcher tells the party that offered a call; each call gets one of the first three."""
 
     def answer(self, call: bytes, description: bytes) -> None: ...
 
@@ -190,18 +190,19 @@
     return time_left - max(LEAST_AHEAD, min(ANSWER_AHEAD, ANSWER_AHEAD_SHARE * time_left))
 
 
-class Waiting:
-    """The caller of one call, as whoever is about to begin an attempt for it may ask (carriage.Client).
+class WaitingCaller:
+    """The caller of one call, as whoever is about to begin an attempt for it may ask
+    (attempt_messages.Client).
 
     Guards against an attempt that begins ahead of a give-up which has been read, and waits in a mailbox.
     """
 
-    def __init__(self, decider: Decider, call: Call) -> None:
-        self.decider, self.call = decider, call
+    def __init__(self, dispatcher: Dispatcher, call: Call) -> None:
+        self.dispatcher, self.call = dispatcher, call
 
     def look(self) -> Presence:
         offer = self.call.offer
-        if self.call.closed or self.decider.leaving[offer.call]:
+        if self.call.closed or self.dispatcher.leaving[offer.call]:
             return Presence.LEFT
         return Presence.HERE if offer.client is None else offer.client.look()
 
@@ -210,11 +211,11 @@
             self.call.offer.client.when_heard(then)
 
 
-class Decider:
+class Dispatcher:
     """One Controller, fed in the order of the mailbox."""
 
     def __init__(
-        self, controller: Controller, start_server: Callable[[Listed, Decider], ServerActor], max_open: int
+        self, controller: Controller, start_server: Callable[[Listed, Dispatcher], ServerActor], max_open: int
     ) -> None:
         self.controller, self.start_server, self.max_open = controller, start_server, max_open
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
@@ -229,13 +230,17 @@
         self.answered: OrderedDict[bytes, int] = OrderedDict()  # and the caller
         self.listed: dict[str, Listed] = {}
         self.servers: dict[str, ServerActor] = {}
-        self.watchers: list[Callable[[tuple[Listed, ...]], None]] = []
-        self.heard: list[Callable[[float, Event], None]] = []  # told of each event once it was decided on
-        self.own_settings = controller.settings  # without what the fleet agreed on
-        self.in_force: InForce | None = None  # what the fleet agreed on, where it agrees on anything
-        self.before: Callable[[], None] | None = None  # called before each item: whether that still holds
-        self.join_lists: Callable[[Notice], Notice] | None = None  # with what other members heard
-        self.answered_by: dict[str, float] = {}  # server's last answer, by the loop's clock in s
+        self.list_observers: list[Callable[[tuple[Listed, ...]], None]] = []
+        self.event_observers: list[
+            Callable[[float, Event], None]
+        ] = []  # told of each event once it was decided on
+        self.local_settings = controller.settings  # without what the fleet agreed on
+        self.agreed_rules: InForce | None = None  # what the fleet agreed on, where it agrees on anything
+        self.before_each_item: Callable[[], None] | None = (
+            None  # called before each item: whether that still holds
+        )
+        self.merge_lists: Callable[[Notice], Notice] | None = None  # with what other members heard
+        self.last_answer_at: dict[str, float] = {}  # server's last answer, by the loop's clock in s
         self.closing = False
         self.idle = asyncio.Event()
         self.idle.set()
@@ -263,8 +268,8 @@
                 self.idle.set()
 
     def _take(self, item: Item) -> None:
-        if self.before is not None:
-            self.before()
+        if self.before_each_item is not None:
+            self.before_each_item()
         match item:
             case Offer():
                 self._offer(item)
@@ -280,32 +285,32 @@
             case Ended():
                 self._ended(item)
             case Notice():
-                self.follow(item)
+                self.apply_list(item)
             case Overdue(ref):
                 self._overdue(ref)
             case Settle(settings, max_open):
                 self.max_open = max_open
                 for server in self.servers.values():
                     server.post(item)
-                self.own_settings = settings
+                self.local_settings = settings
                 self._feed(SettingsChanged(self._under(settings)))
             case _:
                 self._feed(item)
 
-    def tell(self, event: Event) -> None:
+    def handle_now(self, event: Event) -> None:
         """Tell the decisions at once: for the start, before the mailbox is read."""
         self._feed(event)
 
-    def act_by(self, in_force: InForce) -> None:
+    def apply_agreed_rules(self, in_force: InForce) -> None:
         """From now on, at once: what is offered is decided under it; calls offered before keep their
         terms."""
-        settings = self._under(self.own_settings)
-        self.in_force = in_force
-        if (under := self._under(self.own_settings)) != settings:
+        settings = self._under(self.local_settings)
+        self.agreed_rules = in_force
+        if (under := self._under(self.local_settings)) != settings:
             self._feed(SettingsChanged(under))
-        self.list_again()
+        self.refresh_listed_states()
 
-    def list_again(self) -> None:
+    def refresh_listed_states(self) -> None:
         """Tell the decisions of servers that are another way than what they hold, by what is in force."""
         held = self.controller.servers
         entries = self._entries(tuple(listed.entry for listed in self.listed.values()))
@@ -314,16 +319,16 @@
             self._feed(ServerList(ListKind.CHANGES, changed))
 
     def _under(self, settings: Settings) -> Settings:
-        return settings if self.in_force is None else self.in_force.settings(settings)
+        return settings if self.agreed_rules is None else self.agreed_rules.settings(settings)
 
     def _entries(self, entries: tuple[ServerEntry, ...]) -> tuple[ServerEntry, ...]:
-        if self.in_force is None:
+        if self.agreed_rules is None:
             return entries
         from martentide.agreement.overlay import ANSWERED
 
         now = self.loop.time()
-        answered = {name for name, at in self.answered_by.items() if (now - at) * 1000.0 <= ANSWERED}
-        return self.in_force.entries(entries, answered)
+        answered = {name for name, at in self.last_answer_at.items() if (now - at) * 1000.0 <= ANSWERED}
+        return self.agreed_rules.entries(entries, answered)
 
     def _clock(self) -> float:
         """Unix time in ms for the decisions. It follows the wall clock while that runs like the monotonic
@@ -346,7 +351,7 @@
             LOG.debug("decide", now=self.now, heard=event, actions=actions)
             for action in actions:
                 self._act(action)
-        for follower in tuple(self.heard):
+        for follower in tuple(self.event_observers):
             follower(self.now, event)
 
     # ---- what the decisions ask -------------------------------------------------------------------------
@@ -400,7 +405,7 @@
                 number=offer.number,
                 description=offer.description,
                 patience=action.patience,
-                client=Waiting(self, call),
+                client=WaitingCaller(self, call),
             )
         )
 
@@ -529,10 +534,10 @@
 
     # ---- the list ---------------------------------------------------------------------------------------
 
-    def follow(self, notice: Notice, kind: ListKind | None = None) -> None:
+    def apply_list(self, notice: Notice, kind: ListKind | None = None) -> None:
         """Tell the servers' actors first, so that no later order finds an old state, then the decisions."""
-        if self.join_lists is not None:
-            notice = self.join_lists(notice)
+        if self.merge_lists is not None:
+            notice = self.merge_lists(notice)
         told = {listed.entry.name: listed for listed in notice.servers}
         changed = dict(told)
         if notice.whole:
@@ -552,7 +557,7 @@
                 self.servers[name].post(listed)
             else:
                 self.servers[name] = self.start_server(listed, self)
-        for watcher in self.watchers:
+        for watcher in self.list_observers:
             watcher(tuple(changed.values()))
         kind = kind or (ListKind.WHOLE if notice.whole else ListKind.CHANGES)
         self._feed(ServerList(kind, self._entries(tuple(listed.entry for listed in notice.servers))))
--- a/martentide/net/extproc/decisions.py
+++ b/martentide/net/extproc/decisions.py
@@ -10,13 +10,13 @@
 import grpc
 
 from martentide.codec import CodecError
-from martentide.codec.board import Listed
+from martentide.codec.discovery import Listed
 from martentide.decisions.v1 import decisions_pb2 as pb
 from martentide.extproc.ledger import Ledger, Stream
 from martentide.extproc.messages import FromFront, ToFront, Welcomed
 from martentide.extproc.sessions import Refusal, Session
 from martentide.extproc.wire import read_front, write_proxy, write_server
-from martentide.net.endings import Reason, log_ended, log_event
+from martentide.net.close_reason import CloseReason, log_connection_closed, log_event
 from martentide.net.extproc.front import Front
 from martentide.net.extproc.host import Host
 from martentide.net.links import unix_ms
@@ -31,11 +31,11 @@
     Refusal.BAD_NAME: grpc.StatusCode.INVALID_ARGUMENT,
 }
 ENDS = {
-    Reason.MALFORMED: grpc.StatusCode.INVALID_ARGUMENT,
-    Reason.BLOCKED: grpc.StatusCode.RESOURCE_EXHAUSTED,
-    Reason.TAKEN_OVER: grpc.StatusCode.ABORTED,
-    Reason.SHUTDOWN: grpc.StatusCode.UNAVAILABLE,
-    Reason.MUTE: grpc.StatusCode.DEADLINE_EXCEEDED,
+    CloseReason.MALFORMED: grpc.StatusCode.INVALID_ARGUMENT,
+    CloseReason.BLOCKED: grpc.StatusCode.RESOURCE_EXHAUSTED,
+    CloseReason.TAKEN_OVER: grpc.StatusCode.ABORTED,
+    CloseReason.SHUTDOWN: grpc.StatusCode.UNAVAILABLE,
+    CloseReason.MUTE: grpc.StatusCode.DEADLINE_EXCEEDED,
 }
 
 
@@ -47,19 +47,19 @@
         self.waiting: deque[pb.ProxyMessage] = deque()
         self.wake = asyncio.Event()
         self.closed = asyncio.Event()
-        self.reason, self.detail = Reason.PEER_CLOSED, ""
+        self.reason, self.detail = CloseReason.PEER_CLOSED, ""
         self.writing = False
 
     def put(self, messages: list[pb.ProxyMessage]) -> None:
         if self.closed.is_set():
             return
         if len(self.waiting) + len(messages) > self.most:
-            self.close(Reason.BLOCKED, f"{len(self.waiting)} messages wait")
+            self.close(CloseReason.BLOCKED, f"{len(self.waiting)} messages wait")
             return
         self.waiting.extend(messages)
         self.wake.set()
 
-    def close(self, reason: Reason, detail: str = "") -> None:
+    def close(self, reason: CloseReason, detail: str = "") -> None:
         """The first reason counts."""
         if not self.closed.is_set():
             self.reason, self.detail = reason, detail
@@ -76,7 +76,7 @@
             self.wake.clear()
             while self.waiting and not self.closed.is_set():
                 some = [self.waiting.popleft() for _ in range(min(IN_A_FRAME, len(self.waiting)))]
-                watch = loop.call_later(limit, self.close, Reason.BLOCKED, "a write was not taken")
+                watch = loop.call_later(limit, self.close, CloseReason.BLOCKED, "a write was not taken")
                 self.writing = True
                 try:
                     await context.write(pb.ProxyFrame(messages=some))
@@ -94,7 +94,7 @@
         self.joining: Wire | None = None  # the stream that the next welcome goes out on
         terms = host.terms(single=False)
         ledger = Ledger(session.front, terms, host.classes, host.admission, host.keys)
-        self.front = Front(ledger, host.decider, self._deliver, self._trouble)
+        self.front = Front(ledger, host.dispatcher, self._deliver, self._trouble)
         self.spoilt = self.left = False  # the front broke the protocol; it took its leave
 
     def _deliver(self, said: list[ToFront]) -> None:
@@ -114,7 +114,7 @@
         welcome = pb.Welcome(
             session=self.session.token, lease_ms=lease, routed=message.routed, standing=message.standing
         )
-        listed = self.host.decider.listed.values()
+        listed = self.host.dispatcher.listed.values()
         servers = [write_server(one.entry, f"{one.host}:{one.port}") for one in listed]
         return [pb.ProxyMessage(welcome=welcome), *servers]
 
@@ -123,7 +123,7 @@
         self.spoilt = True
         for wire in (self.wire, self.joining):
             if wire is not None:
-                wire.close(Reason.MALFORMED, detail)
+                wire.close(CloseReason.MALFORMED, detail)
 
 
 class Decisions:
@@ -148,7 +148,7 @@
             if hello is not None:
                 found = self._enter(hello, wire)
                 if isinstance(found, Refusal):
-                    wire.close(Reason.NO_SESSION, found.value)
+                    wire.close(CloseReason.NO_SESSION, found.value)
                     code = STATUS[found]
                 else:
                     member = found
@@ -163,17 +163,17 @@
                     done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
                     for task in done:
                         if task.exception() is not None:  # the stream can't be read or written any more
-                            wire.close(Reason.PEER_RESET)
+                            wire.close(CloseReason.PEER_RESET)
             if code is grpc.StatusCode.OK:
                 code = ENDS.get(wire.reason, grpc.StatusCode.OK)
         except asyncio.CancelledError:
-            wire.close(Reason.PEER_RESET)
+            wire.close(CloseReason.PEER_RESET)
             raise
         finally:
             for task in tasks[1 if wire.writing else 0 :]:
                 task.cancel()
             wire.close(wire.reason)
-            log_ended("front", peer, wire.reason, wire.detail)
+            log_connection_closed("front", peer, wire.reason, wire.detail)
             if member is not None:
                 self._leave(member, stream)
         if tasks and wire.writing:
@@ -190,12 +190,12 @@
             async with asyncio.timeout(HELLO_LIMIT):
                 frame = await context.read()
         except TimeoutError:
-            wire.close(Reason.MUTE)
+            wire.close(CloseReason.MUTE)
             return None
         if frame is grpc.aio.EOF:
             return None
         if len(frame.messages) != 1 or frame.messages[0].WhichOneof("kind") != "hello":
-            wire.close(Reason.MALFORMED, "the first message must be Hello, alone in its frame")
+            wire.close(CloseReason.MALFORMED, "the first message must be Hello, alone in its frame")
             return None
         hello: pb.Hello = frame.messages[0].hello
         return hello
@@ -211,7 +211,7 @@
                 member.left = len(messages) < len(frame.messages)
                 events: list[FromFront] = [read_front(message, at) for message in messages]
             except CodecError as error:
-                wire.close(Reason.MALFORMED, str(error))
+                wire.close(CloseReason.MALFORMED, str(error))
                 return
             if events:
                 await member.front.credit.acquire()
@@ -240,10 +240,10 @@
             return resumed
         member = self.members[resumed.number]
         if member.wire is not None:
-            member.wire.close(Reason.TAKEN_OVER)
+            member.wire.close(CloseReason.TAKEN_OVER)
             member.front.stream(Stream.BROKEN)  # what was pending on the old stream is asked anew
         if member.joining is not None:
-            member.joining.close(Reason.TAKEN_OVER)
+            member.joining.close(CloseReason.TAKEN_OVER)
         member.joining = wire
         member.front.stream(Stream.RESUMED)
         return member
@@ -296,4 +296,4 @@
     def close(self) -> None:
         for member in self.members.values():
             if member.wire is not None:
-                member.wire.close(Reason.SHUTDOWN)
+                member.wire.close(CloseReason.SHUTDOWN)
--- a/martentide/net/extproc/envoy.py
+++ b/martentide/net/extproc/envoy.py
@@ -30,7 +30,7 @@
     Welcomed,
     Withdrawn,
 )
-from martentide.net.endings import LOG, Reason, log_ended
+from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
 from martentide.net.extproc.front import Front
 from martentide.net.extproc.host import Host
 from martentide.net.links import unix_ms
@@ -47,7 +47,7 @@
         self.numbers = itertools.count(1)
         self.inboxes: dict[int, asyncio.Queue[ToFront]] = {}
         ledger = Ledger(name, host.terms(single=True), host.classes, host.admission, host.keys)
-        self.front = Front(ledger, host.decider, self._deliver, self._trouble)
+        self.front = Front(ledger, host.dispatcher, self._deliver, self._trouble)
 
     def _trouble(self, detail: str) -> None:
         """The numbers are given here, so it is no fault of the peer's."""
@@ -239,28 +239,30 @@
             self.tasks.add(task)
         peer = self._arrive(name)
         exchange = Exchange(peer, self.host, context)
-        reason, detail = Reason.PEER_CLOSED, ""
+        reason, detail = CloseReason.PEER_CLOSED, ""
         abort: grpc.StatusCode | None = None
         try:
             await exchange.play()
         except Closed:
             pass
         except headers.HeaderError as error:
-            reason, detail, abort = Reason.MALFORMED, str(error), grpc.StatusCode.INVALID_ARGUMENT
+            reason, detail, abort = CloseReason.MALFORMED, str(error), grpc.StatusCode.INVALID_ARGUMENT
         except Gone as error:
-            reason, detail, abort = Reason.SERVER_GONE, str(error), grpc.StatusCode.UNAVAILABLE
+            reason, detail, abort = CloseReason.SERVER_GONE, str(error), grpc.StatusCode.UNAVAILABLE
         except TimeoutError:
-            reason, abort = Reason.MUTE, grpc.StatusCode.DEADLINE_EXCEEDED
+            reason, abort = CloseReason.MUTE, grpc.StatusCode.DEADLINE_EXCEEDED
         except asyncio.CancelledError:
-            reason = Reason.PEER_RESET
+            reason = CloseReason.PEER_RESET
             raise
         finally:
             exchange.leave()
             self._depart(name)
             if task is not None:
                 self.tasks.discard(task)
-            if reason is not Reason.PEER_CLOSED:  # one line for each request in good order would be too many
-                log_ended("front", address, reason, detail)
+            if (
+                reason is not CloseReason.PEER_CLOSED
+            ):  # one line for each request in good order would be too many
+                log_connection_closed("front", address, reason, detail)
         if abort is not None:
             await context.abort(abort, detail or reason.value)
 
--- a/martentide/net/extproc/front.py
+++ b/martentide/net/extproc/front.py
@@ -1,7 +1,7 @@
-"""The actor of one front: its ledger, its timers, and its side of the decider's mailbox.
+"""The actor of one front: its ledger, its timers, and its side of the dispatcher's mailbox.
 
-The decider sees a Caller and a Carrier in one. What the ledger wants said goes to ``deliver`` in batches, in
-its order; whoever carries the stream passes it on.
+The dispatcher sees a Caller and a Carrier in one. What the ledger wants said goes to ``deliver`` in batches,
+in its order; whoever carries the stream passes it on.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 import asyncio
 from collections.abc import Callable, Iterable, Sequence
 
-from martentide.carriage import Ended, Order, Stood, Withdraw
-from martentide.codec.board import Listed
+from martentide.attempt_messages import Ended, Order, Stood, Withdraw
+from martentide.codec.discovery import Listed
 from martentide.extproc.ledger import (
     Carry,
     Decided,
@@ -30,8 +30,8 @@
     Wake,
 )
 from martentide.extproc.messages import ToFront
-from martentide.net.decider import Decider, GiveUp, Offer
-from martentide.net.endings import LOG
+from martentide.net.dispatcher import Dispatcher, GiveUp, Offer
+from martentide.net.close_reason import LOG
 from martentide.net.links import unix_ms
 
 UNREAD = 16  # frames of one stream that wait in the mailbox at most; then the stream is read no further
@@ -53,9 +53,9 @@
     """``trouble`` is told when the front breaks the protocol; its stream has to end then."""
 
     def __init__(
-        self, ledger: Ledger, decider: Decider, deliver: Deliver, trouble: Callable[[str], None]
+        self, ledger: Ledger, dispatcher: Dispatcher, deliver: Deliver, trouble: Callable[[str], None]
     ) -> None:
-        self.ledger, self.decider, self.deliver, self.trouble = ledger, decider, deliver, trouble
+        self.ledger, self.dispatcher, self.deliver, self.trouble = ledger, dispatcher, deliver, trouble
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Event | Sequence[Event]] = asyncio.Queue()
         self.timers: dict[tuple[int, str], asyncio.TimerHandle] = {}
@@ -64,7 +64,7 @@
         self.ended = False
         self.idle = asyncio.Event()
         self.idle.set()
-        self.tell(places(decider.listed.values()))
+        self.tell(places(dispatcher.listed.values()))
         self.task = self.loop.create_task(self._run(), name=f"front {ledger.front}")
 
     def tell(self, item: Event | Sequence[Event]) -> None:
@@ -131,7 +131,7 @@
                 if timer is not None:
                     timer.cancel()
             case Offered():
-                self.decider.post(
+                self.dispatcher.post(
                     Offer(
                         caller=self,
                         call=call_id(effect.key),
@@ -145,15 +145,15 @@
                     )
                 )
             case Left(key):
-                self.decider.post(GiveUp(call_id(key)))
+                self.dispatcher.post(GiveUp(call_id(key)))
             case Stood() | Ended():
-                self.decider.post(effect)
+                self.dispatcher.post(effect)
 
     def _due(self, key: int, kind: str) -> None:
         self.timers.pop((key, kind), None)
         self.tell(Due(key, kind))
 
-    # ---- what the decider says: Caller and Carrier --------------------------------------------------------
+    # ---- what the dispatcher says: Caller and Carrier -----------------------------------------------------
 
     def answer(self, call: bytes, description: bytes) -> None:
         """The front has said itself that the call stands."""
@@ -176,8 +176,8 @@
             self.tell(TakeBack(key, item.ref, item.attempt, item.hang_up))
 
     def _held(self, call: bytes) -> bool:
-        """Whether the decider answers later than in the event that put the question."""
-        return self.decider.asking != call
+        """Whether the dispatcher answers later than in the event that put the question."""
+        return self.dispatcher.asking != call
 
     def stream(self, event: Stream) -> None:
         self.tell(event)
--- a/martentide/net/extproc/host.py
+++ b/martentide/net/extproc/host.py
@@ -1,4 +1,4 @@
-"""What the services share: the decider, the limits, the sessions and the operator's terms in force."""
+"""What the services share: the dispatcher, the limits, the sessions and the operator's terms in force."""
 
 from __future__ import annotations
 
@@ -10,15 +10,17 @@
 from martentide.extproc.limits import Admission
 from martentide.extproc.sessions import Sessions
 from martentide.interface import Settings
-from martentide.net.decider import Decider
+from martentide.net.dispatcher import Dispatcher
 from martentide.extras import ExternalProcessor, StreamsNode
 
 
 class Host:
     """One for the program."""
 
-    def __init__(self, part: ExternalProcessor, settings: Settings, decider: Decider, seed: int) -> None:
-        self.part, self.settings, self.decider = part, settings, decider
+    def __init__(
+        self, part: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
+    ) -> None:
+        self.part, self.settings, self.dispatcher = part, settings, dispatcher
         self.loop = asyncio.get_running_loop()
         self.classes = {kind.name: kind for kind in settings.classes}
         top = max((kind.worth for kind in settings.classes), default=1.0)
--- a/martentide/net/extproc/server.py
+++ b/martentide/net/extproc/server.py
@@ -11,12 +11,12 @@
 import grpc
 from envoy.service.ext_proc.v3 import external_processor_pb2 as ep
 
-from martentide.codec.board import Listed
+from martentide.codec.discovery import Listed
 from martentide.decisions.v1 import decisions_pb2 as pb
 from martentide.extproc.ledger import Stream
 from martentide.interface import Settings
-from martentide.net.decider import Decider
-from martentide.net.endings import log_event
+from martentide.net.dispatcher import Dispatcher
+from martentide.net.close_reason import log_event
 from martentide.net.extproc.decisions import Decisions
 from martentide.net.extproc.envoy import ExternalProcessor as Envoy
 from martentide.net.extproc.front import Front, places
@@ -35,12 +35,14 @@
 class ExternalProcessorServer:
     """Built where the extras file turns the mode on; nothing of it is imported otherwise."""
 
-    def __init__(self, part: ExternalProcessor, settings: Settings, decider: Decider, seed: int) -> None:
+    def __init__(
+        self, part: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
+    ) -> None:
         self.part = part
-        self.host = Host(part, settings, decider, seed)
+        self.host = Host(part, settings, dispatcher, seed)
         self.decisions, self.envoy = Decisions(self.host), Envoy(self.host)
         self.port = 0
-        decider.watchers.append(self._list_changed)
+        dispatcher.list_observers.append(self._list_changed)
         options = (
             ("grpc.max_receive_message_length", part.streams.most_message_bytes),
             ("grpc.max_concurrent_streams", part.streams.most_streams),
--- a/martentide/net/fleet/agreed.py
+++ b/martentide/net/fleet/agreement_actor.py
@@ -1,5 +1,5 @@
 """The shell of agreement: words travel as the fleet's datagrams, a voter's books go to disk in a thread, and
-what is agreed on reaches the decisions through the decider. Part of the member's actor, which alone calls
+what is agreed on reaches the decisions through the dispatcher. Part of the member's actor, which alone calls
 it."""
 
 from __future__ import annotations
@@ -33,12 +33,9 @@
     Tell,
     Terms,
 )
+from martentide.agreement.fragments import Joiner, Splitter
 from martentide.agreement.lists import STATES, Book, Record
-from martentide.agreement.overlay import ANSWERED, InForce, check
-from martentide.agreement.parts import Joiner, Splitter
-from martentide.agreement.ruleset import RuleError, RuleSet, plain, read_rules, rules_from, write_rules
-from martentide.agreement.store import recover, write_kept
-from martentide.agreement.words import (
+from martentide.agreement.messages import (
     AGREED,
     FACET,
     FACET_END,
@@ -54,8 +51,11 @@
     write,
     write_told,
 )
-from martentide.codec.board import Listed, Notice
-from martentide.fleet.core import Core
+from martentide.agreement.overlay import ANSWERED, InForce, check
+from martentide.agreement.ruleset import RuleError, RuleSet, plain, read_rules, rules_from, write_rules
+from martentide.agreement.store import recover, write_kept
+from martentide.codec.discovery import Listed, Notice
+from martentide.fleet.core import Membership
 from martentide.fleet.events import Publish
 from martentide.interface import (
     AttemptEnded,
@@ -68,8 +68,8 @@
 )
 from martentide.learned.files import load, save
 from martentide.lifecycle.calls import VERSIONS, VOTERS
-from martentide.net.decider import Decider, Probing
-from martentide.net.endings import LOG, log_event
+from martentide.net.close_reason import LOG, log_event
+from martentide.net.dispatcher import Dispatcher, Probing
 from martentide.net.learned import DiskFolder
 
 if TYPE_CHECKING:
@@ -84,18 +84,18 @@
 REFRESH = 0.7  # of ANSWERED: a server that was not heard of for so long is tested, under safe rules
 
 
-class Agreed:
+class AgreementActor:
     """One member's agreement, from ``begin`` to ``end``; ``carry`` sends a part of a word to a member."""
 
     def __init__(
         self,
         part: AgreementPart,
         name: str,
-        decider: Decider,
+        dispatcher: Dispatcher,
         carry: Callable[[str, bytes], None],
-        known_members: Callable[[], Core | None],
+        known_members: Callable[[], Membership | None],
     ) -> None:
-        self.part, self.name, self.decider, self.carry = part, name, decider, carry
+        self.part, self.name, self.dispatcher, self.carry = part, name, dispatcher, carry
         self.known_members = known_members
         self.loop = asyncio.get_running_loop()
         self.core: Agreement | None = None
@@ -125,9 +125,9 @@
 
     async def begin(self, life: int, seed: int) -> None:
         """Read the books, where there are any; until the first lease the member acts by safe rules."""
-        self.decider.heard.append(self._overhear)
-        self.decider.before, self.decider.join_lists = self._still, self._join
-        self._join(Notice(0, False, tuple(self.decider.listed.values())))
+        self.dispatcher.event_observers.append(self._overhear)
+        self.dispatcher.before_each_item, self.dispatcher.merge_lists = self._still, self._join
+        self._join(Notice(0, False, tuple(self.dispatcher.listed.values())))
         self._enter(InForce(safe=True))
         kept, why = None, "no folder is set: what a voter knows ends with its process"
         if self.part.folder:  # also one that only learns: it may be made a voter, or have been
@@ -173,9 +173,9 @@
         for timer in (self.timer, self.looking):
             if timer is not None:
                 timer.cancel()
-        if self._overhear in self.decider.heard:
-            self.decider.heard.remove(self._overhear)
-        self.decider.before = self.decider.join_lists = None
+        if self._overhear in self.dispatcher.event_observers:
+            self.dispatcher.event_observers.remove(self._overhear)
+        self.dispatcher.before_each_item = self.dispatcher.merge_lists = None
         self.core = None
         self.queued.clear()
         if self.disk is not None:
@@ -285,7 +285,7 @@
 
     def _check(self, rules: bytes) -> str:
         try:
-            return check(read_rules(rules), self.decider.own_settings)
+            return check(read_rules(rules), self.dispatcher.local_settings)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             return f"it can't be read here: {error}"
 
@@ -293,7 +293,7 @@
         if (in_force.safe, in_force.rules) != (self.acts.safe, self.acts.rules):
             self.since = self._now()
         self.acts = in_force
-        self.decider.act_by(in_force)
+        self.dispatcher.apply_agreed_rules(in_force)
         if in_force.safe and self.looking is None and self.core is not None:
             self.looking = self.loop.call_later(SAFE_LOOK, self._look_safe)
 
@@ -308,20 +308,20 @@
             self._enter(InForce(safe=True, last=self.last))
 
     def _overhear(self, at: float, event: Event) -> None:
-        """In the decider's turn: which servers answered, for safe rules."""
+        """In the dispatcher's turn: which servers answered, for safe rules."""
         match event:
             case Stands(server=server):
-                self.decider.answered_by[server] = self.loop.time()
+                self.dispatcher.last_answer_at[server] = self.loop.time()
             case (
                 ProbeEnded(server, Ending.DELIVERED)
                 | AttemptEnded(server=server, ending=Ending.DELIVERED | Ending.FULL)
             ):
-                self.decider.answered_by[server] = self.loop.time()
+                self.dispatcher.last_answer_at[server] = self.loop.time()
             case _:
                 return
-        if len(self.decider.answered_by) > 2 * len(self.decider.servers) + 64:
-            for name in [one for one in self.decider.answered_by if one not in self.decider.servers]:
-                del self.decider.answered_by[name]
+        if len(self.dispatcher.last_answer_at) > 2 * len(self.dispatcher.servers) + 64:
+            for name in [one for one in self.dispatcher.last_answer_at if one not in self.dispatcher.servers]:
+                del self.dispatcher.last_answer_at[name]
 
     def _look_safe(self) -> None:
         """Under safe rules: test what was not heard of, and use what answered."""
@@ -329,17 +329,17 @@
         if self.core is None or not self.acts.safe:
             return
         now = self.loop.time()
-        for name, actor in self.decider.servers.items():
-            if (now - self.decider.answered_by.get(name, -1e9)) * 1000.0 > REFRESH * ANSWERED:
+        for name, actor in self.dispatcher.servers.items():
+            if (now - self.dispatcher.last_answer_at.get(name, -1e9)) * 1000.0 > REFRESH * ANSWERED:
                 actor.post(Probing())
-        self.decider.list_again()
+        self.dispatcher.refresh_listed_states()
         self.looking = self.loop.call_later(SAFE_LOOK, self._look_safe)
 
     # ---- lists ------------------------------------------------------------------------------------------
 
     def _join(self, notice: Notice) -> Notice:
-        """In the decider's turn: what the own board tells, joined with what others heard. A state that goes
-        back is none; a whole list takes away only what this board told of itself."""
+        """In the dispatcher's turn: what the own board tells, joined with what others heard. A state that
+        goes back is none; a whole list takes away only what this board told of itself."""
         if self.joining:
             return notice
         records = [record_of(listed) for listed in notice.servers]
@@ -358,25 +358,25 @@
             log_event("fleet-list", changes=len(new), digest=f"{self.book.digest():08x}")
             self.joining = True
             try:
-                self.decider.follow(Notice(0, False, tuple(map(self._listed, new))))
+                self.dispatcher.apply_list(Notice(0, False, tuple(map(self._listed, new))))
             finally:
                 self.joining = False
 
     def _listed(self, record: Record) -> Listed:
         """Another's word on a start that is known here changes its state only: each is told its own way
         there."""
-        found, known = listed_of(record), self.decider.listed.get(record.name)
+        found, known = listed_of(record), self.dispatcher.listed.get(record.name)
         if known is not None and record_of(known).start == record.start:
             return dataclasses.replace(found, host=known.host, port=known.port)
         return found
 
-    def look(self, core: Core) -> list[Publish]:
+    def look(self, core: Membership) -> list[Publish]:
         """With each look of the member: what others tell of their lists, and the own word where it is new."""
         if self.core is None or core.silent:
             return []
         now, digest = self._now(), self.book.digest()
         apart = []
-        for word, facet, _ in core.facets_of(FACET, now):
+        for word, facet, _ in core.state_entries_of(FACET, now):
             try:
                 told = read_told(facet.body)
             except (msgspec.DecodeError, msgspec.ValidationError):
@@ -422,7 +422,7 @@
             return 400, f"expected JSON with rules, base, by, why: {error}"
         except RuleError as error:
             return 400, str(error)
-        if (no := check(rules, self.decider.own_settings)) != "":
+        if (no := check(rules, self.dispatcher.local_settings)) != "":
             return 400, f"{said.get('file') or 'rules'}: {no}"
         return 202, self.propose(rules, base, by, why)
 
@@ -451,7 +451,7 @@
         try:
             with open(self.part.rules, "rb") as file:
                 rules = rules_from(json.load(file), self.part.rules)
-            no = check(rules, self.decider.own_settings)
+            no = check(rules, self.dispatcher.local_settings)
         except (OSError, ValueError, RuleError) as error:
             no = str(error)
         if no:
@@ -469,7 +469,7 @@
         heard: list[tuple[str, Told, float]] = []
         if self.told is not None:
             heard.append((self.name, self.told, now - self.since))
-        for word, facet, age in core.facets_of(FACET, now) if core is not None else ():
+        for word, facet, age in core.state_entries_of(FACET, now) if core is not None else ():
             try:
                 told = read_told(facet.body)
             except (msgspec.DecodeError, msgspec.ValidationError):
--- a/martentide/net/fleet/member.py
+++ b/martentide/net/fleet/member.py
@@ -1,4 +1,4 @@
-"""The actor of the fleet: owns the core and the duty of testing, and speaks with the decider by messages.
+"""The actor of the fleet: owns the core and the duty of testing, and speaks with the dispatcher by messages.
 
 Datagrams come into its mailbox, which has a bound: a flood costs a counter. It has one timer for the core and
 one for its looks at the duty.
@@ -14,8 +14,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from martentide.fleet.core import Core
-from martentide.fleet.duty import SCHEMA, Duty, look
+from martentide.fleet.core import Membership
 from martentide.fleet.events import (
     Action,
     Address,
@@ -33,17 +32,18 @@
     TableFull,
 )
 from martentide.fleet.events import Event as CoreEvent
-from martentide.fleet.wire import Frame, State, Unreadable
+from martentide.fleet.health_check_assignment import SCHEMA, HealthCheckAssignment, look
+from martentide.fleet.wire import DatagramError, Frame, State
 from martentide.interface import AttemptEnded, Event, ProbeEnded, RepeatBudget, Settings, Stands
-from martentide.net.decider import Decider, Probing
+from martentide.net.close_reason import LOG, log_event
+from martentide.net.dispatcher import Dispatcher, Probing
 from martentide.net.due_timer import DueTimer
-from martentide.net.endings import LOG, log_event
 from martentide.overload import core as overload
 from martentide.overload.level import Phase
 
 if TYPE_CHECKING:
     from martentide.extras import Fleet as FleetPart
-    from martentide.net.fleet.agreed import Agreed
+    from martentide.net.fleet.agreement_actor import AgreementActor
 
 MOST_WAITING = 512  # items in the mailbox; more is dropped, as a full socket buffer would
 AT_A_TIME = 32  # items taken before the rest of the program has its turn
@@ -86,26 +86,26 @@
 class Member:
     """This proxy as a member of its fleet; ``rejoin`` after ``retire`` makes it one anew."""
 
-    def __init__(self, part: FleetPart, name: str, decider: Decider, seed: int) -> None:
-        self.part, self.name, self.decider, self.seed = part, name, decider, seed
+    def __init__(self, part: FleetPart, name: str, dispatcher: Dispatcher, seed: int) -> None:
+        self.part, self.name, self.dispatcher, self.seed = part, name, dispatcher, seed
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MOST_WAITING)
         self.counts: Counter[str] = Counter()
         self.said: Counter[str] = Counter()  # as of the last line about them
         self.said_at = 0.0
         self.frame = Frame(part.name, part.secret)
-        self.duty = Duty(name, part.zone)
+        self.health_checks = HealthCheckAssignment(name, part.zone)
         self.overload: overload.Overload | None = None
         self.settings: Settings | None = None  # those that the overload part knows
         self.phase = Phase.NORMAL  # as of the last line about it
-        self.core: Core | None = None
+        self.core: Membership | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.timer = DueTimer(lambda: self.post(Tick()))
         self.looking: asyncio.TimerHandle | None = None
-        self.agreed: Agreed | None = None
+        self.agreement: AgreementActor | None = None
         self.lives = 0
         self.wanted = False
-        decider.heard.append(self._overhear)
+        dispatcher.event_observers.append(self._overhear)
 
     # ---- life -------------------------------------------------------------------------------------------
 
@@ -137,7 +137,7 @@
         self.lives += 1
         address: Address = self.part.advertise or (own[0], own[1])
         seed = self.seed ^ (self.lives << 64) ^ int(self.loop.time() * 1e9)
-        self.core = Core(
+        self.core = Membership(
             self.name,
             self.part.zone,
             address,
@@ -148,7 +148,7 @@
             secrets.randbits(62) + 1,
         )
         if self.part.overload:
-            self.settings = self.decider.controller.settings
+            self.settings = self.dispatcher.controller.settings
             self.phase = Phase.NORMAL
             self.overload = overload.Overload(
                 self.name, self.core.me.life, *self._overload_terms(self.settings), seed=seed
@@ -158,11 +158,13 @@
             advertise=f"{address[0]}:{address[1]}", life=self.core.me.life, zone=self.part.zone,
         )  # fmt: skip
         if self.part.agreement is not None:
-            from martentide.net.fleet.agreed import Agreed
+            from martentide.net.fleet.agreement_actor import AgreementActor
 
-            self.agreed = Agreed(self.part.agreement, self.name, self.decider, self._carry, lambda: self.core)
-            await self.agreed.begin(self.core.me.life, seed)
-            if self.core is None or self.agreed is None:
+            self.agreement = AgreementActor(
+                self.part.agreement, self.name, self.dispatcher, self._carry, lambda: self.core
+            )
+            await self.agreement.begin(self.core.me.life, seed)
+            if self.core is None or self.agreement is None:
                 return  # retired while it read its books
         self._arm()
         self.looking = self.loop.call_later(LOOK / 1000.0, self._post_look)
@@ -175,13 +177,13 @@
             self.looking.cancel()
         if self.transport is not None:
             self.transport.close()
-        if self.agreed is not None:
-            self.agreed.end()
-            self.agreed = None
+        if self.agreement is not None:
+            self.agreement.end()
+            self.agreement = None
         if self.core is not None:
             log_event("fleet-retired")
         if self.overload is not None:
-            self.decider.post(RepeatBudget(LAST_REPEATS, LAST_LIFE))
+            self.dispatcher.post(RepeatBudget(LAST_REPEATS, LAST_LIFE))
             self.overload = None
         self.core = self.transport = self.looking = None
 
@@ -228,7 +230,7 @@
                 self._look()
                 self.looking = self.loop.call_later(LOOK / 1000.0, self._post_look)
             case Seen(at, event):
-                self.duty.observe(at, event)
+                self.health_checks.observe(at, event)
 
     def _arm(self) -> None:
         assert self.core is not None
@@ -245,7 +247,7 @@
         self.counts["received_bytes"] += len(data)
         try:
             said = self.frame.read(data)
-        except Unreadable as error:
+        except DatagramError as error:
             self._passed_over(error.why.value)
             return
         self._feed(Heard(said))
@@ -292,8 +294,8 @@
             case Learned():
                 self.counts["facets"] += 1
             case Carried(sender, body):
-                if self.agreed is not None:
-                    self.agreed.heard(sender.name, body)
+                if self.agreement is not None:
+                    self.agreement.heard(sender.name, body)
             case Displaced(by):
                 LOG.error(
                     "fleet-displaced", member=by.name, address=f"{by.host}:{by.port}", life=by.life,
@@ -307,8 +309,8 @@
 
     def hang_up(self) -> None:
         """SIGHUP: rules that the extras file names are proposed."""
-        if self.agreed is not None:
-            self.agreed.propose_file()
+        if self.agreement is not None:
+            self.agreement.propose_file()
 
     def _carry(self, to: str, body: bytes) -> None:
         """A part of a word of agreement, for one member."""
@@ -319,11 +321,11 @@
     # ---- duty of testing --------------------------------------------------------------------------------
 
     def _overhear(self, at: float, event: Event) -> None:
-        """Runs in the decider's turn: only counts, and posts only of servers that somebody doubts."""
+        """Runs in the dispatcher's turn: only counts, and posts only of servers that somebody doubts."""
         if self.overload is not None:
             self.overload.observe(self._now(), event)
         if isinstance(event, (ProbeEnded, Stands, AttemptEnded)) and (
-            event.server in self.duty.watched and self.core is not None
+            event.server in self.health_checks.watched and self.core is not None
         ):
             self.post(Seen(self._now(), event))
 
@@ -331,38 +333,38 @@
         core = self.core
         assert core is not None
         now = self._now()
-        outlook, bad = look(core, self.duty, now, self.decider.controller.servers)
+        outlook, bad = look(core, self.health_checks, now, self.dispatcher.controller.servers)
         if bad:
             self._passed_over("malformed")
         for kind, end, body in outlook.facets:
             self._feed(Publish(kind, SCHEMA, end, body))
         for event in outlook.events:
-            self.decider.post(event)
+            self.dispatcher.post(event)
         for name in outlook.tests:
-            if (actor := self.decider.servers.get(name)) is not None:
+            if (actor := self.dispatcher.servers.get(name)) is not None:
                 actor.post(Probing())
         if self.overload is not None:
             self._handle_overload(core, self.overload, now)
-        if self.agreed is not None:
-            for word in self.agreed.look(core):
+        if self.agreement is not None:
+            for word in self.agreement.look(core):
                 self._feed(word)
 
     def _overload_terms(self, settings: Settings) -> tuple[dict[str, float], float, float]:
         worths = {kind.name: kind.worth for kind in settings.classes}
-        return worths, settings.max_hold_off, self.decider.controller.tolerable
+        return worths, settings.max_hold_off, self.dispatcher.controller.tolerable
 
-    def _handle_overload(self, core: Core, part: overload.Overload, now: float) -> None:
-        controller = self.decider.controller
+    def _handle_overload(self, core: Membership, part: overload.Overload, now: float) -> None:
+        controller = self.dispatcher.controller
         if controller.settings is not self.settings:
             self.settings = controller.settings
             part.settle(*self._overload_terms(self.settings))
-        limited = self.decider.now < controller.repeats_until < math.inf
+        limited = self.dispatcher.now < controller.repeats_until < math.inf
         purse = controller.repeats if limited else 0.0
         outcome, bad = overload.look(core, part, now, controller.servers, purse)
         if bad:
             self._passed_over("malformed")
         for one in outcome.events:
-            self.decider.post(one)
+            self.dispatcher.post(one)
         if outcome.word is not None and not core.silent:
             self._feed(Publish(overload.LOAD, overload.SCHEMA, overload.END, outcome.word))
         if part.level.phase is not self.phase:
@@ -388,9 +390,10 @@
                 for kind, one in sorted(member.facets.items())
             ]  # fmt: skip
             members.append(
-                {"name": member.word.name, "zone": member.word.zone, "state": member.state.name.lower(),
-                 "address": f"{member.word.host}:{member.word.port}", "generation": member.word.generation,
-                 "incarnation": member.word.incarnation, "heard": round(core.own - member.heard),
+                {"name": member.record.name, "zone": member.record.zone, "state": member.state.name.lower(),
+                 "address": f"{member.record.host}:{member.record.port}",
+                 "generation": member.record.generation,
+                 "incarnation": member.record.incarnation, "heard": round(core.own - member.heard),
                  "since": round(core.own - member.since), "accusers": sorted(member.accusers),
                  "facets": facets}
             )  # fmt: skip
@@ -401,6 +404,6 @@
              "counts": dict(self.counts + core.counts),
              "overload": None if self.overload is None else self.overload.status(now),
              "members": sorted(members, key=lambda m: str(m["name"])),
-             "tests_left_to_others": sorted(self.duty.last_duty.no_tests),
-             "trials_left_to_others": sorted(self.duty.last_duty.no_trials)}
+             "tests_left_to_others": sorted(self.health_checks.last_duty.no_tests),
+             "trials_left_to_others": sorted(self.health_checks.last_duty.no_trials)}
         )  # fmt: skip
--- a/martentide/net/fleet/show.py
+++ b/martentide/net/fleet/show.py
@@ -12,49 +12,49 @@
 LIMIT = 3.0  # s
 
 
-class AskError(Exception):
+class QueryError(Exception):
     """The proxy can't be asked, or is no member; the text is one line."""
 
 
-def ask(operator: str, path: str = FLEET, body: bytes | None = None) -> str:
+def query(operator: str, path: str = FLEET, body: bytes | None = None) -> str:
     """What the proxy whose operator's calls come in there says to that call: its status as JSON, where none
-    is named. Raises AskError."""
+    is named. Raises QueryError."""
     host, colon, port = operator.rpartition(":")
     if not colon or not host or not port.isdecimal():
-        raise AskError("expected HOST:PORT")
+        raise QueryError("expected HOST:PORT")
     connection = http.client.HTTPConnection(host, int(port), timeout=LIMIT)
     try:
         connection.request("GET" if body is None else "POST", path, body)
         answer = connection.getresponse()
         text = answer.read().decode()
     except (OSError, http.client.HTTPException) as error:
-        raise AskError(str(error) or type(error).__name__) from None
+        raise QueryError(str(error) or type(error).__name__) from None
     finally:
         connection.close()
     if answer.status not in (200, 202):
-        raise AskError(text.strip())
+        raise QueryError(text.strip())
     return text.strip()
 
 
 def propose(operator: str, said: dict[str, Any], patience: float, path: str = PROPOSE) -> dict[str, Any]:
     """Propose a version there (or what ``path`` takes) and wait for its verdict, for so many s; raises
-    AskError."""
-    number = ask(operator, path, json.dumps(said).encode())
+    QueryError."""
+    number = query(operator, path, json.dumps(said).encode())
     end = time.monotonic() + patience
     while time.monotonic() < end:
-        verdict: dict[str, Any] | None = json.loads(ask(operator, VERSIONS))["verdicts"].get(number)
+        verdict: dict[str, Any] | None = json.loads(query(operator, VERSIONS))["verdicts"].get(number)
         if verdict is not None:
             return verdict
         time.sleep(0.1)
-    raise AskError(f"nothing is known of it after {patience:g} s")
+    raise QueryError(f"nothing is known of it after {patience:g} s")
 
 
 def rules_of(said: dict[str, Any], number: int) -> dict[str, Any]:
-    """The rules of a version that is in force or was of late; raises AskError."""
+    """The rules of a version that is in force or was of late; raises QueryError."""
     found: dict[str, Any] | None = said["rules"].get(str(number))
     if found is None:
         known = ", ".join(name for name, rules in said["rules"].items() if rules) or "none"
-        raise AskError(f"version {number}: expected one whose rules are kept ({known})")
+        raise QueryError(f"version {number}: expected one whose rules are kept ({known})")
     return found
 
 
--- a/martentide/net/handover.py
+++ b/martentide/net/handover.py
@@ -25,8 +25,8 @@
     read_frame,
     write_frame,
 )
+from martentide.net.close_reason import CloseReason, log_connection_closed, log_event
 from martentide.net.config import Address
-from martentide.net.endings import Reason, log_ended, log_event
 
 HELLO_LIMIT = 1.0  # s for the first word of either side
 MOST_QUEUED = 16 * 1024 * 1024  # bytes of frames that wait for the other process, before it is given up
@@ -70,7 +70,7 @@
         if len(self.queue) == 1:
             self._flush()
         if self.queued > MOST_QUEUED:
-            self.close(Reason.BLOCKED)
+            self.close(CloseReason.BLOCKED)
 
     def _flush(self) -> None:
         try:
@@ -85,7 +85,7 @@
             self.loop.add_writer(self.sock, self._flush)
             return
         except OSError as error:
-            self.close(Reason.PEER_RESET, str(error))
+            self.close(CloseReason.PEER_RESET, str(error))
             return
         self.loop.remove_writer(self.sock)
 
@@ -101,17 +101,17 @@
         try:
             raw, descriptors, _, _ = socket.recv_fds(self.sock, MOST_FRAME, FDS)
             if not raw:
-                self.close(Reason.PEER_CLOSED)
+                self.close(CloseReason.PEER_CLOSED)
                 return
             self.heard.put_nowait((read_frame(raw), descriptors[0] if descriptors else None))
         except BlockingIOError:
             return
         except HandoverError as error:
-            self.close(Reason.MALFORMED, str(error))
+            self.close(CloseReason.MALFORMED, str(error))
         except OSError as error:
-            self.close(Reason.PEER_RESET, str(error))
+            self.close(CloseReason.PEER_RESET, str(error))
 
-    def close(self, reason: Reason = Reason.SHUTDOWN, detail: str = "") -> None:
+    def close(self, reason: CloseReason = CloseReason.SHUTDOWN, detail: str = "") -> None:
         if not self.alive:
             return
         self.alive = False
@@ -122,7 +122,7 @@
             if descriptor is not None:
                 os.close(descriptor)
         self.queue.clear()
-        log_ended("upgrade", self.role, reason, detail)
+        log_connection_closed("upgrade", self.role, reason, detail)
         self.heard.put_nowait(None)
 
 
@@ -166,7 +166,7 @@
         async with asyncio.timeout(HELLO_LIMIT):
             heard = await channel.heard.get()
     except TimeoutError:
-        channel.close(Reason.SILENT)
+        channel.close(CloseReason.SILENT)
         raise Refusal("the process in service does not answer") from None
     match heard:
         case (Welcome(links), int(descriptor)):
@@ -174,7 +174,7 @@
         case (TurnedAway(reason), _):
             channel.close()
             raise Refusal(reason)
-    channel.close(Reason.MALFORMED)
+    channel.close(CloseReason.MALFORMED)
     raise Refusal("the process in service ended as it was asked")
 
 
@@ -231,7 +231,7 @@
             except TimeoutError:
                 heard = None
             if heard is None or not isinstance(heard[0], Hello):
-                channel.close(Reason.MUTE)
+                channel.close(CloseReason.MUTE)
             elif heard[0].version != VERSION:
                 channel.send(TurnedAway(f"version {VERSION} is in service, {heard[0].version} asks"))
                 channel.close()
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -26,8 +26,8 @@
 from martentide.learned.restore import Hints, restore
 from martentide.learned.schema import Learned
 from martentide.learned.snapshot import Snapshots
-from martentide.net.decider import Decider
-from martentide.net.endings import LOG, log_event
+from martentide.net.close_reason import LOG, log_event
+from martentide.net.dispatcher import Dispatcher
 from martentide.net.links import unix_ms
 
 LOCK = "lock"
@@ -149,8 +149,10 @@
 class Store:
     """The actor. ``start`` reads what is there before the program serves; then it saves until its end."""
 
-    def __init__(self, folder: str, pace: Pace, settings: Settings, decider: Decider, seed: int) -> None:
-        self.path, self.decider, self.dice = folder, decider, random.Random(seed)
+    def __init__(
+        self, folder: str, pace: Pace, settings: Settings, dispatcher: Dispatcher, seed: int
+    ) -> None:
+        self.path, self.dispatcher, self.dice = folder, dispatcher, random.Random(seed)
         self.print = fingerprint(settings)
         self.pacing = Pacing(pace)
         self.loop = asyncio.get_running_loop()
@@ -187,7 +189,7 @@
         if decision.state is None:
             log_event("state-start", start=decision.start.value, load_ms=load_ms)
             return decision
-        controller = self.decider.controller
+        controller = self.dispatcher.controller
         counts, self.hints = restore(controller, decision.state, now, self.dice)
         log_event(
             "state-start",
@@ -203,7 +205,7 @@
             cold=counts.cold,
             redials=counts.redials,
         )
-        self.decider.heard.append(self._heard)
+        self.dispatcher.event_observers.append(self._heard)
         return decision
 
     def _list_changed(self, _: object) -> None:
@@ -240,9 +242,9 @@
 
     def _heard(self, now: float, event: Event) -> None:
         assert self.hints is not None
-        self.hints.heard(now, event, self.decider.controller)
+        self.hints.heard(now, event, self.dispatcher.controller)
         if self.hints.over:
-            self.decider.heard.remove(self._heard)
+            self.dispatcher.event_observers.remove(self._heard)
 
     # ---- saving -------------------------------------------------------------------------------------------
 
@@ -251,7 +253,7 @@
         self.mailbox.put_nowait(Moved(folder, pace))
 
     async def run(self) -> None:
-        self.decider.watchers.append(self._list_changed)
+        self.dispatcher.list_observers.append(self._list_changed)
         self._look_at(unix_ms())
         while True:
             item = await self.mailbox.get()
@@ -278,7 +280,7 @@
     async def _begin(self, now: float) -> None:
         """Take a snapshot, slice by slice, and hand it to the thread."""
         whole: Learned | None = None
-        slices = self.snapshots.slices(self.decider.controller, now)
+        slices = self.snapshots.slices(self.dispatcher.controller, now)
         while whole is None:
             whole = next(slices)
             await asyncio.sleep(0)
--- a/martentide/net/links.py
+++ b/martentide/net/links.py
@@ -15,10 +15,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from martentide.carriage import Presence
+from martentide.attempt_messages import Presence
 from martentide.codec import CodecError
 from martentide.codec.messages import MOST_BYTES, Message, read_message, split
-from martentide.net.endings import Reason, log_ended
+from martentide.net.close_reason import CloseReason, log_connection_closed
 
 UNREAD = 64  # messages of one link that wait in its actor's mailbox at most; then the link reads no more
 MOST_UNSENT = 256 * 1024  # bytes that wait for a peer that does not read, before its link is given up
@@ -44,7 +44,7 @@
     """A link is over; nothing more comes from it."""
 
     link: Link
-    reason: Reason
+    reason: CloseReason
 
 
 class Link:
@@ -63,7 +63,7 @@
         self.reader, self.writer = streams
         self.loop = asyncio.get_running_loop()
         self.opened_at = self.heard_at = self.loop.time()
-        self.ended_by: Reason | None = None
+        self.ended_by: CloseReason | None = None
         self.credit = asyncio.Semaphore(UNREAD)
         self.begun = bytearray(begun)  # of a message that is not whole yet
         self.read_bytes = len(self.begun)
@@ -72,7 +72,7 @@
         self.taken_bytes = 0
         self.listeners: deque[tuple[int, Callable[[], None]]] = deque()  # told once so much was taken
         self.watch: asyncio.TimerHandle | None = None
-        self.pump_end, self.pump_detail = Reason.SHUTDOWN, ""  # as a pump that never began has ended
+        self.pump_end, self.pump_detail = CloseReason.SHUTDOWN, ""  # as a pump that never began has ended
         self.task = self.loop.create_task(self._pump(), name=f"link {role} {peer}")
         self.task.add_done_callback(self._pump_ended)
 
@@ -93,20 +93,20 @@
 
     async def _pump(self) -> None:
         """Read until the link's end, and leave its reason behind for ``_pump_ended``."""
-        self.pump_end = Reason.INTERNAL
+        self.pump_end = CloseReason.INTERNAL
         try:
             await self._post_messages()
-            self.pump_end = Reason.TRUNCATED if self.begun else Reason.PEER_CLOSED
+            self.pump_end = CloseReason.TRUNCATED if self.begun else CloseReason.PEER_CLOSED
         except TimeoutError:
-            self.pump_end = Reason.STALLED
+            self.pump_end = CloseReason.STALLED
         except CodecError as error:
-            self.pump_end, self.pump_detail = Reason.MALFORMED, str(error)
+            self.pump_end, self.pump_detail = CloseReason.MALFORMED, str(error)
         except (ConnectionResetError, BrokenPipeError):
-            self.pump_end = Reason.PEER_RESET
+            self.pump_end = CloseReason.PEER_RESET
         except OSError as error:
-            self.pump_end, self.pump_detail = Reason.IO_ERROR, str(error)
+            self.pump_end, self.pump_detail = CloseReason.IO_ERROR, str(error)
         except asyncio.CancelledError:
-            self.pump_end = Reason.SHUTDOWN
+            self.pump_end = CloseReason.SHUTDOWN
             raise
         except Exception as error:  # one bad peer must not take the program down
             self.pump_detail = repr(error)
@@ -137,7 +137,9 @@
         """
         self.close(self.pump_end)
         reason = self.ended_by or self.pump_end
-        log_ended(self.role, self.peer, reason, self.pump_detail if reason is self.pump_end else "")
+        log_connection_closed(
+            self.role, self.peer, reason, self.pump_detail if reason is self.pump_end else ""
+        )
         self.post(LinkEnded(self, reason))
 
     @property
@@ -155,7 +157,7 @@
         """Messages that were read and that the actor has not taken yet."""
         return len(self.ends)
 
-    # ---- the peer as who offered a call (carriage.Client) -----------------------------------------------
+    # ---- the peer as who offered a call (attempt_messages.Client) ---------------------------------------
 
     def look(self) -> Presence:
         """Whether the peer is still there, asked of the system itself.
@@ -165,7 +167,7 @@
         bytes that are not read yet, on a link that reads no more. The end of the peer's sending side counts
         as its end: a half-close can't be told from a close.
         """
-        if self.ended_by is Reason.HANDED_OVER:
+        if self.ended_by is CloseReason.HANDED_OVER:
             return Presence.HERE  # as far as this process can tell: its end is the successor's to tell
         if not self.alive or self.writer.is_closing() or self.reader.at_eof() or self._ended_unread():
             return Presence.LEFT
@@ -238,20 +240,20 @@
             return
         self.writer.write(data)
         if self.writer.transport.get_write_buffer_size() > MOST_UNSENT:
-            self.close(Reason.BLOCKED)
+            self.close(CloseReason.BLOCKED)
         elif self.blocked and self.watch is None:
             self.watch = self.loop.call_later(WRITE_LIMIT, self._still_blocked)
 
     def _still_blocked(self) -> None:
         self.watch = None
         if self.blocked:
-            self.close(Reason.BLOCKED)
+            self.close(CloseReason.BLOCKED)
 
     def hand_over(self) -> None:
         """Leave the connection to another process, which has its descriptor: nothing is sent, nor an end."""
         if self.ended_by is not None:
             return
-        self.ended_by = Reason.HANDED_OVER
+        self.ended_by = CloseReason.HANDED_OVER
         if self.watch is not None:
             self.watch.cancel()
         while self.listeners:
@@ -259,7 +261,7 @@
         self.task.cancel()
         self.writer.transport.abort()
 
-    def close(self, reason: Reason) -> None:
+    def close(self, reason: CloseReason) -> None:
         """End the link; the first reason given is the one that is logged."""
         if self.ended_by is not None:
             return
--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -1,6 +1,7 @@
 """One actor for each session server: its connections, the set-ups and calls there, and its tests.
 
-The actor hears everything through its mailbox, in order: the decider's orders, what links read, its timers.
+The actor hears everything through its mailbox, in order: the dispatcher's orders, what links read, its
+timers.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from martentide.carriage import ClientLeft, Ended, Heard, Order, Presence, Stood, Withdraw
+from martentide.attempt_messages import ClientLeft, Ended, Heard, Order, Presence, Stood, Withdraw
 from martentide.codec import CodecError
-from martentide.codec.board import Listed
+from martentide.codec.discovery import Listed
 from martentide.codec.figures import read_report
 from martentide.codec.messages import Cause, Code, Message, Type, write_message, write_release
 from martentide.interface import Ending, ProbeEnded, Report, ServerState
 from martentide.net.call_trace import CALL_TRACE, CallStep
-from martentide.net.decider import Probing, Settle
-from martentide.net.endings import LOG, Reason, log_ended
+from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
+from martentide.net.dispatcher import Probing, Settle
 from martentide.net.links import Link, LinkEnded, Received, unix_ms
 
 MOST_LINKS = 4  # to one server: so many get its group state
@@ -75,7 +76,7 @@
 @dataclass(frozen=True, slots=True)
 class Dialled:
     streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None
-    reason: Reason | None
+    reason: CloseReason | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,7 +110,7 @@
 
 
 class Server:
-    """The actor of one session server; ``tell`` is the decider's mailbox."""
+    """The actor of one session server; ``tell`` is the dispatcher's mailbox."""
 
     def __init__(
         self,
@@ -300,7 +301,7 @@
                 way.doubted = True
         if self.ways and all(way.doubted for way in self.ways):
             if len(self.ways) >= MOST_LINKS:
-                self.ways[0].link.close(Reason.SILENT)
+                self.ways[0].link.close(CloseReason.SILENT)
             self._dial()
 
     def _withdraw(self, item: Withdraw) -> None:
@@ -317,7 +318,7 @@
         self._end(held, Ending.CANCELLED)
 
     def _give_up(self, held: Held) -> None:
-        """Written before the decider hears of the end, and remembered against late words on that link."""
+        """Written before the dispatcher hears of the end, and remembered against late words on that link."""
         if held.link is not None:
             held.link.write(write_release(held.order.call, Cause.NORMAL))
             for way in self.ways:
@@ -454,13 +455,13 @@
             self.post(Dialled(streams, None))
             return
         except TimeoutError:
-            reason = Reason.DIAL_TIMEOUT
+            reason = CloseReason.DIAL_TIMEOUT
         except ConnectionRefusedError:
-            reason = Reason.DIAL_REFUSED
+            reason = CloseReason.DIAL_REFUSED
         except OSError as error:
             self.short(error)
-            reason, detail = Reason.DIAL_ERROR, str(error)
-        log_ended("server", self.name, reason, detail)
+            reason, detail = CloseReason.DIAL_ERROR, str(error)
+        log_connection_closed("server", self.name, reason, detail)
         self.post(Dialled(None, reason))
 
     def _dialled(self, item: Dialled) -> None:
@@ -470,7 +471,7 @@
             if not self.ways:  # beside a silent link only a word proves that the server is there
                 self.heard_at, self.asked_at = self.loop.time(), None
             if self.listed.entry.state is ServerState.GONE:
-                link.close(Reason.SERVER_GONE)
+                link.close(CloseReason.SERVER_GONE)
             self.ways.append(Way(link))
             for release in self.owed.values():
                 link.write(release)
@@ -483,7 +484,7 @@
         for number, test in list(self.tests.items()):
             if test[2] is None:
                 self._end_test(number, Ending.UNREACHABLE, None)
-        if item.reason is Reason.DIAL_REFUSED and not self.ways:
+        if item.reason is CloseReason.DIAL_REFUSED and not self.ways:
             self._cut_standing()  # no process listens there: the one that held them is no more
         self._redial_later()
 
@@ -491,11 +492,11 @@
         if self.redial is None and self.listed.entry.state is not ServerState.GONE:
             self.redial = self.loop.call_later(random.uniform(*REDIAL_AFTER), self.post, RedialDue())
 
-    def _link_ended(self, link: Link, reason: Reason) -> None:
+    def _link_ended(self, link: Link, reason: CloseReason) -> None:
         self.ways = [way for way in self.ways if way.link is not link]
-        given_up = reason in (Reason.BLOCKED, Reason.SILENT)
+        given_up = reason in (CloseReason.BLOCKED, CloseReason.SILENT)
         for held in [h for h in self.held.values() if h.link is link and not h.stands]:
-            if reason not in (Reason.SERVER_GONE, Reason.REPLACED):
+            if reason not in (CloseReason.SERVER_GONE, CloseReason.REPLACED):
                 # The server may have answered and hold the call: what could not be read may have said so.
                 self._release(held)
             self._end(held, Ending.TIMED_OUT if given_up else Ending.CUT)
@@ -532,7 +533,7 @@
                 self.owed[held.order.call] = write_release(held.order.call, Cause.NORMAL)
                 self._end(held, Ending.CUT)
             for way in self.ways:
-                way.link.close(Reason.SILENT)
+                way.link.close(CloseReason.SILENT)
         elif again <= 0 and self.held:
             if asked := self.asked_at is not None:
                 for way in self.ways:
@@ -545,7 +546,7 @@
         if any(way.link.heard_at > way.link.opened_at and not way.doubted for way in self.ways):
             for way in self.ways:  # the server is there: what stays silent is of no use
                 if way.doubted and now - way.link.heard_at >= LOST_AFTER:
-                    way.link.close(Reason.SILENT)
+                    way.link.close(CloseReason.SILENT)
         self.quiet = self.loop.call_later(max(TEST_AGAIN, again), self.post, QuietDue())
 
     def _ask(self) -> None:
@@ -567,11 +568,11 @@
             for number in list(self.tests):
                 self._end_test(number, Ending.UNREACHABLE, None)
             for way in self.ways:
-                way.link.close(Reason.SERVER_GONE)
+                way.link.close(CloseReason.SERVER_GONE)
         elif restarted and listed.entry.started is not None:
             # The word comes late: links and calls of the new process may be here already, and they stay.
             start = self.loop.time() - (unix_ms() - listed.entry.started) / 1000.0
             for way in self.ways:
                 if way.link.opened_at < start:
-                    way.link.close(Reason.REPLACED)
+                    way.link.close(CloseReason.REPLACED)
             self._cut_standing(before=start)
--- a/martentide/net/service.py
+++ b/martentide/net/service.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from martentide.carriage import Ended, Heard, Order, Withdraw
-from martentide.codec.board import Listed, Notice
+from martentide.attempt_messages import Ended, Heard, Order, Withdraw
+from martentide.codec.discovery import Listed, Notice
 from martentide.handover.wire import (
     VERSION,
     GiveBack,
@@ -30,11 +30,11 @@
 from martentide.lifecycle.calls import FLEET, OUT_OF_SERVICE, PROPOSE, READY, VERSIONS, VOTERS
 from martentide.lifecycle.machine import Machine
 from martentide.net import descriptors
-from martentide.net.board import Board, Moved
 from martentide.net.callers import Callers
+from martentide.net.close_reason import LOG, CloseReason, log_event
 from martentide.net.config import Config, ConfigError, check_keys
-from martentide.net.decider import Decider, Probing, ServerActor, Settle
-from martentide.net.endings import LOG, Reason, log_event
+from martentide.net.discovery import DiscoveryClient, Moved
+from martentide.net.dispatcher import Dispatcher, Probing, ServerActor, Settle
 from martentide.net.handover import Channel, Found, Meeting, Refusal, find_predecessor, meeting_place
 from martentide.net.servers import Server
 from martentide.rules import Controller
@@ -65,16 +65,16 @@
 class Unlinked:
     """Stands for a server that the program does not dial: fronts carry what goes there."""
 
-    def __init__(self, listed: Listed, decider: Decider) -> None:
-        self.listed, self.decider = listed, decider
+    def __init__(self, listed: Listed, dispatcher: Dispatcher) -> None:
+        self.listed, self.dispatcher = listed, dispatcher
 
     def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
         if isinstance(item, Probing):
             name = self.listed.entry.name
-            self.decider.post(ProbeEnded(name, Ending.UNREACHABLE, False, 0.0, None))
+            self.dispatcher.post(ProbeEnded(name, Ending.UNREACHABLE, False, 0.0, None))
         elif isinstance(item, Order):
             end = Ended(item.ref, item.attempt, item.server, Ending.UNREACHABLE, False, 0.0, None)
-            self.decider.post(end)
+            self.dispatcher.post(end)
 
 
 def for_decisions(settings: Settings, dials: bool) -> Settings:
@@ -85,8 +85,8 @@
 def reload(
     config: Config,
     read: Callable[[], Config],
-    decider: Decider,
-    board: Board,
+    dispatcher: Dispatcher,
+    board: DiscoveryClient,
     processor: ExternalProcessorServer | None = None,
     store: Store | None = None,
     member: Member | None = None,
@@ -107,7 +107,7 @@
     if changed:
         settings = dataclasses.replace(settings, revision=settings.revision + 1)
         told = for_decisions(settings, processor is None or processor.part.own_links)
-        decider.post(Settle(told, new.max_open, new.connect_timeout))
+        dispatcher.post(Settle(told, new.max_open, new.connect_timeout))
         if processor is not None:
             processor.settle(told)
         if store is not None:
@@ -147,8 +147,8 @@
         self,
         config: Config,
         read: Callable[[], Config],
-        decider: Decider,
-        board: Board,
+        dispatcher: Dispatcher,
+        board: DiscoveryClient,
         callers: Callers,
         store: Store | None,
         processor: ExternalProcessorServer | None,
@@ -157,10 +157,10 @@
     ) -> None:
         self.config, self.read = config, read
         self.member, self.tier = member, tier
-        self.decider, self.board, self.callers = decider, board, callers
+        self.dispatcher, self.board, self.callers = dispatcher, board, callers
         self.store, self.processor = store, processor
         self.machine = Machine()
-        callers.door.ready = lambda: self.machine.ready
+        callers.client_connections.ready = lambda: self.machine.ready
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[machine.Event] = asyncio.Queue()
         self.asked: dict[int, asyncio.Future[tuple[int, str]]] = {}
@@ -188,9 +188,9 @@
         if path in (VERSIONS, PROPOSE, VOTERS):
             if self.member is None or self.member.part.agreement is None:
                 return 404, "no agreement is set"
-            if self.member.agreed is None:
+            if self.member.agreement is None:
                 return 503, "this process is no member: its successor is, or it joins just now"
-            return self.member.agreed.ask(path, body)
+            return self.member.agreement.ask(path, body)
         number = next(self.numbers)
         answer: asyncio.Future[tuple[int, str]] = self.loop.create_future()
         self.asked[number] = answer
@@ -216,9 +216,9 @@
                 if (asked := self.asked.get(call)) is not None and not asked.done():
                     asked.set_result((status, text))
             case machine.LeaveLinks(on):
-                self.callers.door.leave(on)
+                self.callers.client_connections.leave(on)
             case machine.RefuseSetUps(on):
-                self.decider.closing = on
+                self.dispatcher.closing = on
             case machine.StopListening():
                 self.callers.close()
                 if self.meeting is not None:
@@ -229,13 +229,19 @@
                 self.over = self.loop.create_task(self._tell_when_over(), name="all over")
             case machine.Reload():
                 self.config = reload(
-                    self.config, self.read, self.decider, self.board, self.processor, self.store, self.member
+                    self.config,
+                    self.read,
+                    self.dispatcher,
+                    self.board,
+                    self.processor,
+                    self.store,
+                    self.member,
                 )
             case machine.CloseFronts():
                 if self.processor is not None:
                     self.processor.closing()  # fronts are told on their streams: no time to learn of it
             case machine.Tell(phase, by):
-                log_event("service-state", state=phase.value, by=by, calls=len(self.decider.calls))
+                log_event("service-state", state=phase.value, by=by, calls=len(self.dispatcher.calls))
                 if phase is machine.Phase.STOPPING:
                     self._depart()
             case _:
@@ -248,7 +254,7 @@
                 part.depart()
 
     async def _tell_when_over(self) -> None:
-        await self.decider.idle.wait()
+        await self.dispatcher.idle.wait()
         if self.processor is not None:
             await self.processor.stop()
         self.post(machine.AllOver())
@@ -279,20 +285,20 @@
                 self.channel = self.asking.pop(ask)
                 listener = self.callers.socket
                 assert listener is not None
-                self.channel.send(Welcome(len(self.callers.door.open)), listener.fileno())
+                self.channel.send(Welcome(len(self.callers.client_connections.open)), listener.fileno())
                 self.following = self.loop.create_task(self._hear_successor(self.channel), name="successor")
                 log_event("upgrade", step="welcomed")
             case machine.Yield():
                 self._yield()
             case machine.MoveOut():
                 if self.channel is not None:
-                    log_event("upgrade", step="moving", links=len(self.callers.door.open))
-                    self.decider.post(ColdShare(0.0))
+                    log_event("upgrade", step="moving", links=len(self.callers.client_connections.open))
+                    self.dispatcher.post(ColdShare(0.0))
                     self.channel.send(Moving())
                     self.callers.move_out()
             case machine.AcceptAgain():
                 log_event("upgrade", step="accepting-again")
-                self.decider.post(ColdShare(1.0))
+                self.dispatcher.post(ColdShare(1.0))
                 self.accepting = self.loop.create_task(self._accept_again(), name="accept")
             case machine.LetGoOfSuccessor():
                 self.channel = None
@@ -303,7 +309,7 @@
             case machine.LetGoOfPredecessor():
                 self.channel = None
                 log_event("upgrade", step="alone")
-                self.decider.post(ColdShare(1.0))
+                self.dispatcher.post(ColdShare(1.0))
                 self.callers.orphaned()
 
     def _yield(self) -> None:
@@ -313,11 +319,11 @@
         if self.tier is not None:
             self.tier.retire()
         self.callers.yield_to(self.channel.send)
-        self.decider.post(ColdShare(BESIDE))
+        self.dispatcher.post(ColdShare(BESIDE))
         if self.meeting is not None:
             self.meeting.close(unlink=False)
         self.channel.send(Taken())
-        log_event("upgrade", step="yielded", links=len(self.callers.door.open))
+        log_event("upgrade", step="yielded", links=len(self.callers.client_connections.open))
 
     async def _accept_again(self) -> None:
         await self.callers.accept()
@@ -345,7 +351,7 @@
             frame, descriptor = heard
             match frame:
                 case Moving():
-                    self.decider.post(ColdShare(1.0))
+                    self.dispatcher.post(ColdShare(1.0))
                 case MovedLink() | MovedCalls():
                     await self.callers.move_in(frame, descriptor)
                 case Said():
@@ -360,7 +366,7 @@
             hello = Hello(VERSION, self.config.name, str(self.config.listen))
             self.found = await find_predecessor(path, hello)
             if self.found is not None:
-                self.decider.tell(ColdShare(BESIDE))
+                self.dispatcher.handle_now(ColdShare(BESIDE))
 
     async def listen(self) -> None:
         """Open the callers' listener: the predecessor's, where there is one, or a new one."""
@@ -388,7 +394,7 @@
         log_event("upgrade", step="took", links=found.links)
         if heard is None:
             # Without a word it is dead or as good as dead: its socket is here, and its queue with it.
-            found.channel.close(Reason.SILENT)
+            found.channel.close(CloseReason.SILENT)
             self.post(machine.PredecessorGone())
             return
         self.following = self.loop.create_task(self._hear_predecessor(found.channel), name="predecessor")
@@ -401,7 +407,7 @@
 
 
 def turned_on(
-    config: Config, settings: Settings, decider: Decider
+    config: Config, settings: Settings, dispatcher: Dispatcher
 ) -> tuple[Store | None, ExternalProcessorServer | None, Member | None]:
     """What the extras file turns on; the libraries come with it."""
     store: Store | None = None
@@ -410,25 +416,25 @@
     if config.extras is not None and (state := config.extras.learned_state) is not None:
         from martentide.net.learned import Store
 
-        store = Store(state.folder, state.pace(), config.settings, decider, config.seed)
+        store = Store(state.folder, state.pace(), config.settings, dispatcher, config.seed)
     if config.extras is not None and (part := config.extras.external_processor) is not None:
         from martentide.net.extproc.server import ExternalProcessorServer
 
-        processor = ExternalProcessorServer(part, settings, decider, config.seed)
+        processor = ExternalProcessorServer(part, settings, dispatcher, config.seed)
     if config.extras is not None and (fleet := config.extras.fleet) is not None:
         from martentide.net.fleet.member import Member
 
-        member = Member(fleet, config.name, decider, config.seed)
+        member = Member(fleet, config.name, dispatcher, config.seed)
     return store, processor, member
 
 
-def lease_of(config: Config, decider: Decider) -> TierMember | None:
+def lease_of(config: Config, dispatcher: Dispatcher) -> TierMember | None:
     """The proxy's side of the control tier, where the extras file names one."""
     if config.extras is None or config.extras.control_tier is None:
         return None
     from martentide.net.tier.proxy import TierMember
 
-    return TierMember(config.extras.control_tier, config.name, decider, config.seed)
+    return TierMember(config.extras.control_tier, config.name, dispatcher, config.seed)
 
 
 async def serve(config: Config, read: Callable[[], Config], environment: Mapping[str, str]) -> None:
@@ -439,24 +445,24 @@
     dials = config.extras is None or config.extras.dials
     settings = for_decisions(config.settings, dials)
 
-    def start_server(listed: Listed, decider: Decider) -> ServerActor:
+    def start_server(listed: Listed, dispatcher: Dispatcher) -> ServerActor:
         if not dials:
-            return Unlinked(listed, decider)
-        return Server(listed, service.config.connect_timeout, decider.post, shortage.met)
+            return Unlinked(listed, dispatcher)
+        return Server(listed, service.config.connect_timeout, dispatcher.post, shortage.met)
 
-    decider = Decider(Controller(settings, config.seed), start_server, config.max_open)
+    dispatcher = Dispatcher(Controller(settings, config.seed), start_server, config.max_open)
     limit = descriptors.most(config.sockets)
     known = len(fold(config.known).servers)
-    callers = Callers(descriptors.for_callers(limit, known, config.operator is not None), decider.post)
+    callers = Callers(descriptors.for_callers(limit, known, config.operator is not None), dispatcher.post)
     shortage = descriptors.Shortage(callers.make_room)
     loop.set_exception_handler(shortage.handle)
-    board = Board(
-        config.board, config.known_number, config.zones, config.connect_timeout, decider.post, shortage.met
+    board = DiscoveryClient(
+        config.board, config.known_number, config.zones, config.connect_timeout, dispatcher.post, shortage.met
     )
 
-    store, processor, member = turned_on(config, settings, decider)
-    tier = lease_of(config, decider)
-    service = Service(config, read, decider, board, callers, store, processor, member, tier)
+    store, processor, member = turned_on(config, settings, dispatcher)
+    tier = lease_of(config, dispatcher)
+    service = Service(config, read, dispatcher, board, callers, store, processor, member, tier)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, service.post, machine.Terminate())
     loop.add_signal_handler(signal.SIGHUP, service.post, machine.HangUp())
@@ -473,18 +479,18 @@
         await service.find(environment)
     except Refusal as error:
         raise OSError(f"not handed over: {error}") from None
-    decider.follow(fold(config.known), ListKind.REMEMBERED)
+    dispatcher.apply_list(fold(config.known), ListKind.REMEMBERED)
     if store is not None:
         await store.start()
-    actors: dict[str, Decider | Board | Member | TierMember | Store | None] = {
-        "decider": decider, "list": board, "fleet": member, "control tier": tier, "learned state": store,
+    actors: dict[str, Dispatcher | DiscoveryClient | Member | TierMember | Store | None] = {
+        "decider": dispatcher, "list": board, "fleet": member, "control tier": tier, "learned state": store,
     }  # fmt: skip
     tasks += [asyncio.create_task(one.run(), name=name) for name, one in actors.items() if one is not None]
     if processor is not None:
         await processor.start()
     await service.listen()
     for host, port in callers.addresses():
-        log_event("serving", name=config.name, address=f"{host}:{port}", servers=len(decider.servers))
+        log_event("serving", name=config.name, address=f"{host}:{port}", servers=len(dispatcher.servers))
     await tasks[0]
     service.close()
     if control is not None:
--- a/martentide/net/tier/node.py
+++ b/martentide/net/tier/node.py
@@ -25,11 +25,11 @@
 from martentide.control.terms import ControlTerms
 from martentide.extras import ControlNodePart
 from martentide.fleet import events as fleet
-from martentide.fleet.core import Core
+from martentide.fleet.core import Membership
 from martentide.fleet.terms import Terms
-from martentide.fleet.wire import Frame, State, Unreadable
+from martentide.fleet.wire import DatagramError, Frame, State
+from martentide.net.close_reason import LOG, log_event
 from martentide.net.due_timer import DueTimer
-from martentide.net.endings import LOG, log_event
 from martentide.net.tier.datagrams import Arrived, Endpoint
 
 MOST_WAITING = 4_096  # datagrams in the mailbox; more is dropped, as a full socket buffer would
@@ -70,7 +70,7 @@
         others = tuple(one.gossip for one in part.nodes if one.name != part.name)
         own = part.own()
         life = secrets.randbits(62) + 1
-        self.swim = Core(part.name, own.region, own.gossip, others, Terms(), life, now, life)
+        self.swim = Membership(part.name, own.region, own.gossip, others, Terms(), life, now, life)
         self.stopping = asyncio.Event()
         self.timer = DueTimer(lambda: self._post(Tick()))
         self.proxies: asyncio.DatagramTransport | None = None
@@ -154,7 +154,7 @@
         self.counts["received"] += 1
         try:
             message = read_control(self.frame.open(arrived.data))
-        except Unreadable as error:
+        except DatagramError as error:
             self.counts[error.why.value] += 1
             return
         if isinstance(message, Join | Heartbeat | Leave):
@@ -165,7 +165,7 @@
     def _from_node(self, arrived: Arrived) -> None:
         try:
             said = self.frame.read(arrived.data)
-        except Unreadable as error:
+        except DatagramError as error:
             self.counts[error.why.value] += 1
             return
         self._act_on_swim(self.swim.handle(self._now(), fleet.Heard(said)))
@@ -202,7 +202,7 @@
     def _from_peer(self, body: bytes) -> None:
         try:
             message = read_control(body)
-        except Unreadable as error:
+        except DatagramError as error:
             self.counts[error.why.value] += 1
             return
         if isinstance(message, BetweenNodes):
--- a/martentide/net/tier/proxy.py
+++ b/martentide/net/tier/proxy.py
@@ -32,11 +32,11 @@
 )
 from martentide.control.terms import ControlTerms
 from martentide.extras import ControlTierPart
-from martentide.fleet.wire import Frame, Unreadable
+from martentide.fleet.wire import DatagramError, Frame
 from martentide.interface import AttemptEnded, Event, ProbeEnded
-from martentide.net.decider import Decider
+from martentide.net.close_reason import LOG, log_event
+from martentide.net.dispatcher import Dispatcher
 from martentide.net.due_timer import DueTimer
-from martentide.net.endings import LOG, log_event
 from martentide.net.tier.datagrams import Arrived, Endpoint
 
 MOST_WAITING = 256  # items in the mailbox; more is dropped, as a full socket buffer would
@@ -53,8 +53,8 @@
 class TierMember:
     """This proxy's lease; ``join`` after ``retire`` takes one anew."""
 
-    def __init__(self, part: ControlTierPart, name: str, decider: Decider, seed: int) -> None:
-        self.part, self.name, self.decider, self.seed = part, name, decider, seed
+    def __init__(self, part: ControlTierPart, name: str, dispatcher: Dispatcher, seed: int) -> None:
+        self.part, self.name, self.dispatcher, self.seed = part, name, dispatcher, seed
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MOST_WAITING)
         self.counts: Counter[str] = Counter()
@@ -64,7 +64,7 @@
         self.core: ControlClient | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.timer = DueTimer(lambda: self.post(Tick()))
-        decider.heard.append(self._overhear)
+        dispatcher.event_observers.append(self._overhear)
 
     def _now(self) -> float:
         return self.loop.time() * 1_000.0
@@ -134,7 +134,7 @@
         self.counts["received_bytes"] += len(item.data)
         try:
             message = read_control(self.frame.open(item.data))
-        except Unreadable as error:
+        except DatagramError as error:
             self.counts[error.why.value] += 1
             return
         if isinstance(message, Granted | TurnedAway | Update):
@@ -164,12 +164,12 @@
     # ---- the proxy's own state --------------------------------------------------------------------------
 
     def _overhear(self, _: float, event: Event) -> None:
-        """Runs in the decider's turn: what the own session server asks to be held back."""
+        """Runs in the dispatcher's turn: what the own session server asks to be held back."""
         if not isinstance(event, ProbeEnded | AttemptEnded) or event.server != self.part.server:
             return
         if event.report is None or event.report.hold_back is None:
             return
-        listed = self.decider.listed.get(event.server)
+        listed = self.dispatcher.listed.get(event.server)
         capacity = UNIT if listed is None else max(1, round(UNIT * listed.entry.size))
         pressure = min(MOST_PRESSURE, max(0, round(event.report.hold_back * MOST_PRESSURE)))
         own = OwnState(capacity, pressure)
--- a/martentide/overload/core.py
+++ b/martentide/overload/core.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from martentide.fleet.core import Core
+from martentide.fleet.core import Membership
 from martentide.interface import (
     Admission,
     AttemptEnded,
@@ -26,7 +26,7 @@
     SetUpOffered,
     Stands,
 )
-from martentide.overload.cut import shares
+from martentide.overload.admission_threshold import shares
 from martentide.overload.escrow import Escrow
 from martentide.overload.level import (
     PRESSED,
@@ -39,7 +39,7 @@
     largeness,
     pressure_of,
 )
-from martentide.overload.words import (
+from martentide.overload.messages import (
     END,
     LOAD,
     MOST_CLASSES,
@@ -416,14 +416,14 @@
 
 
 def look(
-    core: Core, part: Overload, now: float, servers: Collection[str], purse: float
+    core: Membership, part: Overload, now: float, servers: Collection[str], purse: float
 ) -> tuple[Outcome, int]:
     """One look with what the member holds of others; and how many facets could not be read."""
     heard: list[tuple[str, int, int, Load, float]] = []
     bad = 0
     living = {part.name: core.me.life}
     if not core.silent:
-        for word, facet, age in core.facets_of(LOAD, now):
+        for word, facet, age in core.state_entries_of(LOAD, now):
             try:
                 heard.append((word.name, facet.life, facet.counter, read_load(facet.body), age))
             except (msgspec.DecodeError, msgspec.ValidationError):
--- a/martentide/overload/escrow.py
+++ b/martentide/overload/escrow.py
@@ -13,7 +13,7 @@
 
 from dataclasses import dataclass, field
 
-from martentide.overload.words import MOST_GIFTS, Gift
+from martentide.overload.messages import MOST_GIFTS, Gift
 
 GIFT_END = 2_500.0  # ms from which a gift is taken by nobody
 SETTLE_AFTER = 4_000.0  # ms after which word that it was not taken counts: the end, and clocks' drift
--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -20,7 +20,7 @@
     RepeatBudget, Report, ReportBy, SendSetUp, ServerEntry, ServerList, ServerState, SetTimer, Settings,
     SettingsChanged, SetUpOffered, Stands, TellPeer, TestDuty, TimerDue,
 )  # fmt: skip
-from martentide.overload import cut, gossip, slow_start
+from martentide.overload import admission_threshold, gossip, slow_start
 
 # ---- fleet ----------------------------------------------------------------------------------------------
 FEW = 12.0  # proxies that may each have every least allowance in full; more share what these would have
@@ -320,7 +320,10 @@
         share = dict(admission.shares).get(call.kind.name, 1.0)
         if call.in_transit or self._value(call, now) < admission.floor:
             return not call.in_transit
-        return share < 1.0 and cut.draw(call.number or str(self.random.random()), admission.turn) >= share
+        return (
+            share < 1.0
+            and admission_threshold.draw(call.number or str(self.random.random()), admission.turn) >= share
+        )
 
     def _repeats_left(self, now: float) -> float:
         return self.repeats if now < self.repeats_until else 0.0  # without a budget: as many as wanted
--- a/martentide/versions.py
+++ b/martentide/versions.py
@@ -27,34 +27,34 @@
 def asked(operator: str) -> str:
     """What the proxy tells of versions; the program ends where it can't be asked."""
     from martentide.lifecycle.calls import VERSIONS
-    from martentide.net.fleet.show import AskError, ask
+    from martentide.net.fleet.show import QueryError, query
 
     try:
-        return ask(operator, VERSIONS)
-    except AskError as error:
+        return query(operator, VERSIONS)
+    except QueryError as error:
         fail(f"{operator}: {error}", CANNOT_ASK)
         raise
 
 
 def kept(said: dict[str, Any], number: int) -> dict[str, Any]:
-    from martentide.net.fleet.show import AskError, rules_of
+    from martentide.net.fleet.show import QueryError, rules_of
 
     try:
         return rules_of(said, number)
-    except AskError as error:
+    except QueryError as error:
         fail(str(error), REFUSED)
         raise
 
 
 def put(operator: str, rules: Any, file: str, base: int, by: str, why: str, patience: float) -> None:
     """Propose it and say what became of it; the program ends with that."""
-    from martentide.net.fleet.show import AskError, propose
+    from martentide.net.fleet.show import QueryError, propose
 
     by = by or os.environ.get("USER", "")
     said = {"rules": rules, "file": file, "base": base, "by": by, "why": why}
     try:
         verdict = propose(operator, said, patience)
-    except AskError as error:
+    except QueryError as error:
         fail(f"{operator}: {error}", REFUSED)
         raise
     click.echo(verdict["text"])
@@ -141,11 +141,11 @@
 @PATIENCE
 def replace_voter(old: str, new: str, operator: str, patience: float) -> None:
     from martentide.lifecycle.calls import VOTERS
-    from martentide.net.fleet.show import AskError, propose
+    from martentide.net.fleet.show import QueryError, propose
 
     try:
         verdict = propose(operator, {"old": old, "new": new}, patience, VOTERS)
-    except AskError as error:
+    except QueryError as error:
         fail(f"{operator}: {error}", REFUSED)
         raise
     click.echo(verdict["text"])
--- a/martentide_lab/fleet/agreeing.py
+++ b/martentide_lab/fleet/agreeing.py
@@ -27,8 +27,8 @@
 from martentide.agreement.core import (
     Event as AgreementEvent,
 )
+from martentide.agreement.messages import write
 from martentide.agreement.ruleset import RuleSet, contradictions, rules_from, write_rules
-from martentide.agreement.words import write
 from martentide_lab.fleet.faults import Link
 from martentide_lab.fleet.search import random_steps
 from martentide_lab.fleet.simulated import Node, SimulatedFleet
--- a/martentide_lab/fleet/ghost.py
+++ b/martentide_lab/fleet/ghost.py
@@ -6,10 +6,10 @@
 import asyncio
 from collections.abc import Callable
 
-from martentide.fleet.core import Core
+from martentide.fleet.core import Membership
 from martentide.fleet.events import Due, Event, Heard, Publish, Send
 from martentide.fleet.terms import Terms
-from martentide.fleet.wire import Datagram, Frame, Unreadable
+from martentide.fleet.wire import Datagram, DatagramError, Frame
 from martentide_lab.fleet.hub import Hub
 
 
@@ -24,7 +24,7 @@
     ) -> None:
         self.name, self.frame, self.change = name, Frame(fleet), change
         self.loop = asyncio.get_running_loop()
-        self.core: Core | None = None
+        self.core: Membership | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
 
@@ -36,7 +36,7 @@
         )
         hub.settle(self.name, self.transport.get_extra_info("sockname"))
         now = self.loop.time() * 1000.0
-        self.core = Core(self.name, "varna", told, seeds, Terms(), 1, now)
+        self.core = Membership(self.name, "varna", told, seeds, Terms(), 1, now)
         self._arm()
 
     def publish(self, kind: int, schema: int, body: bytes) -> None:
@@ -45,7 +45,7 @@
     def datagram_received(self, data: bytes, address: tuple[str | object, int]) -> None:
         try:
             self._feed(Heard(self.frame.read(data)))
-        except Unreadable:
+        except DatagramError:
             return
 
     def _feed(self, event: Event) -> None:
--- a/martentide_lab/fleet/rig.py
+++ b/martentide_lab/fleet/rig.py
@@ -16,7 +16,7 @@
 import psutil
 
 from martentide.fleet.wire import State
-from martentide.net.fleet.show import ask
+from martentide.net.fleet.show import query
 from martentide_lab.call_ledger import CallFault
 from martentide_lab.callers import TIME_LEFT, Load
 from martentide_lab.checker import check_servers
@@ -466,7 +466,7 @@
 
     async def status(self, name: str) -> dict[str, Any]:
         """What the member's own ``fleet show`` says."""
-        text = await asyncio.to_thread(ask, self.proxies[name].operator)
+        text = await asyncio.to_thread(query, self.proxies[name].operator)
         said: dict[str, Any] = json.loads(text)
         return said
 
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from martentide.fleet.core import Core
+from martentide.fleet.core import Membership
 from martentide.fleet.events import (
     Action,
     Changed,
@@ -25,7 +25,7 @@
 )
 from martentide.fleet.events import Event as CoreEvent
 from martentide.fleet.terms import Terms
-from martentide.fleet.wire import Datagram, Frame, Kind, Unreadable
+from martentide.fleet.wire import Datagram, DatagramError, Frame, Kind
 from martentide_lab.fleet.faults import Link, Network, damaged
 from martentide_lab.fleet.story import Event, Step, split_names
 from martentide_lab.simulation import Simulation
@@ -43,7 +43,7 @@
     zone: str
     address: Address
     offset: float
-    core: Core | None = None
+    core: Membership | None = None
     stopped: bool = False
     waiting: list[bytes | Datagram] = field(default_factory=list)
     due: float = 0.0  # what the queue holds for it
@@ -126,7 +126,7 @@
         node.stopped, node.starving = False, 0
         node.waiting.clear()
         now = node.clock(self.now)
-        node.core = Core(
+        node.core = Membership(
             name, node.zone, node.address, self.seeds, self.terms, self.dice.getrandbits(48), now
         )
         self._log("started", name, name, life=node.core.me.life)
@@ -218,7 +218,7 @@
             node.due = due
             self.later(due - self.now, lambda: self._due(node, core, due))
 
-    def _due(self, node: Node, core: Core, due: float) -> None:
+    def _due(self, node: Node, core: Membership, due: float) -> None:
         if node.core is not core or node.due != due or node.stopped:
             return
         node.due = 0.0
@@ -273,7 +273,7 @@
             return
         try:
             said = self.frame.read(data)
-        except Unreadable as error:
+        except DatagramError as error:
             node.counts[error.why.value] += 1
             return
         self.feed(name, Heard(said))
--- a/martentide_lab/servers.py
+++ b/martentide_lab/servers.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from martentide.codec.board import FRAME, LENGTH, RECORD
+from martentide.codec.discovery import FRAME, LENGTH, RECORD
 from martentide.codec.messages import (
     Cause,
     Code,
--- a/martentide_lab/sim.py
+++ b/martentide_lab/sim.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from martentide.fleet.duty import Duty, look
+from martentide.fleet.health_check_assignment import HealthCheckAssignment, look
 from martentide.interface import (
     Action,
     AttemptEnded,
@@ -121,7 +121,7 @@
         self.sent: list[tuple[float, str]] = []
         self.lives = [0] * proxies
         self.fleet: SimulatedFleet | None = None
-        self.duties: list[Duty] = []
+        self.duties: list[HealthCheckAssignment] = []
         self.overloads: list[overload.Overload] = []
         self.controllers = [self.fresh(at) for at in range(proxies)]
 
@@ -144,7 +144,7 @@
         self.fleet = fleet
         fleet.now = self.now
         fleet.acquaint()
-        self.duties = [Duty(node.name, node.zone) for node in fleet.nodes.values()]
+        self.duties = [HealthCheckAssignment(node.name, node.zone) for node in fleet.nodes.values()]
         if sheds:
             worths = {kind.name: kind.worth for kind in self.settings.classes}
             self.overloads = [
--- a/tests/agreement/test_lists.py
+++ b/tests/agreement/test_lists.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from martentide.agreement.lists import MOST_GONE, MOST_TOLD, Book, Record
-from martentide.agreement.words import MOST_FACET, Told, read_told, write_told
+from martentide.agreement.messages import MOST_FACET, Told, read_told, write_told
 
 
 def record(name: str, start: int = 0, state: int = 0, port: int = 1) -> Record:
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -14,7 +14,7 @@
 
 from martentide.cli import top
 from martentide.lifecycle.calls import VERSIONS
-from martentide.net.fleet.show import AskError, ask, propose, versions
+from martentide.net.fleet.show import QueryError, propose, query, versions
 from martentide.net.links import unix_ms
 from martentide_lab.fleet.invariants import check_attempts, check_withdrawn
 from martentide_lab.fleet.rig import Rig
@@ -40,7 +40,7 @@
 
 
 async def said(rig: Rig, name: str) -> dict[str, Any]:
-    found: dict[str, Any] = json.loads(await asyncio.to_thread(ask, rig.proxies[name].operator, VERSIONS))
+    found: dict[str, Any] = json.loads(await asyncio.to_thread(query, rig.proxies[name].operator, VERSIONS))
     return found
 
 
@@ -55,7 +55,7 @@
     async with asyncio.timeout(LIMIT):
         while True:
             found = []
-            with contextlib.suppress(AskError):  # one that has just begun is no member yet
+            with contextlib.suppress(QueryError):  # one that has just begun is no member yet
                 found = [await said(rig, name) for name in names or tuple(rig.proxies)]
             if found and all(
                 (one["version"], one["acts"], one["joint"]) == (version, "agreed", None) for one in found
@@ -155,7 +155,7 @@
         assert (await put(rig, "n4", rules(attempts=1)))["done"]
         await acting(rig, 2, "n1", "n2", "n4")
         assert {(await said(rig, name))["acts"] for name in ("n0", "n3")} == {"safe"}
-        with pytest.raises(AskError):
+        with pytest.raises(QueryError):
             await asyncio.to_thread(propose, rig.proxies["n3"].operator, {"rules": rules(), "base": 1}, 2.0)
         await do(rig, "heal")
         await acting(rig, 2)
@@ -331,7 +331,7 @@
             wanted = rules(attempts=1 + at % 3)
             if at % 10 == 9:
                 wanted["classes"]["no-such-class"] = wanted["classes"].pop(CLASSES[0][0])
-                with pytest.raises(AskError, match="expected status-check"):
+                with pytest.raises(QueryError, match="expected status-check"):
                     await put(rig, f"n{at % PROXIES}", wanted)
             else:
                 done += (await put(rig, f"n{at % PROXIES}", wanted))["done"]
@@ -383,7 +383,7 @@
         await do(rig, "start", names)
         await rig.until(rig.whole, LIMIT)
         await acting(rig, 1, *named)
-        with pytest.raises(AskError, match="no agreement is set"):
+        with pytest.raises(QueryError, match="no agreement is set"):
             await said(rig, "n4")
         since, owners = unix_ms(), {name: load for name, load in rig.loads.items()}
         await asyncio.sleep(2.0)
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -8,10 +8,10 @@
 import pytest
 
 from martentide.agreement.core import Agreement, Kept, Propose, ReplaceVoter, Terms
-from martentide.agreement.parts import MOST_PARTS, PART, Joiner, Splitter
+from martentide.agreement.fragments import MOST_PARTS, PART, Joiner, Splitter
+from martentide.agreement.messages import Ask, Force, Grant, Joint
 from martentide.agreement.raft import fresh
 from martentide.agreement.store import read_kept, recover, write_kept
-from martentide.agreement.words import Ask, Force, Grant, Joint
 from martentide.learned.recovery import Found
 from martentide_lab.fleet.agreeing import AgreeingFleet, play_random, rule_set
 from martentide_lab.fleet.faults import Link
--- a/tests/control/test_cores.py
+++ b/tests/control/test_cores.py
@@ -33,7 +33,7 @@
 from martentide.control.placement import NodeInfo, preference
 from martentide.control.shares import Shares, digest
 from martentide.control.terms import ControlTerms
-from martentide.fleet.wire import Unreadable
+from martentide.fleet.wire import DatagramError
 
 TERMS = ControlTerms()
 NODES = (NodeInfo("n0", "r0"), NodeInfo("n1", "r0"), NodeInfo("n2", "r1"))
@@ -360,7 +360,7 @@
     ],
 )  # fmt: skip
 def test_bad_messages_are_unreadable(body: bytes) -> None:
-    with pytest.raises(Unreadable):
+    with pytest.raises(DatagramError):
         read_control(body)
 
 
--- a/tests/extproc/support.py
+++ b/tests/extproc/support.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import Any
 
-from martentide.carriage import Ended, Stood
+from martentide.attempt_messages import Ended, Stood
 from martentide.extproc.ledger import (
     Carry,
     Decided,
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from martentide.fleet.core import Core
+from martentide.fleet.core import Membership
 from martentide.fleet.events import Changed, Due, Heard, Learned, Publish, Send
 from martentide.fleet.terms import Terms
-from martentide.fleet.wire import Datagram, FacetWord, Kind, MemberWord, State
+from martentide.fleet.wire import Datagram, Kind, MemberRecord, State, StateEntry
 from martentide_lab.fleet.invariants import Checker
 from martentide_lab.fleet.simulated import SimulatedFleet
 from martentide_lab.fleet.story import Step
@@ -20,17 +20,17 @@
 AT = ("127.0.0.1", 7_000)
 
 
-def word(name: str = "b", state: State = State.ALIVE, incarnation: int = 1, **more: object) -> MemberWord:
+def word(name: str = "b", state: State = State.ALIVE, incarnation: int = 1, **more: object) -> MemberRecord:
     figures = {"generation": 1, "life": 22, "zone": "z", "host": "127.0.0.1", "port": 7_001, "by": ""} | more
-    return MemberWord(name=name, incarnation=incarnation, state=state, **figures)  # type: ignore[arg-type]
+    return MemberRecord(name=name, incarnation=incarnation, state=state, **figures)  # type: ignore[arg-type]
 
 
-def member() -> Core:
-    return Core("a", "z", AT, (), Terms(), 1, 0.0, life=11)
+def member() -> Membership:
+    return Membership("a", "z", AT, (), Terms(), 1, 0.0, life=11)
 
 
 def tell(
-    core: Core, now: float, *words: MemberWord, sender: MemberWord | None = None, **more: object
+    core: Membership, now: float, *words: MemberRecord, sender: MemberRecord | None = None, **more: object
 ) -> list:  # type: ignore[type-arg]
     said = Datagram(Kind.NEWS, sender or word(), 11, 0, members=list(words), **more)  # type: ignore[arg-type]
     return core.handle(now, Heard(said))
@@ -62,7 +62,7 @@
     ],
 )
 def test_of_two_words_on_one_member_the_newer_counts(
-    known: MemberWord, told: MemberWord, then: State
+    known: MemberRecord, told: MemberRecord, then: State
 ) -> None:
     core = member()
     tell(core, 1.0, sender=word("c", life=99, port=7_003))
@@ -89,19 +89,19 @@
 
 def test_the_age_of_a_facet_is_bounded_by_the_echo_of_an_own_stamp() -> None:
     core = member()
-    facet = FacetWord("b", 1, 22, 5, 1, 1, 300, 2_000, b"x")
+    facet = StateEntry("b", 1, 22, 5, 1, 1, 300, 2_000, b"x")
     tell(core, 1.0)
     assert not tell_facet(core, 1_000.0, facet, echo=-1)  # nobody can say how long it was on its way
     assert not tell_facet(core, 1_000.0, facet, echo=900, kept=200)  # echoes a stamp of the future
     [learned] = tell_facet(core, 1_000.0, facet, echo=100, kept=300)
-    assert 900 <= learned.word.age <= 903  # 300 of age, and 600 on the way at most
+    assert 900 <= learned.entry.age <= 903  # 300 of age, and 600 on the way at most
     assert not tell_facet(core, 1_100.0, facet, echo=100, kept=300)  # known already
-    [(_, known, age)] = core.facets_of(5, 1_500.0)
+    [(_, known, age)] = core.state_entries_of(5, 1_500.0)
     assert known.body == b"x" and 1_400 <= age <= 1_403
-    assert not list(core.facets_of(5, 2_200.0))
+    assert not list(core.state_entries_of(5, 2_200.0))
 
 
-def tell_facet(core: Core, now: float, facet: FacetWord, echo: int, kept: int = 0) -> list[Learned]:
+def tell_facet(core: Membership, now: float, facet: StateEntry, echo: int, kept: int = 0) -> list[Learned]:
     said = Datagram(Kind.NEWS, word(), 11, 0, echo, kept, facets=[facet])
     while core.due < now:  # so that the time gone by is not taken for an own stop
         core.handle(core.due, Due())
@@ -132,7 +132,7 @@
     heard = 0
     for node in fleet.nodes.values():
         assert node.core is not None
-        for owner, facet, age in node.core.facets_of(3, node.clock(fleet.now)):
+        for owner, facet, age in node.core.state_entries_of(3, node.clock(fleet.now)):
             heard += 1
             assert age >= fleet.now - born[(owner.name, facet.counter)] - 1.0
     assert heard or fleet.network.base.jitter > 1_000.0
@@ -152,14 +152,14 @@
 
 
 def test_tables_have_their_bounds() -> None:
-    core = Core("a", "z", AT, (), Terms(most_members=10, past=5), 1, 0.0)
+    core = Membership("a", "z", AT, (), Terms(most_members=10, past=5), 1, 0.0)
     for at in range(50):
         tell(core, 1.0, sender=word(f"m{at}", life=100 + at, port=8_000 + at))
     assert len(core.members) == 10 and core.counts["no-room"] == 40
     for kind in range(30):
         said = Datagram(
             Kind.NEWS, word("m0", life=100, port=8_000), core.me.life, 0, 0, 0,
-            facets=[FacetWord("m0", 1, 100, kind, 1, 1, 0, 9_000, b"x")],
+            facets=[StateEntry("m0", 1, 100, kind, 1, 1, 0, 9_000, b"x")],
         )  # fmt: skip
         core.handle(1.0, Heard(said))
     assert len(core.members["m0"].facets) == core.terms.most_facets
@@ -188,8 +188,8 @@
 
 # ---- planted faults: the checker finds each by what others saw ------------------------------------------
 
-REACH = Core._reach
-BETTER = Core._better_word
+REACH = Membership._reach
+BETTER = Membership._better_word
 Plant = Callable[[pytest.MonkeyPatch], None]
 KILL = (Step(5_000, "kill", ("n1",)),)
 STOP = tuple(
@@ -200,18 +200,18 @@
 SPLIT = (Step(5_000, "split", ("n0,n1", "n2,n3")), Step(12_000, "heal"))
 PLANTED: dict[str, tuple[str, Plant, tuple[Step, ...], float]] = {
     "buries nobody": (
-        "found-dead", lambda m: m.setattr(Core, "_bury", lambda *_: None), KILL, 0.0),
+        "found-dead", lambda m: m.setattr(Membership, "_bury", lambda *_: None), KILL, 0.0),
     "refutes nothing": (
-        "not-accused", lambda m: m.setattr(Core, "_about_me", lambda *_: None), (), 0.2),
+        "not-accused", lambda m: m.setattr(Membership, "_about_me", lambda *_: None), (), 0.2),
     "seeks no other half": (
-        "one-fleet", lambda m: m.setattr(Core, "_reach", lambda self, own: setattr(
+        "one-fleet", lambda m: m.setattr(Membership, "_reach", lambda self, own: setattr(
             self, "reach_due", own + 500.0) if self.members else REACH(self, own)), SPLIT, 0.0),
     "raises the dead": (
-        "not-raised", lambda m: m.setattr(Core, "_better_word", raising), KILL, 0.0),
+        "not-raised", lambda m: m.setattr(Membership, "_better_word", raising), KILL, 0.0),
 }  # fmt: skip
 
 
-def raising(self: Core, known: object, told: MemberWord, by: str, direct: bool) -> bool:
+def raising(self: Membership, known: object, told: MemberRecord, by: str, direct: bool) -> bool:
     """A member that holds the dead for alive again after a while."""
     result = BETTER(self, known, told, by, direct)  # type: ignore[arg-type]
     if self.me.name == "n0" and told.state == State.DEAD:
@@ -221,7 +221,7 @@
     return result
 
 
-PENDING: list[tuple[Core, MemberWord]] = []
+PENDING: list[tuple[Membership, MemberRecord]] = []
 
 
 @pytest.mark.parametrize("fault", PLANTED)
--- a/tests/fleet/test_duty.py
+++ b/tests/fleet/test_health_check_assignment.py
@@ -8,12 +8,20 @@
 
 import pytest
 
-from martentide.fleet.duty import FINDINGS, FRESH, HOLDERS, LATEST, Duty, Outlook, read_findings
+from martentide.fleet.health_check_assignment import (
+    FINDINGS,
+    FRESH,
+    HOLDERS,
+    LATEST,
+    HealthCheckAssignment,
+    Outlook,
+    read_findings,
+)
 from martentide.interface import Ending, PeerNews, Probe, ProbeEnded, Stands, TestDuty
 from tests.support import SETTINGS, Bench, sends
 
 LIVING = {f"n{at}": f"z{at % 3}" for at in range(12)}
-WORLD = dict[str, Duty]
+WORLD = dict[str, HealthCheckAssignment]
 
 
 def looks(world: WORLD, now: float, doubted: dict[str, list[str]], facets: dict[str, tuple[float, bytes]],
@@ -34,17 +42,17 @@
 
 
 def world_of(living: dict[str, str]) -> WORLD:
-    return {name: Duty(name, zone) for name, zone in living.items()}
+    return {name: HealthCheckAssignment(name, zone) for name, zone in living.items()}
 
 
 def test_two_hold_the_duty_in_different_zones_the_same_for_all_and_evenly() -> None:
-    duty = Duty("n0", "z0")
+    duty = HealthCheckAssignment("n0", "z0")
     holders: dict[str, int] = {}
     for at in range(600):
         order = duty.order(f"s-{at}", LIVING)
         assert sorted(order) == sorted(LIVING) and LIVING[order[0]] != LIVING[order[1]]
         shuffled = dict(sorted(LIVING.items(), key=lambda _: random.Random(at).random()))
-        assert Duty("n5", "z2").order(f"s-{at}", shuffled) == order
+        assert HealthCheckAssignment("n5", "z2").order(f"s-{at}", shuffled) == order
         for name in order[:HOLDERS]:
             holders[name] = holders.get(name, 0) + 1
         without = {name: zone for name, zone in LIVING.items() if name != order[5]}
@@ -56,7 +64,7 @@
 def test_tests_are_few_while_holders_speak_and_never_cease_when_they_fall_silent(gone: int) -> None:
     """``gone`` of the first in the order are dead from 10 s on, and nobody knows it yet."""
     world = world_of(LIVING)
-    order = Duty("x", "").order("s0", LIVING)
+    order = HealthCheckAssignment("x", "").order("s0", LIVING)
     facets: dict[str, tuple[float, bytes]] = {}
     tests: list[tuple[float, str]] = []
     for now in range(0, 30_000, 250):
@@ -77,7 +85,7 @@
 
 
 def test_alone_it_tests_as_without_a_fleet() -> None:
-    duty = Duty("n0", "z0")
+    duty = HealthCheckAssignment("n0", "z0")
     for now in range(0, 5_000, 250):
         outlook = duty.look(float(now), ["s0"], {"n0": "z0"}, [], [])
         assert not outlook.tests and not outlook.events  # its own decisions test what they doubt
@@ -85,7 +93,7 @@
 
 def test_good_word_reaches_the_decisions_and_bad_word_relieves_them() -> None:
     world = world_of(LIVING)
-    order = Duty("x", "").order("s0", LIVING)
+    order = HealthCheckAssignment("x", "").order("s0", LIVING)
     holder, other = world[order[0]], world[order[9]]
     facets: dict[str, tuple[float, bytes]] = {}
     doubted = {name: ["s0"] for name in LIVING}
--- a/tests/fleet/test_simulated.py
+++ b/tests/fleet/test_simulated.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
-from martentide.fleet.core import Core
+from martentide.fleet.core import Membership
 from martentide_lab.fleet.invariants import Checker
 from martentide_lab.fleet.search import play, random_steps, search
 from martentide_lab.fleet.simulated import SimulatedFleet
@@ -76,7 +76,7 @@
 def test_a_script_that_fails_is_told_at_its_shortest_and_plays_the_same_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Core, "_judge_suspects", lambda *_: None)
+    monkeypatch.setattr(Membership, "_judge_suspects", lambda *_: None)
     found = list(search(range(3, 6), 4))
     assert found
     for seed, shortest, broken in found:
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -10,14 +10,23 @@
 from hypothesis import strategies as st
 
 from martentide.extras import ExtrasError, read_extras
-from martentide.fleet.wire import Bad, Datagram, FacetWord, Frame, Held, Kind, MemberWord, Unreadable
+from martentide.fleet.wire import (
+    Datagram,
+    DatagramError,
+    DatagramFault,
+    Frame,
+    Held,
+    Kind,
+    MemberRecord,
+    StateEntry,
+)
 from martentide.settings import settings_from
 from martentide_lab.fleet.story import ScriptError, read_script
 from martentide_lab.proxy import site_settings
 
 FRAME = Frame("f")
-ME = MemberWord("a", 1, 7, 1, 0, "z", "127.0.0.1", 7_000)
-FACET = FacetWord("a", 1, 7, 3, 1, 1, 20, 5_000, b"body")
+ME = MemberRecord("a", 1, 7, 1, 0, "z", "127.0.0.1", 7_000)
+FACET = StateEntry("a", 1, 7, 3, 1, 1, 20, 5_000, b"body")
 SAID = Datagram(Kind.NEWS, ME, 0, 5, members=[ME], facets=[FACET], held=[Held("a", 1, 7, 1, 0, {3: 1})])
 
 
@@ -36,28 +45,28 @@
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (b"", Bad.STRANGE),
-        (b"GET / HTTP/1.1\r\n\r\n", Bad.STRANGE),
-        (GOOD[:14], Bad.STRANGE),
-        (b"mt\x02" + GOOD[3:], Bad.OTHER_VERSION),
-        (Frame("g").write(SAID), Bad.OTHER_FLEET),
-        (Frame("f", "secret").write(SAID), Bad.DAMAGED),
-        (GOOD[:-1], Bad.DAMAGED),
-        (GOOD[:20] + bytes((GOOD[20] ^ 1,)) + GOOD[21:], Bad.DAMAGED),
-        (GOOD + bytes(1_400), Bad.OVERSIZED),
-        (seal([1]), Bad.MALFORMED),
-        (seal({"kind": 1}), Bad.MALFORMED),
-        (changed(kept=-1), Bad.MALFORMED),
-        (changed(sender=msgspec.structs.replace(ME, port=0)), Bad.MALFORMED),
-        (changed(sender=msgspec.structs.replace(ME, name="")), Bad.MALFORMED),
-        (changed(members=[msgspec.structs.replace(ME, state=9)]), Bad.MALFORMED),
-        (changed(members=[msgspec.structs.replace(ME, name="x" * 65)]), Bad.MALFORMED),
-        (changed(facets=[msgspec.structs.replace(FACET, age=-5)]), Bad.MALFORMED),
-        (changed(facets=[msgspec.structs.replace(FACET, end=10**9)]), Bad.MALFORMED),
+        (b"", DatagramFault.STRANGE),
+        (b"GET / HTTP/1.1\r\n\r\n", DatagramFault.STRANGE),
+        (GOOD[:14], DatagramFault.STRANGE),
+        (b"mt\x02" + GOOD[3:], DatagramFault.OTHER_VERSION),
+        (Frame("g").write(SAID), DatagramFault.OTHER_FLEET),
+        (Frame("f", "secret").write(SAID), DatagramFault.DAMAGED),
+        (GOOD[:-1], DatagramFault.DAMAGED),
+        (GOOD[:20] + bytes((GOOD[20] ^ 1,)) + GOOD[21:], DatagramFault.DAMAGED),
+        (GOOD + bytes(1_400), DatagramFault.OVERSIZED),
+        (seal([1]), DatagramFault.MALFORMED),
+        (seal({"kind": 1}), DatagramFault.MALFORMED),
+        (changed(kept=-1), DatagramFault.MALFORMED),
+        (changed(sender=msgspec.structs.replace(ME, port=0)), DatagramFault.MALFORMED),
+        (changed(sender=msgspec.structs.replace(ME, name="")), DatagramFault.MALFORMED),
+        (changed(members=[msgspec.structs.replace(ME, state=9)]), DatagramFault.MALFORMED),
+        (changed(members=[msgspec.structs.replace(ME, name="x" * 65)]), DatagramFault.MALFORMED),
+        (changed(facets=[msgspec.structs.replace(FACET, age=-5)]), DatagramFault.MALFORMED),
+        (changed(facets=[msgspec.structs.replace(FACET, end=10**9)]), DatagramFault.MALFORMED),
     ],
 )
-def test_what_can_not_be_read_is_passed_over_for_its_reason(data: bytes, why: Bad) -> None:
-    with pytest.raises(Unreadable) as caught:
+def test_what_can_not_be_read_is_passed_over_for_its_reason(data: bytes, why: DatagramFault) -> None:
+    with pytest.raises(DatagramError) as caught:
         FRAME.read(data)
     assert caught.value.why is why
 
@@ -67,7 +76,7 @@
 def test_no_bytes_do_anything_else(noise: bytes) -> None:
     sealed = FRAME.head + noise
     for data in (noise, sealed, sealed + FRAME._check(sealed)):
-        with contextlib.suppress(Unreadable):
+        with contextlib.suppress(DatagramError):
             FRAME.read(data)
 
 
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -14,12 +14,12 @@
 
 import pytest
 
-from martentide.carriage import Heard, Order, Withdraw
-from martentide.codec.board import Listed, Notice
+from martentide.attempt_messages import Heard, Order, Withdraw
+from martentide.codec.discovery import Listed, Notice
 from martentide.learned.codec import fingerprint, read_state
 from martentide.learned.files import OLD, STATE
 from martentide.learned.pacing import Pace
-from martentide.net.decider import Decider, Probing, Settle
+from martentide.net.dispatcher import Dispatcher, Probing, Settle
 from martentide.net.learned import Store
 from martentide.rules import Controller
 from martentide_lab.proxy import ROOT, Proxy
@@ -38,18 +38,18 @@
 
 
 class Site:
-    """A store beside a decider that has ``servers``; ``touch`` makes something worth saving."""
+    """A store beside a dispatcher that has ``servers``; ``touch`` makes something worth saving."""
 
     def __init__(self, folder: Path, servers: int = 2) -> None:
-        self.decider = Decider(Controller(SETTINGS, 1), lambda listed, decider: Mute(), 10)
+        self.dispatcher = Dispatcher(Controller(SETTINGS, 1), lambda listed, dispatcher: Mute(), 10)
         names = tuple(Listed(entry(f"s{at}", at), "127.0.0.1", 1) for at in range(servers))
-        self.decider.follow(Notice(1, True, names))
-        self.store = Store(str(folder), QUICK, SETTINGS, self.decider, 1)
+        self.dispatcher.apply_list(Notice(1, True, names))
+        self.store = Store(str(folder), QUICK, SETTINGS, self.dispatcher, 1)
         self.touched = 0.0
 
     def touch(self) -> None:
         self.touched += 1.0
-        self.decider.controller.servers["s0"].wait = self.touched
+        self.dispatcher.controller.servers["s0"].wait = self.touched
 
     async def until(self, what: Callable[[], bool]) -> None:
         async with asyncio.timeout(LIMIT):
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -22,7 +22,7 @@
 from types import TracebackType
 from typing import Any
 
-from martentide.codec.board import FRAME, LENGTH, RECORD
+from martentide.codec.discovery import FRAME, LENGTH, RECORD
 from martentide.codec.messages import Code, Message, Type, body_length, read_message, write_message
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/net/test_codec.py
+++ b/tests/net/test_codec.py
@@ -5,7 +5,7 @@
 import pytest
 
 from martentide.codec import CodecError
-from martentide.codec.board import frame_length, read_frame, read_known
+from martentide.codec.discovery import frame_length, read_frame, read_known
 from martentide.codec.figures import read_figures, read_first_choice, read_report
 from martentide.codec.messages import (
     MOST_BYTES,
