--- a/tests/net/test_board.py
+++ b/tests/net/test_discovery.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from martentide.net.board import REDIAL_AFTER, REDIAL_FIRST, Board
 from martentide.net.config import Address
+from martentide.net.discovery import REDIAL_AFTER, REDIAL_FIRST, DiscoveryClient
 from tests.net.support import frame
 
 
@@ -25,14 +25,14 @@
     monkeypatch: pytest.MonkeyPatch, told: bytes, lasts: float, pauses: list[tuple[float, float]]
 ) -> None:
     """Guards against a drain with a short grace that is told while nobody listens; ``lasts``: in s."""
-    monkeypatch.setattr("martentide.net.board.LASTED", lasts)
+    monkeypatch.setattr("martentide.net.discovery.LASTED", lasts)
     asked: list[tuple[float, float]] = []
 
     def uniform(least: float, most: float) -> float:
         asked.append((least, most))
         return 0.0
 
-    monkeypatch.setattr("martentide.net.board.random.uniform", uniform)
+    monkeypatch.setattr("martentide.net.discovery.random.uniform", uniform)
 
     async def play() -> None:
         async def once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -43,7 +43,7 @@
 
         server = await asyncio.start_server(once, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
-        board = Board(Address(host, port), 0, ("east",), 5.0, lambda notice: None)
+        board = DiscoveryClient(Address(host, port), 0, ("east",), 5.0, lambda notice: None)
         task = asyncio.create_task(board.run())
         async with asyncio.timeout(10):
             while len(asked) < len(pauses):
@@ -62,7 +62,7 @@
 
     async def play() -> None:
         monkeypatch.setattr(asyncio, "open_connection", refuse)
-        board = Board(Address("127.0.0.1", 1), 0, ("east",), 5.0, lambda notice: None, met.append)
+        board = DiscoveryClient(Address("127.0.0.1", 1), 0, ("east",), 5.0, lambda notice: None, met.append)
         task = asyncio.create_task(board.run())
         async with asyncio.timeout(10):
             while len(met) < 2:
--- a/tests/net/test_decider.py
+++ b/tests/net/test_dispatcher.py
@@ -1,4 +1,7 @@
-"""The decider between a scripted caller, a scripted server and the real or a failing module; no sockets."""
+"""The dispatcher between a scripted caller, a scripted server and the real or a failing module.
+
+No sockets.
+"""
 
 from __future__ import annotations
 
@@ -6,10 +9,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from martentide.carriage import Ended, Heard, Order, Stood, Withdraw
-from martentide.codec.board import Listed, Notice
+from martentide.attempt_messages import Ended, Heard, Order, Stood, Withdraw
+from martentide.codec.discovery import Listed, Notice
 from martentide.interface import Action, CancelAttempt, Ending, Event, SetTimer, SetUpOffered, Stands
-from martentide.net.decider import Decider, GiveUp, Offer, Probing, Settle
+from martentide.net.dispatcher import Dispatcher, GiveUp, Offer, Probing, Settle
 from martentide.rules import Controller
 from martentide.settings import settings_from
 from tests.net.support import SETTINGS
@@ -20,7 +23,7 @@
 
 
 class Told:
-    """A caller and a server in one: remembers what the decider tells it."""
+    """A caller and a server in one: remembers what the dispatcher tells it."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -58,21 +61,21 @@
 
 
 def play(
-    script: Callable[[Decider, Told], None], module: type[Controller] = Controller
-) -> tuple[Decider, Told]:
-    """Run a script that posts, and let the decider take all of it."""
+    script: Callable[[Dispatcher, Told], None], module: type[Controller] = Controller
+) -> tuple[Dispatcher, Told]:
+    """Run a script that posts, and let the dispatcher take all of it."""
 
-    async def scene() -> tuple[Decider, Told]:
+    async def scene() -> tuple[Dispatcher, Told]:
         told = Told()
-        decider = Decider(module(settings_from(SETTINGS), 1), lambda listed, decider: told, 10)
-        decider.now = AHEAD  # ahead of the system's clock, which must not run backwards for the decisions
-        decider.follow(Notice(1, True, (Listed(entry("s-1", 0), "127.0.0.1", 1),)))
-        script(decider, told)
-        task = asyncio.create_task(decider.run())
-        while not decider.mailbox.empty():
+        dispatcher = Dispatcher(module(settings_from(SETTINGS), 1), lambda listed, dispatcher: told, 10)
+        dispatcher.now = AHEAD  # ahead of the system's clock, which must not run backwards for the decisions
+        dispatcher.apply_list(Notice(1, True, (Listed(entry("s-1", 0), "127.0.0.1", 1),)))
+        script(dispatcher, told)
+        task = asyncio.create_task(dispatcher.run())
+        while not dispatcher.mailbox.empty():
             await asyncio.sleep(0)
         task.cancel()
-        return decider, told
+        return dispatcher, told
 
     return asyncio.run(scene())
 
@@ -96,48 +99,48 @@
 
     async def scene() -> Told:
         told = Told()
-        decider = Decider(Counting(settings_from(SETTINGS), 1), lambda listed, decider: told, 10)
-        decider.post(offer(told))
-        task = asyncio.create_task(decider.run())
+        dispatcher = Dispatcher(Counting(settings_from(SETTINGS), 1), lambda listed, dispatcher: told, 10)
+        dispatcher.post(offer(told))
+        task = asyncio.create_task(dispatcher.run())
         while len(ticks) < 2:  # the offer, then the timer that was asked for before the fault
             await asyncio.sleep(0.001)
         task.cancel()
-        assert not decider.calls and not decider.by_id and decider.open_calls == 0
+        assert not dispatcher.calls and not dispatcher.by_id and dispatcher.open_calls == 0
         return told
 
     assert asyncio.run(asyncio.wait_for(scene(), 15)).calls == [("fail", CALL)]
 
 
 def test_an_answer_crossing_the_callers_give_up_reaches_nobody() -> None:
-    def script(decider: Decider, told: Told) -> None:
+    def script(dispatcher: Dispatcher, told: Told) -> None:
         for item in (offer(told), GiveUp(CALL), stood(), ended(Ending.CANCELLED)):
-            decider.post(item)
+            dispatcher.post(item)
 
-    decider, told = play(script)
+    dispatcher, told = play(script)
     assert told.calls == []
     assert told.orders[-1] == Withdraw(1, 0, CALL, hang_up=True)
-    assert not decider.calls and decider.open_calls == 0
+    assert not dispatcher.calls and dispatcher.open_calls == 0
 
 
 def test_each_call_gets_one_answer_whatever_comes_after() -> None:
-    def script(decider: Decider, told: Told) -> None:
+    def script(dispatcher: Dispatcher, told: Told) -> None:
         items = (offer(told), stood(), stood(), offer(told), ended(Ending.DELIVERED), ended(Ending.CUT))
         for item in (*items, offer(told)):
-            decider.post(item)
+            dispatcher.post(item)
 
-    decider, told = play(script)
+    dispatcher, told = play(script)
     assert told.calls == [("answer", CALL, b"good"), ("release", CALL, False), ("refuse", CALL)]
-    assert not decider.calls
+    assert not dispatcher.calls
 
 
 def test_an_id_that_another_caller_used_is_refused_while_it_is_open_and_free_later() -> None:
     """Guards against silence towards a caller that comes by an id that was another's: both get their word."""
     other = Told()
 
-    def script(decider: Decider, told: Told) -> None:
+    def script(dispatcher: Dispatcher, told: Told) -> None:
         for item in (offer(told), offer(other), stood(), ended(Ending.DELIVERED), offer(other)):
-            decider.post(item)
-        decider.post(Stood(2, 0, "s-1", 20.0, b"good"))
+            dispatcher.post(item)
+        dispatcher.post(Stood(2, 0, "s-1", 20.0, b"good"))
 
     assert play(script)[1].calls == [("answer", CALL, b"good"), ("release", CALL, False)]
     assert other.calls == [("refuse", CALL), ("answer", CALL, b"good")]
@@ -146,10 +149,10 @@
 def test_a_call_given_up_may_come_again_and_is_answered() -> None:
     """Guards against silence towards a caller whose connection broke and who sends the set-up once more."""
 
-    def script(decider: Decider, told: Told) -> None:
+    def script(dispatcher: Dispatcher, told: Told) -> None:
         for item in (offer(told), GiveUp(CALL), ended(Ending.CANCELLED), offer(told)):
-            decider.post(item)
-        decider.post(Stood(2, 0, "s-1", 20.0, b"good"))
+            dispatcher.post(item)
+        dispatcher.post(Stood(2, 0, "s-1", 20.0, b"good"))
 
     assert play(script)[1].calls == [("answer", CALL, b"good")]
 
@@ -162,7 +165,7 @@
             times.append(now)
             return super().handle(now, event)
 
-    play(lambda decider, told: decider.post(offer(told, left=1e16)), Timed)
+    play(lambda dispatcher, told: dispatcher.post(offer(told, left=1e16)), Timed)
     assert times == sorted(times) and times[-1] >= AHEAD
 
 
@@ -174,8 +177,8 @@
                 actions.append(CancelAttempt(event.ref, event.attempt))
             return actions
 
-    def script(decider: Decider, told: Told) -> None:
-        decider.post(offer(told))
-        decider.post(stood())
+    def script(dispatcher: Dispatcher, told: Told) -> None:
+        dispatcher.post(offer(told))
+        dispatcher.post(stood())
 
     assert play(script, Withdrawing)[1].orders[-1] == Withdraw(1, 0, CALL, hang_up=False)
--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martentide.carriage import Presence
+from martentide.attempt_messages import Presence
 from martentide.codec.messages import Type, write_message
 from martentide.net.links import UNREAD, Link, LinkEnded, Received
 
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -209,11 +209,11 @@
     async def scene() -> None:
         callers = Callers(100, lambda item: None)
         callers.beside(lambda left: None, 70)
-        assert callers.door.most == 30
+        assert callers.client_connections.most == 30
         callers.beside(lambda left: None, 99)
-        assert callers.door.most == LEAST_DOOR
+        assert callers.client_connections.most == LEAST_DOOR
         callers.orphaned()
-        assert callers.door.most == 100
+        assert callers.client_connections.most == 100
 
     asyncio.run(scene())
 
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -17,9 +17,9 @@
 from martentide.codec.messages import Cause, Code, Message, Type, split, write_message, write_release
 from martentide.handover.wire import MovedLink
 from martentide.net.callers import Callers
-from martentide.net.decider import ANSWER_AHEAD
-from martentide.net.door import Door
-from martentide.net.endings import Reason
+from martentide.net.client_connections import ClientConnections
+from martentide.net.close_reason import CloseReason
+from martentide.net.dispatcher import ANSWER_AHEAD
 from martentide.net.links import Link
 from tests.net.support import LIMIT, Program, Wire
 from tests.net.test_gone_clients import GOES, A, B
@@ -144,23 +144,23 @@
         await asyncio.get_running_loop().sock_connect(peer, self.server.sockets[0].getsockname())
         self.reader, self.writer = await asyncio.open_connection(sock=peer, limit=1)
         self.callers._party("127.0.0.1").welcome(*await accepted)
-        await self.until(lambda: bool(self.door.open))
+        await self.until(lambda: bool(self.client_connections.open))
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.writer.close()
         self.server.close()
-        for link in list(self.door.open):
-            link.close(Reason.SHUTDOWN)
+        for link in list(self.client_connections.open):
+            link.close(CloseReason.SHUTDOWN)
         await self.until(lambda: not self.callers.parties)
 
     @property
-    def door(self) -> Door:
-        return self.callers.door
+    def client_connections(self) -> ClientConnections:
+        return self.callers.client_connections
 
     @property
     def link(self) -> Link:
-        return next(iter(self.door.open))
+        return next(iter(self.client_connections.open))
 
     def move_out(self) -> None:
         self.callers.yield_to(lambda frame, _: self.moved.append(frame))  # type: ignore[arg-type]
--- a/tests/overload/test_cut.py
+++ b/tests/overload/test_admission_threshold.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martentide.overload.cut import TURNS, draw, shares
+from martentide.overload.admission_threshold import TURNS, draw, shares
 
 WORTHS = {"status": 1.0, "prep": 2.0, "sign": 6.0}
 
--- a/tests/overload/test_core.py
+++ b/tests/overload/test_core.py
@@ -18,7 +18,7 @@
 )
 from martentide.overload.core import ALONE, APART, DEPTH, PURSE, REDIAL, REPEAT_SHARE, WOKEN, Overload
 from martentide.overload.level import PRESSED, Phase
-from martentide.overload.words import END, MOST_SERVERS, Gift, Load, Pressed, read_load, write_load
+from martentide.overload.messages import END, MOST_SERVERS, Gift, Load, Pressed, read_load, write_load
 
 WORTHS = {"status": 1.0, "sign": 6.0}
 SERVERS = [f"s{at}" for at in range(4)]
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -14,7 +14,7 @@
     RepeatBudget,
     SendSetUp,
 )
-from martentide.overload.cut import draw
+from martentide.overload.admission_threshold import draw
 from tests.support import SETTINGS, Bench, finals, sends
 
 CUT = Admission((("plain", 0.5), ("urgent", 1.0)), 0.6, 1.0, 3, 1_200.0, 2_000.0)
--- a/tests/overload/test_escrow.py
+++ b/tests/overload/test_escrow.py
@@ -10,7 +10,7 @@
 import pytest
 
 from martentide.overload import escrow
-from martentide.overload.words import MOST_GIFTS, Gift
+from martentide.overload.messages import MOST_GIFTS, Gift
 
 STEP = 1_300.0  # ms of the search's clock: gifts end in two steps, and are settled after four
 MEMBERS = ("a", "b", "c")
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -12,7 +12,7 @@
 from martentide.net.fleet.show import table
 from martentide.net.links import unix_ms
 from martentide.overload.core import DEPTH, PURSE, REPEAT_SHARE
-from martentide.overload.words import LOAD, Load, Pressed, write_load
+from martentide.overload.messages import LOAD, Load, Pressed, write_load
 from martentide_lab.checker import check_repeats, cold_use
 from martentide_lab.fleet.ghost import Ghost
 from martentide_lab.fleet.rig import Rig
