--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -42,7 +42,7 @@
         self.sent = self.datagrams = 0
         self.now = 0.0
         first = self.words[0]
-        news = Datagram(Kind.LACKING, first, self.core.me.life, 0, members=self.words[1:])
+        news = Datagram(Kind.MISSING, first, self.core.me.life, 0, members=self.words[1:])
         self._feed(Heard(news))
 
     def _feed(self, event: Heard | Due) -> None:
@@ -74,10 +74,10 @@
                 probed = self.now
                 other = self.rng.choice(self.words)
                 self._say(Datagram(Kind.PING, other, self.core.me.life, int(self.now), probe=1))
-            if self.now - compared >= self.core.terms.sync_gap:
+            if self.now - compared >= self.core.terms.sync_interval:
                 compared = self.now
                 other = self.rng.choice(self.words)
-                digest = [one ^ differing for one in self.core._sums()]
+                digest = [one ^ differing for one in self.core._digest()]
                 self._say(Datagram(Kind.DIGEST, other, self.core.me.life, int(self.now), digest=digest))
 
 
--- a/martentide/fleet/events.py
+++ b/martentide/fleet/events.py
@@ -29,7 +29,7 @@
 
     kind: int
     schema: int
-    end: int
+    max_age: int
     body: bytes
 
 
@@ -83,10 +83,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Late:
+class Stalled:
     """This process did not run for ``span`` ms: it doubts itself and accuses nobody for what came of that."""
 
-    span: float
+    duration: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +101,7 @@
 class TableFull:
     """Members beyond ``most`` are not taken up (``Terms.most_members``); said again after FULL_GAP."""
 
-    most: int
+    limit: int
 
 
-Action = Send | Changed | Learned | Displaced | Late | Carried | TableFull
+Action = Send | Changed | Learned | Displaced | Stalled | Carried | TableFull
--- a/martentide/fleet/table.py
+++ b/martentide/fleet/table.py
@@ -15,31 +15,31 @@
 
 @dataclass(slots=True)
 class StoredEntry:
-    word: StateEntry
-    at: float  # when it had the age in the word
+    entry: StateEntry
+    recorded_at: float  # when it had the age in the word
 
     def age(self, now: float) -> float:
-        return self.word.age + (now - self.at)
+        return self.entry.age + (now - self.recorded_at)
 
-    def counts(self, now: float) -> bool:
-        return bool(self.word.body) and self.age(now) < self.word.end
+    def is_valid(self, now: float) -> bool:
+        return bool(self.entry.body) and self.age(now) < self.entry.max_age
 
 
 @dataclass(slots=True)
-class Member:
+class KnownMember:
     """Another member as this one knows it. Times with ``own`` are of the clock that stands still while this
     process does."""
 
     record: MemberRecord
     since: float
-    heard: float  # own clock of its last datagram or of the news of it
+    last_received_at: float  # own clock of its last datagram or of the news of it
     accusers: set[Name] = field(default_factory=set)
-    suspect_own: float = 0.0
+    suspected_at: float = 0.0
     stamp: int = -1
-    stamp_at: float = 0.0
+    stamp_received_at: float = 0.0
     stamp_life: int = 0
-    facets: dict[int, StoredEntry] = field(default_factory=dict)
-    counted: int = 0  # what of it is in the sums
+    entries: dict[int, StoredEntry] = field(default_factory=dict)
+    checksum: int = 0  # what of it is in the sums
 
     @property
     def state(self) -> State:
@@ -60,20 +60,20 @@
     name: Name
     life: int
     number: int
-    helpers_due: float | None  # own clock
-    end: float
-    helpers: int = 0
+    indirect_due: float | None  # own clock
+    deadline: float
+    indirect_probes: int = 0
     nacks: int = 0
 
 
 @dataclass(slots=True)
-class Relay:
-    asker: Name
-    probe: int
+class RelayedProbe:
+    requester: Name
+    probe_number: int
     target: Name
-    end: float
+    deadline: float
 
 
 @functools.lru_cache(4096)
-def bucket(name: Name) -> int:
+def bucket_of(name: Name) -> int:
     return zlib.crc32(name.encode()) % BUCKETS
--- a/martentide/fleet/terms.py
+++ b/martentide/fleet/terms.py
@@ -14,27 +14,35 @@
 
     period: float = 200.0  # between two probes of this member
     probe_timeout: float = 90.0  # for an answer to a direct probe, before others are asked to try
-    helpers: int = 4  # members that are asked to try
+    indirect_probes: int = 4  # members that are asked to try
     suspicion_least: float = 1_200.0  # a stop of half a second must end before it
     suspicion_most: float = 2_400.0  # without a second accuser
     accusers: int = 3  # independent ones that bring suspicion down to its least
     gossip_gap: float = 100.0  # between two rounds of news, while there is any
     fanout: int = 3  # members a round goes to
     transmissions: float = 1.5  # times log2 of the fleet's size that a piece of news is sent
-    brief_end: float = 4_000.0  # ms: a facet that ends by then is told ``brief_rounds`` times by each member:
-    brief_rounds: int = 2  # the next word comes sooner than a repetition would help
-    sync_gap: float = 1_000.0  # between two comparisons with one other member
-    reach_gap: float = 1_000.0  # between two tries at one that is dead, past, or a seed not heard of
-    kept_dead: float = 120_000.0  # a dead or departed member is remembered, so that old word can't raise it
-    past: int = 256  # addresses of the dead beyond that, still tried now and then
+    short_lived_max_age: float = (
+        4_000.0  # ms: a facet that ends by then is told ``brief_rounds`` times by each member:
+    )
+    short_lived_rounds: int = 2  # the next word comes sooner than a repetition would help
+    sync_interval: float = 1_000.0  # between two comparisons with one other member
+    rejoin_interval: float = 1_000.0  # between two tries at one that is dead, past, or a seed not heard of
+    dead_retention: float = (
+        120_000.0  # a dead or departed member is remembered, so that old word can't raise it
+    )
+    max_former_addresses: int = 256  # addresses of the dead beyond that, still tried now and then
     stall: float = 150.0  # own lateness from which a member doubts itself
-    cut_off: float = 2_000.0  # without a word from anybody, after which a member takes itself for cut off
-    most_health: int = 4  # steps of own doubt; two make probes slower by a period, four double suspicion
+    isolation_timeout: float = (
+        2_000.0  # without a word from anybody, after which a member takes itself for cut off
+    )
+    max_health_multiplier: int = (
+        4  # steps of own doubt; two make probes slower by a period, four double suspicion
+    )
     bytes_s: float = 5_000.0  # of news and comparisons that a member sends at most; probes come on top
     burst_bytes: float = 8_000.0
     most_members: int = 2_048
-    most_facets: int = 8  # of one member
-    most_body: int = 480  # bytes of a facet
+    max_entries: int = 8  # of one member
+    max_entry_bytes: int = 480  # bytes of a facet
 
     def suspicion(self, members: int, accusers: int, health: int) -> float:
         """How long a suspect may refute, by the accusers that agree (Lifeguard's formula)."""
--- a/martentide/fleet/wire.py
+++ b/martentide/fleet/wire.py
@@ -51,13 +51,13 @@
 class Kind(IntEnum):
     PING = 1  # answer me
     ACK = 2
-    ASK_PING = 3  # ping ``target`` for me
+    PING_REQUEST = 3  # ping ``target`` for me
     NACK = 4  # I tried, it has not answered yet: I am well at least
-    NEWS = 5
+    GOSSIP = 5
     DIGEST = 6  # sums of all that I know, bucket by bucket
     VERSIONS = 7  # what I hold of the buckets that differ; send what I lack
-    LACKING = 8  # what you lack by a comparison: none of it is news
-    CARRY = 9  # ``body`` is for another part of the process; nothing of it is spread
+    MISSING = 8  # what you lack by a comparison: none of it is news
+    PAYLOAD = 9  # ``body`` is for another part of the process; nothing of it is spread
 
 
 Name = str
@@ -92,7 +92,7 @@
     counter: int
     schema: int
     age: int
-    end: int  # ms of age from which it counts for nothing
+    max_age: int  # ms of age from which it counts for nothing
     body: bytes
 
     @property
@@ -100,7 +100,7 @@
         return (self.generation, self.counter)
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class HeldVersions(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """What a member holds of another: its word's place and the facets' counters."""
 
     name: Name
@@ -108,7 +108,7 @@
     life: int
     incarnation: int
     state: int
-    facets: dict[int, int]
+    counters: dict[int, int]
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True, gc=False):
@@ -120,14 +120,14 @@
     to: int  # life of the process meant, 0 where it is not known
     stamp: int
     echo: int = -1  # -1: none
-    kept: int = 0
+    echo_delay: int = 0
     probe: int = 0
     target: Name = ""
     members: list[MemberRecord] = []
-    facets: list[StateEntry] = []
+    entries: list[StateEntry] = []
     digest: list[int] = []
     buckets: list[int] = []
-    held: list[Held] = []
+    held: list[HeldVersions] = []
     body: bytes = b""
 
 
@@ -173,25 +173,25 @@
             said = _DECODER.decode(self.open(data))
         except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
             raise DatagramError(DatagramFault.MALFORMED) from None
-        if not sound(said):
+        if not is_plausible(said):
             raise DatagramError(DatagramFault.MALFORMED)
         return said
 
 
-def sound(said: Datagram) -> bool:
+def is_plausible(said: Datagram) -> bool:
     """Whether all figures are such as a member could have said: a liar may not fill tables with the rest."""
-    if said.kept < 0 or not _sound_member(said.sender):
+    if said.echo_delay < 0 or not _is_plausible_record(said.sender):
         return False
     for word in said.members:
-        if not _sound_member(word):
+        if not _is_plausible_record(word):
             return False
-    for facet in said.facets:
-        if not _sound_facet(facet):
+    for facet in said.entries:
+        if not _is_plausible_entry(facet):
             return False
-    return all(1 <= len(one.name) <= 64 and len(one.facets) <= 64 for one in said.held)
+    return all(1 <= len(one.name) <= 64 and len(one.counters) <= 64 for one in said.held)
 
 
-def _sound_member(word: MemberRecord) -> bool:
+def _is_plausible_record(word: MemberRecord) -> bool:
     return (
         1 <= len(word.name) <= 64
         and len(word.zone) <= 64
@@ -205,26 +205,26 @@
     )
 
 
-def _sound_facet(word: StateEntry) -> bool:
+def _is_plausible_entry(word: StateEntry) -> bool:
     return (
         1 <= len(word.owner) <= 64
         and 0 <= word.kind < 256
         and 0 <= word.generation < 1 << 48
         and 0 <= word.counter < 1 << 48
         and word.age >= 0
-        and 0 < word.end <= 3_600_000
+        and 0 < word.max_age <= 3_600_000
     )
 
 
-def size(entry: MemberRecord | StateEntry | Held) -> int:
+def encoded_size(entry: MemberRecord | StateEntry | HeldVersions) -> int:
     """Bytes it takes in a datagram."""
     return len(_ENCODER.encode(entry))
 
 
-def fitting(entries: Sequence[MemberRecord | StateEntry | Held], room: int) -> int:
+def count_fitting(entries: Sequence[MemberRecord | StateEntry | HeldVersions], room: int) -> int:
     """How many of them, from the first on, fit whole into the room."""
     for count, entry in enumerate(entries):
-        room -= size(entry)
+        room -= encoded_size(entry)
         if room < 0:
             return count
     return len(entries)
--- a/martentide/net/due_timer.py
+++ b/martentide/net/due_timer.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-AGAIN = 0.05  # s until the next try, where the actor's mailbox was full
+MAILBOX_RETRY_S = 0.05  # s until the next try, where the actor's mailbox was full
 
 
 class DueTimer:
@@ -25,7 +25,7 @@
         self.handle = self.loop.call_at(due, self._due)
 
     def _due(self) -> None:
-        self.handle = None if self.post() else self.loop.call_later(AGAIN, self._due)
+        self.handle = None if self.post() else self.loop.call_later(MAILBOX_RETRY_S, self._due)
 
     def cancel(self) -> None:
         if self.handle is not None:
--- a/martentide/net/fleet/member.py
+++ b/martentide/net/fleet/member.py
@@ -25,14 +25,14 @@
     Displaced,
     Due,
     Heard,
-    Late,
+    Stalled,
     Learned,
     Publish,
     Send,
     TableFull,
 )
 from martentide.fleet.events import Event as CoreEvent
-from martentide.fleet.health_check_assignment import SCHEMA, HealthCheckAssignment, look
+from martentide.fleet.health_check_assignment import SCHEMA, HealthCheckAssignment, evaluate_assignment
 from martentide.fleet.wire import DatagramError, Frame, State
 from martentide.interface import AttemptEnded, Event, ProbeEnded, RepeatBudget, Settings, Stands
 from martentide.net.close_reason import LOG, log_event
@@ -45,12 +45,15 @@
     from martentide.extras import Fleet as FleetPart
     from martentide.net.fleet.agreement_actor import AgreementActor
 
-MOST_WAITING = 512  # items in the mailbox; more is dropped, as a full socket buffer would
-AT_A_TIME = 32  # items taken before the rest of the program has its turn
-LOOK = 250.0  # ms between two looks at the duty of testing
-OPEN_TRIES, OPEN_GAP = 60, 0.05  # and s between two tries to open the endpoint
-LAST_REPEATS, LAST_LIFE = 3.0, 10_000.0  # further attempts, and ms, of one that has left the fleet
-QUIET = 1.0  # s between two lines about datagrams that were passed over
+MAX_MAILBOX_ITEMS = 512  # items in the mailbox; more is dropped, as a full socket buffer would
+ITEMS_PER_TURN = 32  # items taken before the rest of the program has its turn
+EVALUATION_INTERVAL_MS = 250.0  # ms between two looks at the duty of testing
+OPEN_ATTEMPTS, OPEN_RETRY_S = 60, 0.05  # and s between two tries to open the endpoint
+FINAL_RETRY_BUDGET, FINAL_RETRY_BUDGET_MS = (
+    3.0,
+    10_000.0,
+)  # further attempts, and ms, of one that has left the fleet
+REJECTED_LOG_INTERVAL_S = 1.0  # s between two lines about datagrams that were passed over
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,10 +92,10 @@
     def __init__(self, part: FleetPart, name: str, dispatcher: Dispatcher, seed: int) -> None:
         self.part, self.name, self.dispatcher, self.seed = part, name, dispatcher, seed
         self.loop = asyncio.get_running_loop()
-        self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MOST_WAITING)
+        self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MAX_MAILBOX_ITEMS)
         self.counts: Counter[str] = Counter()
-        self.said: Counter[str] = Counter()  # as of the last line about them
-        self.said_at = 0.0
+        self.logged_counts: Counter[str] = Counter()  # as of the last line about them
+        self.counts_logged_at = 0.0
         self.frame = Frame(part.name, part.secret)
         self.health_checks = HealthCheckAssignment(name, part.zone)
         self.overload: overload.Overload | None = None
@@ -101,11 +104,11 @@
         self.core: Membership | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.timer = DueTimer(lambda: self.post(Tick()))
-        self.looking: asyncio.TimerHandle | None = None
+        self.evaluation_timer: asyncio.TimerHandle | None = None
         self.agreement: AgreementActor | None = None
-        self.lives = 0
+        self.join_count = 0
         self.wanted = False
-        dispatcher.event_observers.append(self._overhear)
+        dispatcher.event_observers.append(self._observe_event)
 
     # ---- life -------------------------------------------------------------------------------------------
 
@@ -117,26 +120,26 @@
         without a fleet."""
         self.wanted = True
         transport: asyncio.DatagramTransport | None = None
-        for attempt in range(OPEN_TRIES):
+        for attempt in range(OPEN_ATTEMPTS):
             try:  # a predecessor lets go of the address in its own time
                 transport, _ = await self.loop.create_datagram_endpoint(
                     lambda: Endpoint(self), self.part.listen
                 )
                 break
             except OSError as error:
-                if attempt == OPEN_TRIES - 1:
+                if attempt == OPEN_ATTEMPTS - 1:
                     LOG.error("fleet-not-joined", detail=repr(error.strerror or str(error)))
                     return
-                await asyncio.sleep(OPEN_GAP)
+                await asyncio.sleep(OPEN_RETRY_S)
         assert transport is not None
         if not self.wanted or self.core is not None:
             transport.close()  # retired while it waited
             return
         self.transport = transport
         own = transport.get_extra_info("sockname")
-        self.lives += 1
+        self.join_count += 1
         address: Address = self.part.advertise or (own[0], own[1])
-        seed = self.seed ^ (self.lives << 64) ^ int(self.loop.time() * 1e9)
+        seed = self.seed ^ (self.join_count << 64) ^ int(self.loop.time() * 1e9)
         self.core = Membership(
             self.name,
             self.part.zone,
@@ -161,20 +164,20 @@
             from martentide.net.fleet.agreement_actor import AgreementActor
 
             self.agreement = AgreementActor(
-                self.part.agreement, self.name, self.dispatcher, self._carry, lambda: self.core
+                self.part.agreement, self.name, self.dispatcher, self._send_payload, lambda: self.core
             )
             await self.agreement.begin(self.core.me.life, seed)
             if self.core is None or self.agreement is None:
                 return  # retired while it read its books
         self._arm()
-        self.looking = self.loop.call_later(LOOK / 1000.0, self._post_look)
+        self.evaluation_timer = self.loop.call_later(EVALUATION_INTERVAL_MS / 1000.0, self._post_evaluation)
 
     def retire(self) -> None:
         """Fall silent without a word: a successor takes the name over."""
         self.wanted = False
         self.timer.cancel()
-        if self.looking is not None:
-            self.looking.cancel()
+        if self.evaluation_timer is not None:
+            self.evaluation_timer.cancel()
         if self.transport is not None:
             self.transport.close()
         if self.agreement is not None:
@@ -183,9 +186,9 @@
         if self.core is not None:
             log_event("fleet-retired")
         if self.overload is not None:
-            self.dispatcher.post(RepeatBudget(LAST_REPEATS, LAST_LIFE))
+            self.dispatcher.post(RepeatBudget(FINAL_RETRY_BUDGET, FINAL_RETRY_BUDGET_MS))
             self.overload = None
-        self.core = self.transport = self.looking = None
+        self.core = self.transport = self.evaluation_timer = None
 
     def depart(self) -> None:
         """Tell the others, then fall silent."""
@@ -199,10 +202,10 @@
         while True:
             item = await self.mailbox.get()
             taken += 1
-            if taken % AT_A_TIME == 0:
+            if taken % ITEMS_PER_TURN == 0:
                 await asyncio.sleep(0)
             try:
-                self._take(item)
+                self._handle_item(item)
             except Exception:  # one strange word must not end the membership
                 LOG.exception("internal-error fleet", item=type(item).__name__)
             if self.core is not None:
@@ -218,17 +221,19 @@
 
     # ---- items ------------------------------------------------------------------------------------------
 
-    def _take(self, item: Item) -> None:
+    def _handle_item(self, item: Item) -> None:
         if self.core is None:
             return
         match item:
             case bytes():
-                self._read(item)
+                self._receive_datagram(item)
             case Tick():
                 self._feed(Due())
             case Look():
-                self._look()
-                self.looking = self.loop.call_later(LOOK / 1000.0, self._post_look)
+                self._evaluate()
+                self.evaluation_timer = self.loop.call_later(
+                    EVALUATION_INTERVAL_MS / 1000.0, self._post_evaluation
+                )
             case Seen(at, event):
                 self.health_checks.observe(at, event)
 
@@ -236,27 +241,29 @@
         assert self.core is not None
         self.timer.arm(self.core.due / 1000.0)
 
-    def _post_look(self) -> None:
+    def _post_evaluation(self) -> None:
         if self.mailbox.full():
-            self.looking = self.loop.call_later(LOOK / 1000.0, self._post_look)
+            self.evaluation_timer = self.loop.call_later(
+                EVALUATION_INTERVAL_MS / 1000.0, self._post_evaluation
+            )
         else:
             self.post(Look())
 
-    def _read(self, data: bytes) -> None:
+    def _receive_datagram(self, data: bytes) -> None:
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(data)
         try:
             said = self.frame.read(data)
         except DatagramError as error:
-            self._passed_over(error.why.value)
+            self._count_rejected(error.why.value)
             return
         self._feed(Heard(said))
 
-    def _passed_over(self, why: str) -> None:
+    def _count_rejected(self, why: str) -> None:
         self.counts[why] += 1
         now = self.loop.time()
-        if now - self.said_at >= QUIET:
-            self.said_at = now
+        if now - self.counts_logged_at >= REJECTED_LOG_INTERVAL_S:
+            self.counts_logged_at = now
             kinds = (
                 "strange",
                 "other-fleet",
@@ -266,8 +273,8 @@
                 "oversized",
                 "overrun",
             )
-            new = {kind: self.counts[kind] - self.said[kind] for kind in kinds}
-            self.said = Counter(self.counts)
+            new = {kind: self.counts[kind] - self.logged_counts[kind] for kind in kinds}
+            self.logged_counts = Counter(self.counts)
             log_event(
                 "fleet-passed-over", **{kind.replace("-", "_"): count for kind, count in new.items() if count}
             )
@@ -275,9 +282,9 @@
     def _feed(self, event: CoreEvent) -> None:
         assert self.core is not None
         for action in self.core.handle(self._now(), event):
-            self._act(action)
+            self._execute(action)
 
-    def _act(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Send(address, datagram):
                 data = self.frame.write(datagram)
@@ -303,7 +310,7 @@
                 )  # fmt: skip
             case TableFull(most):
                 LOG.warning("fleet-full", most_members=most)
-            case Late(span):
+            case Stalled(span):
                 self.counts["late"] += 1
                 log_event("fleet-late", ms=round(span))
 
@@ -312,7 +319,7 @@
         if self.agreement is not None:
             self.agreement.propose_file()
 
-    def _carry(self, to: str, body: bytes) -> None:
+    def _send_payload(self, to: str, body: bytes) -> None:
         """A part of a word of agreement, for one member."""
         if self.core is not None:
             self._feed(Carry(to, body))
@@ -320,7 +327,7 @@
 
     # ---- duty of testing --------------------------------------------------------------------------------
 
-    def _overhear(self, at: float, event: Event) -> None:
+    def _observe_event(self, at: float, event: Event) -> None:
         """Runs in the dispatcher's turn: only counts, and posts only of servers that somebody doubts."""
         if self.overload is not None:
             self.overload.observe(self._now(), event)
@@ -329,18 +336,18 @@
         ):
             self.post(Seen(self._now(), event))
 
-    def _look(self) -> None:
+    def _evaluate(self) -> None:
         core = self.core
         assert core is not None
         now = self._now()
-        outlook, bad = look(core, self.health_checks, now, self.dispatcher.controller.servers)
+        outlook, bad = evaluate_assignment(core, self.health_checks, now, self.dispatcher.controller.servers)
         if bad:
-            self._passed_over("malformed")
-        for kind, end, body in outlook.facets:
+            self._count_rejected("malformed")
+        for kind, end, body in outlook.entries:
             self._feed(Publish(kind, SCHEMA, end, body))
         for event in outlook.events:
             self.dispatcher.post(event)
-        for name in outlook.tests:
+        for name in outlook.health_checks:
             if (actor := self.dispatcher.servers.get(name)) is not None:
                 actor.post(Probing())
         if self.overload is not None:
@@ -362,7 +369,7 @@
         purse = controller.repeats if limited else 0.0
         outcome, bad = overload.look(core, part, now, controller.servers, purse)
         if bad:
-            self._passed_over("malformed")
+            self._count_rejected("malformed")
         for one in outcome.events:
             self.dispatcher.post(one)
         if outcome.word is not None and not core.silent:
@@ -385,25 +392,25 @@
         members = []
         for member in core.members.values():
             facets = [
-                {"kind": kind, "schema": one.word.schema, "counter": one.word.counter,
-                 "age": round(one.age(now)), "end": one.word.end, "bytes": len(one.word.body)}
-                for kind, one in sorted(member.facets.items())
+                {"kind": kind, "schema": one.entry.schema, "counter": one.entry.counter,
+                 "age": round(one.age(now)), "end": one.entry.max_age, "bytes": len(one.entry.body)}
+                for kind, one in sorted(member.entries.items())
             ]  # fmt: skip
             members.append(
                 {"name": member.record.name, "zone": member.record.zone, "state": member.state.name.lower(),
                  "address": f"{member.record.host}:{member.record.port}",
                  "generation": member.record.generation,
-                 "incarnation": member.record.incarnation, "heard": round(core.own - member.heard),
-                 "since": round(core.own - member.since), "accusers": sorted(member.accusers),
+                 "incarnation": member.record.incarnation, "heard": round(core.running_now - member.last_received_at),
+                 "since": round(core.running_now - member.since), "accusers": sorted(member.accusers),
                  "facets": facets}
             )  # fmt: skip
         state = "displaced" if core.silent else "joining" if core.joining else "alive"
         return json.dumps(
             {"fleet": self.part.name, "name": self.name, "zone": self.part.zone, "state": state,
-             "generation": core.me.generation, "incarnation": core.me.incarnation, "health": core.health,
+             "generation": core.me.generation, "incarnation": core.me.incarnation, "health": core.health_multiplier,
              "counts": dict(self.counts + core.counts),
              "overload": None if self.overload is None else self.overload.status(now),
              "members": sorted(members, key=lambda m: str(m["name"])),
-             "tests_left_to_others": sorted(self.health_checks.last_duty.no_tests),
-             "trials_left_to_others": sorted(self.health_checks.last_duty.no_trials)}
+             "tests_left_to_others": sorted(self.health_checks.last_assignment.no_tests),
+             "trials_left_to_others": sorted(self.health_checks.last_assignment.no_trials)}
         )  # fmt: skip
--- a/martentide/net/fleet/show.py
+++ b/martentide/net/fleet/show.py
@@ -9,7 +9,7 @@
 
 from martentide.lifecycle.calls import FLEET, PROPOSE, VERSIONS
 
-LIMIT = 3.0  # s
+REQUEST_TIMEOUT_S = 3.0  # s
 
 
 class QueryError(Exception):
@@ -22,7 +22,7 @@
     host, colon, port = operator.rpartition(":")
     if not colon or not host or not port.isdecimal():
         raise QueryError("expected HOST:PORT")
-    connection = http.client.HTTPConnection(host, int(port), timeout=LIMIT)
+    connection = http.client.HTTPConnection(host, int(port), timeout=REQUEST_TIMEOUT_S)
     try:
         connection.request("GET" if body is None else "POST", path, body)
         answer = connection.getresponse()
@@ -36,17 +36,17 @@
     return text.strip()
 
 
-def propose(operator: str, said: dict[str, Any], patience: float, path: str = PROPOSE) -> dict[str, Any]:
+def propose(operator: str, proposal: dict[str, Any], timeout: float, path: str = PROPOSE) -> dict[str, Any]:
     """Propose a version there (or what ``path`` takes) and wait for its verdict, for so many s; raises
     QueryError."""
-    number = query(operator, path, json.dumps(said).encode())
-    end = time.monotonic() + patience
+    number = query(operator, path, json.dumps(proposal).encode())
+    end = time.monotonic() + timeout
     while time.monotonic() < end:
         verdict: dict[str, Any] | None = json.loads(query(operator, VERSIONS))["verdicts"].get(number)
         if verdict is not None:
             return verdict
         time.sleep(0.1)
-    raise QueryError(f"nothing is known of it after {patience:g} s")
+    raise QueryError(f"nothing is known of it after {timeout:g} s")
 
 
 def rules_of(said: dict[str, Any], number: int) -> dict[str, Any]:
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -18,7 +18,7 @@
     Displaced,
     Due,
     Heard,
-    Late,
+    Stalled,
     Learned,
     Publish,
     Send,
@@ -114,7 +114,7 @@
             assert node.core is not None
             teller = words[0] if words[0].name != name else words[1]
             rest = [word for word in words if word.name != name]
-            self.feed(name, Heard(Datagram(Kind.LACKING, teller, node.core.me.life, 0, members=rest)))
+            self.feed(name, Heard(Datagram(Kind.MISSING, teller, node.core.me.life, 0, members=rest)))
 
     # ---- processes --------------------------------------------------------------------------------------
 
@@ -245,7 +245,7 @@
                 self._log("facet", node.name, word.owner, facet=word.kind, counter=word.counter, age=word.age)
             case Displaced(by):
                 self._log("displaced", node.name, by.name, life=by.life)
-            case Late(span):
+            case Stalled(span):
                 self._log("late", node.name, node.name, span=span)
         for observe in self.observers:
             observe(node.name, action)
--- a/martentide_lab/sim.py
+++ b/martentide_lab/sim.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from martentide.fleet.health_check_assignment import HealthCheckAssignment, look
+from martentide.fleet.health_check_assignment import HealthCheckAssignment, evaluate_assignment
 from martentide.interface import (
     Action,
     AttemptEnded,
@@ -171,12 +171,12 @@
         if node.core is None or node.stopped:
             return
         now = node.clock(self.now)
-        outlook, _ = look(node.core, self.duties[at], now, self.controllers[at].servers)
-        for kind, end, body in outlook.facets:
+        outlook, _ = evaluate_assignment(node.core, self.duties[at], now, self.controllers[at].servers)
+        for kind, end, body in outlook.entries:
             self.fleet.publish(name, kind, body, end)
         for event in outlook.events:
             self.feed(at, event)
-        for server in outlook.tests:
+        for server in outlook.health_checks:
             self._probe(at, server)
         if self.overloads:
             self._shed(at, now)
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -32,7 +32,7 @@
 def tell(
     core: Membership, now: float, *words: MemberRecord, sender: MemberRecord | None = None, **more: object
 ) -> list:  # type: ignore[type-arg]
-    said = Datagram(Kind.NEWS, sender or word(), 11, 0, members=list(words), **more)  # type: ignore[arg-type]
+    said = Datagram(Kind.GOSSIP, sender or word(), 11, 0, members=list(words), **more)  # type: ignore[arg-type]
     return core.handle(now, Heard(said))
 
 
@@ -82,7 +82,7 @@
 def test_it_refutes_what_is_said_of_itself_and_begins_anew_above_a_former_life() -> None:
     core = member()
     tell(core, 1.0, word("a", State.SUSPECT, 4, life=11, by="b", port=AT[1]))
-    assert (core.me.incarnation, core.me.state, core.health) == (5, State.ALIVE, 1)
+    assert (core.me.incarnation, core.me.state, core.health_multiplier) == (5, State.ALIVE, 1)
     tell(core, 2.0, word("a", State.DEAD, 7, life=10, generation=6, port=AT[1]))
     assert (core.me.generation, core.me.incarnation) == (7, 1)
 
@@ -102,7 +102,7 @@
 
 
 def tell_facet(core: Membership, now: float, facet: StateEntry, echo: int, kept: int = 0) -> list[Learned]:
-    said = Datagram(Kind.NEWS, word(), 11, 0, echo, kept, facets=[facet])
+    said = Datagram(Kind.GOSSIP, word(), 11, 0, echo, kept, entries=[facet])
     while core.due < now:  # so that the time gone by is not taken for an own stop
         core.handle(core.due, Due())
     return [action for action in core.handle(now, Heard(said)) if isinstance(action, Learned)]
@@ -123,7 +123,7 @@
         core = fleet.nodes[name].core
         if core is not None and not fleet.nodes[name].stopped:
             fleet.publish(name, 3, b"v", end=60_000)
-            born[(name, core.facets[3].word.counter)] = fleet.now
+            born[(name, core.own_entries[3].entry.counter)] = fleet.now
         one = dice.choice(list(fleet.nodes))
         (fleet.wake if fleet.nodes[one].stopped else fleet.stop)(one)
     for name in fleet.nodes:
@@ -152,17 +152,17 @@
 
 
 def test_tables_have_their_bounds() -> None:
-    core = Membership("a", "z", AT, (), Terms(most_members=10, past=5), 1, 0.0)
+    core = Membership("a", "z", AT, (), Terms(most_members=10, max_former_addresses=5), 1, 0.0)
     for at in range(50):
         tell(core, 1.0, sender=word(f"m{at}", life=100 + at, port=8_000 + at))
     assert len(core.members) == 10 and core.counts["no-room"] == 40
     for kind in range(30):
         said = Datagram(
-            Kind.NEWS, word("m0", life=100, port=8_000), core.me.life, 0, 0, 0,
-            facets=[StateEntry("m0", 1, 100, kind, 1, 1, 0, 9_000, b"x")],
+            Kind.GOSSIP, word("m0", life=100, port=8_000), core.me.life, 0, 0, 0,
+            entries=[StateEntry("m0", 1, 100, kind, 1, 1, 0, 9_000, b"x")],
         )  # fmt: skip
         core.handle(1.0, Heard(said))
-    assert len(core.members["m0"].facets) == core.terms.most_facets
+    assert len(core.members["m0"].entries) == core.terms.max_entries
     with pytest.raises(ValueError, match="facet 9"):
         core.handle(1.0, Publish(9, 1, 1_000, bytes(481)))
 
@@ -171,7 +171,7 @@
     core = member()
     tell(core, 1.0, word("c", life=33, port=7_003))
     core.handle(core.due + 100_000.0, Due())
-    assert not core.members and core.joining and core.past
+    assert not core.members and core.joining and core.former_addresses
 
 
 def test_who_stood_still_accuses_nobody() -> None:
@@ -188,8 +188,8 @@
 
 # ---- planted faults: the checker finds each by what others saw ------------------------------------------
 
-REACH = Membership._reach
-BETTER = Membership._better_word
+REACH = Membership._rejoin
+BETTER = Membership._apply_newer_record
 Plant = Callable[[pytest.MonkeyPatch], None]
 KILL = (Step(5_000, "kill", ("n1",)),)
 STOP = tuple(
@@ -200,14 +200,14 @@
 SPLIT = (Step(5_000, "split", ("n0,n1", "n2,n3")), Step(12_000, "heal"))
 PLANTED: dict[str, tuple[str, Plant, tuple[Step, ...], float]] = {
     "buries nobody": (
-        "found-dead", lambda m: m.setattr(Membership, "_bury", lambda *_: None), KILL, 0.0),
+        "found-dead", lambda m: m.setattr(Membership, "_mark_dead", lambda *_: None), KILL, 0.0),
     "refutes nothing": (
-        "not-accused", lambda m: m.setattr(Membership, "_about_me", lambda *_: None), (), 0.2),
+        "not-accused", lambda m: m.setattr(Membership, "_apply_own_record", lambda *_: None), (), 0.2),
     "seeks no other half": (
-        "one-fleet", lambda m: m.setattr(Membership, "_reach", lambda self, own: setattr(
-            self, "reach_due", own + 500.0) if self.members else REACH(self, own)), SPLIT, 0.0),
+        "one-fleet", lambda m: m.setattr(Membership, "_rejoin", lambda self, own: setattr(
+            self, "rejoin_due", own + 500.0) if self.members else REACH(self, own)), SPLIT, 0.0),
     "raises the dead": (
-        "not-raised", lambda m: m.setattr(Membership, "_better_word", raising), KILL, 0.0),
+        "not-raised", lambda m: m.setattr(Membership, "_apply_newer_record", raising), KILL, 0.0),
 }  # fmt: skip
 
 
@@ -236,7 +236,7 @@
 
         def raise_them() -> None:
             for core, raised in PENDING:
-                fleet.feed(core.me.name, Heard(Datagram(Kind.NEWS, raised, 0, 0)))
+                fleet.feed(core.me.name, Heard(Datagram(Kind.GOSSIP, raised, 0, 0)))
 
         fleet.later(20_000.0, raise_them)
         log = fleet.play(steps, end)
--- a/tests/fleet/test_health_check_assignment.py
+++ b/tests/fleet/test_health_check_assignment.py
@@ -9,13 +9,13 @@
 import pytest
 
 from martentide.fleet.health_check_assignment import (
-    FINDINGS,
-    FRESH,
-    HOLDERS,
-    LATEST,
+    OBSERVATIONS_KIND,
+    FRESHNESS_MS,
+    ASSIGNEES,
+    MAX_FRESHNESS_MS,
     HealthCheckAssignment,
-    Outlook,
-    read_findings,
+    AssignmentResult,
+    decode_observations,
 )
 from martentide.interface import Ending, PeerNews, Probe, ProbeEnded, Stands, TestDuty
 from tests.support import SETTINGS, Bench, sends
@@ -25,18 +25,18 @@
 
 
 def looks(world: WORLD, now: float, doubted: dict[str, list[str]], facets: dict[str, tuple[float, bytes]],
-          living: dict[str, str] | None = None) -> dict[str, Outlook]:  # fmt: skip
+          living: dict[str, str] | None = None) -> dict[str, AssignmentResult]:  # fmt: skip
     """One look of each, with the facets of all others that it can hear."""
     living = living or LIVING
     found = {}
     for name, duty in world.items():
-        others = [(now - at, read_findings(body)) for owner, (at, body) in facets.items()
+        others = [(now - at, decode_observations(body)) for owner, (at, body) in facets.items()
                   if owner != name and owner in living]  # fmt: skip
         doubts = [doubted.get(one, []) for one in living if one != name]
-        found[name] = duty.look(now, doubted.get(name, []), living, doubts, others)
+        found[name] = duty.evaluate(now, doubted.get(name, []), living, doubts, others)
     for name, outlook in found.items():
-        for kind, _, body in outlook.facets:
-            if kind == FINDINGS:
+        for kind, _, body in outlook.entries:
+            if kind == OBSERVATIONS_KIND:
                 facets[name] = (now, body)
     return found
 
@@ -49,14 +49,14 @@
     duty = HealthCheckAssignment("n0", "z0")
     holders: dict[str, int] = {}
     for at in range(600):
-        order = duty.order(f"s-{at}", LIVING)
+        order = duty.rank_members(f"s-{at}", LIVING)
         assert sorted(order) == sorted(LIVING) and LIVING[order[0]] != LIVING[order[1]]
         shuffled = dict(sorted(LIVING.items(), key=lambda _: random.Random(at).random()))
-        assert HealthCheckAssignment("n5", "z2").order(f"s-{at}", shuffled) == order
-        for name in order[:HOLDERS]:
+        assert HealthCheckAssignment("n5", "z2").rank_members(f"s-{at}", shuffled) == order
+        for name in order[:ASSIGNEES]:
             holders[name] = holders.get(name, 0) + 1
         without = {name: zone for name, zone in LIVING.items() if name != order[5]}
-        assert duty.order(f"s-{at}", without)[0] == order[0]  # who dies takes no other's duty along
+        assert duty.rank_members(f"s-{at}", without)[0] == order[0]  # who dies takes no other's duty along
     assert len(holders) == 12 and max(holders.values()) < 2.0 * min(holders.values())
 
 
@@ -64,36 +64,36 @@
 def test_tests_are_few_while_holders_speak_and_never_cease_when_they_fall_silent(gone: int) -> None:
     """``gone`` of the first in the order are dead from 10 s on, and nobody knows it yet."""
     world = world_of(LIVING)
-    order = HealthCheckAssignment("x", "").order("s0", LIVING)
+    order = HealthCheckAssignment("x", "").rank_members("s0", LIVING)
     facets: dict[str, tuple[float, bytes]] = {}
     tests: list[tuple[float, str]] = []
     for now in range(0, 30_000, 250):
         up = {name: duty for name, duty in world.items() if now < 10_000 or name not in order[:gone]}
         found = looks(up, float(now), {"n3": ["s0"], "n4": ["s0"]}, facets)
         for name, outlook in found.items():
-            held = name in ("n3", "n4") and "s0" not in up[name].last_duty.no_tests and now % 1_000 == 0
-            if "s0" in outlook.tests or held:
+            held = name in ("n3", "n4") and "s0" not in up[name].last_assignment.no_tests and now % 1_000 == 0
+            if "s0" in outlook.health_checks or held:
                 tests.append((float(now), name))
                 up[name].observe(now, ProbeEnded("s0", Ending.UNREACHABLE, False, 5.0, None))
     calm = [name for now, name in tests if 5_000 <= now < 10_000]
-    assert len(calm) <= 5 * HOLDERS + 2
+    assert len(calm) <= 5 * ASSIGNEES + 2
     times = [now for now, _ in tests if now >= 9_000]
     longest = max(later - earlier for earlier, later in itertools.pairwise(times))
-    assert longest <= LATEST + 500.0
+    assert longest <= MAX_FRESHNESS_MS + 500.0
     after = [name for now, name in tests if now >= 20_000]
-    assert len(after) <= 10 * (HOLDERS + 4)
+    assert len(after) <= 10 * (ASSIGNEES + 4)
 
 
 def test_alone_it_tests_as_without_a_fleet() -> None:
     duty = HealthCheckAssignment("n0", "z0")
     for now in range(0, 5_000, 250):
-        outlook = duty.look(float(now), ["s0"], {"n0": "z0"}, [], [])
-        assert not outlook.tests and not outlook.events  # its own decisions test what they doubt
+        outlook = duty.evaluate(float(now), ["s0"], {"n0": "z0"}, [], [])
+        assert not outlook.health_checks and not outlook.events  # its own decisions test what they doubt
 
 
 def test_good_word_reaches_the_decisions_and_bad_word_relieves_them() -> None:
     world = world_of(LIVING)
-    order = HealthCheckAssignment("x", "").order("s0", LIVING)
+    order = HealthCheckAssignment("x", "").rank_members("s0", LIVING)
     holder, other = world[order[0]], world[order[9]]
     facets: dict[str, tuple[float, bytes]] = {}
     doubted = {name: ["s0"] for name in LIVING}
@@ -107,8 +107,8 @@
     found = looks(world, 1_500.0, doubted, facets)
     [news] = [event for event in found[other.name].events if isinstance(event, PeerNews)]
     assert news == PeerNews("s0", 600.0, 0.0)
-    found = looks(world, 900.0 + FRESH + 3_000.0, doubted, facets)
-    assert other.last_duty == TestDuty(frozenset(), frozenset())  # the word is old
+    found = looks(world, 900.0 + FRESHNESS_MS + 3_000.0, doubted, facets)
+    assert other.last_assignment == TestDuty(frozenset(), frozenset())  # the word is old
 
 
 def test_the_decisions_leave_tests_and_trials_to_others_and_take_up_good_word() -> None:
--- a/tests/fleet/test_simulated.py
+++ b/tests/fleet/test_simulated.py
@@ -76,7 +76,7 @@
 def test_a_script_that_fails_is_told_at_its_shortest_and_plays_the_same_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Membership, "_judge_suspects", lambda *_: None)
+    monkeypatch.setattr(Membership, "_expire_suspicions", lambda *_: None)
     found = list(search(range(3, 6), 4))
     assert found
     for seed, shortest, broken in found:
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -15,7 +15,7 @@
     DatagramError,
     DatagramFault,
     Frame,
-    Held,
+    HeldVersions,
     Kind,
     MemberRecord,
     StateEntry,
@@ -27,7 +27,9 @@
 FRAME = Frame("f")
 ME = MemberRecord("a", 1, 7, 1, 0, "z", "127.0.0.1", 7_000)
 FACET = StateEntry("a", 1, 7, 3, 1, 1, 20, 5_000, b"body")
-SAID = Datagram(Kind.NEWS, ME, 0, 5, members=[ME], facets=[FACET], held=[Held("a", 1, 7, 1, 0, {3: 1})])
+SAID = Datagram(
+    Kind.GOSSIP, ME, 0, 5, members=[ME], entries=[FACET], held=[HeldVersions("a", 1, 7, 1, 0, {3: 1})]
+)
 
 
 def seal(body: object, head: bytes = FRAME.head) -> bytes:
