--- a/martentide/net/fleet/member.py
+++ b/martentide/net/fleet/member.py
@@ -25,10 +25,10 @@
     Displaced,
     Due,
     Heard,
-    Stalled,
     Learned,
     Publish,
     Send,
+    Stalled,
     TableFull,
 )
 from martentide.fleet.events import Event as CoreEvent
@@ -400,14 +400,16 @@
                 {"name": member.record.name, "zone": member.record.zone, "state": member.state.name.lower(),
                  "address": f"{member.record.host}:{member.record.port}",
                  "generation": member.record.generation,
-                 "incarnation": member.record.incarnation, "heard": round(core.running_now - member.last_received_at),
+                 "incarnation": member.record.incarnation,
+                 "heard": round(core.running_now - member.last_received_at),
                  "since": round(core.running_now - member.since), "accusers": sorted(member.accusers),
                  "facets": facets}
             )  # fmt: skip
         state = "displaced" if core.silent else "joining" if core.joining else "alive"
         return json.dumps(
             {"fleet": self.part.name, "name": self.name, "zone": self.part.zone, "state": state,
-             "generation": core.me.generation, "incarnation": core.me.incarnation, "health": core.health_multiplier,
+             "generation": core.me.generation, "incarnation": core.me.incarnation,
+             "health": core.health_multiplier,
              "counts": dict(self.counts + core.counts),
              "overload": None if self.overload is None else self.overload.status(now),
              "members": sorted(members, key=lambda m: str(m["name"])),
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -18,10 +18,10 @@
     Displaced,
     Due,
     Heard,
-    Stalled,
     Learned,
     Publish,
     Send,
+    Stalled,
 )
 from martentide.fleet.events import Event as CoreEvent
 from martentide.fleet.terms import Terms
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -163,7 +163,7 @@
         )  # fmt: skip
         core.handle(1.0, Heard(said))
     assert len(core.members["m0"].entries) == core.terms.max_entries
-    with pytest.raises(ValueError, match="facet 9"):
+    with pytest.raises(ValueError, match="state entry 9"):
         core.handle(1.0, Publish(9, 1, 1_000, bytes(481)))
 
 
--- a/tests/fleet/test_health_check_assignment.py
+++ b/tests/fleet/test_health_check_assignment.py
@@ -9,12 +9,12 @@
 import pytest
 
 from martentide.fleet.health_check_assignment import (
-    OBSERVATIONS_KIND,
-    FRESHNESS_MS,
     ASSIGNEES,
+    FRESHNESS_MS,
     MAX_FRESHNESS_MS,
-    HealthCheckAssignment,
+    OBSERVATIONS_KIND,
     AssignmentResult,
+    HealthCheckAssignment,
     decode_observations,
 )
 from martentide.interface import Ending, PeerNews, Probe, ProbeEnded, Stands, TestDuty
