--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -58,13 +58,13 @@
         (GOOD + bytes(1_400), DatagramFault.OVERSIZED),
         (seal([1]), DatagramFault.MALFORMED),
         (seal({"kind": 1}), DatagramFault.MALFORMED),
-        (changed(kept=-1), DatagramFault.MALFORMED),
+        (changed(echo_delay=-1), DatagramFault.MALFORMED),
         (changed(sender=msgspec.structs.replace(ME, port=0)), DatagramFault.MALFORMED),
         (changed(sender=msgspec.structs.replace(ME, name="")), DatagramFault.MALFORMED),
         (changed(members=[msgspec.structs.replace(ME, state=9)]), DatagramFault.MALFORMED),
         (changed(members=[msgspec.structs.replace(ME, name="x" * 65)]), DatagramFault.MALFORMED),
-        (changed(facets=[msgspec.structs.replace(FACET, age=-5)]), DatagramFault.MALFORMED),
-        (changed(facets=[msgspec.structs.replace(FACET, end=10**9)]), DatagramFault.MALFORMED),
+        (changed(entries=[msgspec.structs.replace(FACET, age=-5)]), DatagramFault.MALFORMED),
+        (changed(entries=[msgspec.structs.replace(FACET, max_age=10**9)]), DatagramFault.MALFORMED),
     ],
 )
 def test_what_can_not_be_read_is_passed_over_for_its_reason(data: bytes, why: DatagramFault) -> None:
