--- a/martentide/fleet/__init__.py
+++ b/martentide/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""Proxies that know each other (pure): who is there, and the small words that members share.
+"""Fleet membership (pure): which proxies are up, and the small state entries they share by gossip.
 
-``core`` is one member: events in, actions out, clock and dice handed in; ``docs/design/fleet.md`` says why.
+``core`` is one member: events in, actions out, with the clock and the random seed passed in;
+``docs/design/fleet.md`` gives the design.
 """
--- a/martentide/fleet/events.py
+++ b/martentide/fleet/events.py
@@ -1,4 +1,4 @@
-"""What a member of the fleet hears and asks for: events into its core, actions out of it."""
+"""Events into the core of a fleet member, and actions out of it."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """A datagram that passed ``Frame.read``."""
+    """A datagram was received and passed ``Frame.read``."""
 
     said: Datagram
 
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """The time ``due`` has come."""
+    """The time ``Membership.due`` has been reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """An own facet from now on, until ``end`` ms of age; an empty body takes it back."""
+    """Publish an own state entry, valid for ``max_age`` ms; an empty body withdraws it."""
 
     kind: int
     schema: int
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Depart:
-    """The process ends: the others are told."""
+    """The process shuts down: notify the other members."""
 
 
 @dataclass(frozen=True, slots=True)
 class Carry:
-    """A word of another part for one member, whatever its state; lost where it is not known."""
+    """Send a message of another component to a member, whatever its state; dropped if it is unknown."""
 
     to: Name
     body: bytes
@@ -53,14 +53,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send a datagram."""
+
     address: Address
     datagram: Datagram
 
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """What this member holds of another is another state now; ``old`` is None for one that is new.
-    ``evidence`` says in words why, ``by`` who brought it."""
+    """A member's recorded state changed; ``old`` is None for a new member.
+
+    ``evidence`` is the reason in words, ``by`` the member that reported it.
+    """
 
     record: MemberRecord
     old: State | None
@@ -70,28 +74,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Learned:
-    """A newer facet of another member."""
+    """A newer state entry of another member was stored."""
 
     entry: StateEntry
 
 
 @dataclass(frozen=True, slots=True)
 class Displaced:
-    """Another process bears this name by a newer right: this one is silent in the fleet from now on."""
+    """A newer process uses this member's name: this one stops taking part in the fleet."""
 
     by: MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
 class Stalled:
-    """This process did not run for ``span`` ms: it doubts itself and accuses nobody for what came of that."""
+    """This process didn't run for ``duration`` ms: it accuses no member of timeouts in that time."""
 
     duration: float
 
 
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """A word for another part of this process."""
+    """A message for another component of this process was received."""
 
     sender: MemberRecord
     body: bytes
@@ -99,7 +103,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TableFull:
-    """Members beyond ``most`` are not taken up (``Terms.most_members``); said again after FULL_GAP."""
+    """New members were ignored, as the table holds ``limit`` (``Terms.most_members``).
+
+    Repeated at most every ``TABLE_FULL_INTERVAL_MS``.
+    """
 
     limit: int
 
--- a/martentide/fleet/wire.py
+++ b/martentide/fleet/wire.py
@@ -1,10 +1,11 @@
-"""Datagrams between members: frame, check and entries. Nothing here decides.
+"""Datagrams between members: framing, authentication and the MessagePack schema.
 
     datagram = "mt" version:1 fleet:4 body check:8      body is MessagePack, an array for each entry
 
-``check`` is a keyed BLAKE2s over all before it; its key is the fleet's name and its secret, if one is set. So
-noise, other fleets and (with a secret) strangers fall out at the same place, before anything is decoded.
-Entries are arrays whose further elements a reader passes over, so that a later version may add some.
+``check`` is a keyed BLAKE2s over all bytes before it, keyed with the fleet's name and its secret, if one is
+set. So noise, datagrams of other fleets and (with a secret) of unauthorized senders are rejected before
+anything is decoded. Readers ignore extra elements at the end of an array, so that a later version may add
+some.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 
 
 class DatagramFault(Enum):
-    """Why a datagram was passed over; each has a counter."""
+    """Why a datagram was rejected; each reason has a counter."""
 
-    STRANGE = "strange"  # not ours at all
+    STRANGE = "strange"  # not of this protocol
     OTHER_FLEET = "other-fleet"
     OTHER_VERSION = "other-version"
     DAMAGED = "damaged"
@@ -34,13 +35,15 @@
 
 
 class DatagramError(Exception):
+    """A received datagram is rejected; ``why`` is the reason."""
+
     def __init__(self, why: DatagramFault) -> None:
         super().__init__(why.value)
         self.why = why
 
 
 class State(IntEnum):
-    """Ordered: of two words on one incarnation the later state counts."""
+    """State of a member, in ascending precedence among records of one incarnation."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -49,23 +52,28 @@
 
 
 class Kind(IntEnum):
-    PING = 1  # answer me
+    """Kind of a datagram."""
+
+    PING = 1  # requests an ack
     ACK = 2
-    PING_REQUEST = 3  # ping ``target`` for me
-    NACK = 4  # I tried, it has not answered yet: I am well at least
+    PING_REQUEST = 3  # asks the recipient to ping ``target`` on the sender's behalf
+    NACK = 4  # the requested ping wasn't answered yet; shows that the helper itself is reachable
     GOSSIP = 5
-    DIGEST = 6  # sums of all that I know, bucket by bucket
-    VERSIONS = 7  # what I hold of the buckets that differ; send what I lack
-    MISSING = 8  # what you lack by a comparison: none of it is news
-    PAYLOAD = 9  # ``body`` is for another part of the process; nothing of it is spread
+    DIGEST = 6  # checksums of the sender's table, one per bucket
+    VERSIONS = 7  # versions held in the buckets that differ; requests what the sender is missing
+    MISSING = 8  # what the recipient is missing by a sync; not gossiped further
+    PAYLOAD = 9  # ``body`` is for another component of the process; not gossiped
 
 
 Name = str
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What is said of one member. ``life`` is drawn anew by each process, so that two under one name and one
-    generation can be told apart."""
+    """What is known of a member.
+
+    ``life`` is a random number of each process instance; it tells two instances of the same name and
+    generation apart.
+    """
 
     name: Name
     generation: int
@@ -75,15 +83,18 @@
     zone: str
     host: str
     port: int
-    by: str = ""  # who accuses it, where it is suspect or dead
+    by: str = ""  # the accuser of a suspect or dead member
 
     def rank(self) -> tuple[int, int, int]:
-        """Of two words on one life the higher counts: the dead are raised only by their own refutation."""
+        """Precedence among records of one process instance.
+
+        A dead member is resurrected only by its own refutation, which has a higher incarnation.
+        """
         return (1 if self.state == State.LEFT else 0, self.incarnation, self.state)
 
 
 class StateEntry(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One facet of one member, as its owner said it; ``age`` in ms is the only thing that others change."""
+    """Gossiped state of one kind, as its owner published it; others update only ``age`` (ms)."""
 
     owner: Name
     generation: int
@@ -92,16 +103,17 @@
     counter: int
     schema: int
     age: int
-    max_age: int  # ms of age from which it counts for nothing
+    max_age: int  # ms; expired from this age on
     body: bytes
 
     @property
     def version(self) -> tuple[int, int]:
+        """Generation and counter; the higher one is newer."""
         return (self.generation, self.counter)
 
 
 class HeldVersions(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What a member holds of another: its word's place and the facets' counters."""
+    """Versions that a member holds of another: of its record, and the counters of its entries by kind."""
 
     name: Name
     generation: int
@@ -112,12 +124,16 @@
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """``stamp`` means nothing to the reader, who gives it back as ``echo`` with the ms it was kept: so the
-    sender of that stamp can bound how old all in this datagram is, by its own clock alone."""
+    """Body of a datagram.
+
+    ``stamp`` is opaque to the receiver, which returns it as ``echo`` with the time it held it
+    (``echo_delay``, ms). From these the sender of the stamp computes an upper bound of this datagram's
+    transit time by its own clock alone.
+    """
 
     kind: int
     sender: MemberRecord
-    to: int  # life of the process meant, 0 where it is not known
+    to: int  # ``life`` of the intended recipient, 0 if unknown
     stamp: int
     echo: int = -1  # -1: none
     echo_delay: int = 0
@@ -136,7 +152,7 @@
 
 
 class Frame:
-    """Datagrams of one fleet."""
+    """Seals and opens the datagrams of one fleet."""
 
     def __init__(self, fleet: str, secret: str = "") -> None:
         self.key = hashlib.blake2s(f"{fleet}\0{secret}".encode()).digest()
@@ -146,15 +162,16 @@
         return hashlib.blake2s(data, digest_size=CHECK, key=self.key).digest()
 
     def seal(self, body: bytes) -> bytes:
-        """The body as a datagram of this fleet."""
+        """Frame an encoded body as a datagram of this fleet."""
         data = self.head + body
         return data + self._check(data)
 
     def write(self, datagram: Datagram) -> bytes:
+        """Encode and frame a datagram."""
         return self.seal(_ENCODER.encode(datagram))
 
     def open(self, data: bytes) -> bytes:
-        """The body of a datagram of this fleet; raises DatagramError."""
+        """Verify a datagram and return its encoded body; raises DatagramError."""
         if len(data) > DATAGRAM:
             raise DatagramError(DatagramFault.OVERSIZED)
         if len(data) < HEAD + CHECK or data[:2] != MAGIC:
@@ -168,61 +185,61 @@
         return data[HEAD:-CHECK]
 
     def read(self, data: bytes) -> Datagram:
-        """Raises DatagramError."""
+        """Verify, decode and validate a datagram; raises DatagramError."""
         try:
-            said = _DECODER.decode(self.open(data))
+            datagram = _DECODER.decode(self.open(data))
         except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
             raise DatagramError(DatagramFault.MALFORMED) from None
-        if not is_plausible(said):
+        if not is_plausible(datagram):
             raise DatagramError(DatagramFault.MALFORMED)
-        return said
+        return datagram
 
 
-def is_plausible(said: Datagram) -> bool:
-    """Whether all figures are such as a member could have said: a liar may not fill tables with the rest."""
-    if said.echo_delay < 0 or not _is_plausible_record(said.sender):
+def is_plausible(datagram: Datagram) -> bool:
+    """Whether all values are in the ranges that members use, so that forged ones can't fill the tables."""
+    if datagram.echo_delay < 0 or not _is_plausible_record(datagram.sender):
         return False
-    for word in said.members:
-        if not _is_plausible_record(word):
+    for record in datagram.members:
+        if not _is_plausible_record(record):
             return False
-    for facet in said.entries:
-        if not _is_plausible_entry(facet):
+    for entry in datagram.entries:
+        if not _is_plausible_entry(entry):
             return False
-    return all(1 <= len(one.name) <= 64 and len(one.counters) <= 64 for one in said.held)
+    return all(1 <= len(one.name) <= 64 and len(one.counters) <= 64 for one in datagram.held)
 
 
-def _is_plausible_record(word: MemberRecord) -> bool:
+def _is_plausible_record(record: MemberRecord) -> bool:
     return (
-        1 <= len(word.name) <= 64
-        and len(word.zone) <= 64
-        and len(word.by) <= 64
-        and 7 <= len(word.host) <= 45
-        and 0 < word.port < 65536
-        and 0 <= word.state <= State.LEFT
-        and 0 <= word.generation < 1 << 48
-        and 0 <= word.incarnation < 1 << 48
-        and 0 < word.life < 1 << 63
+        1 <= len(record.name) <= 64
+        and len(record.zone) <= 64
+        and len(record.by) <= 64
+        and 7 <= len(record.host) <= 45
+        and 0 < record.port < 65536
+        and 0 <= record.state <= State.LEFT
+        and 0 <= record.generation < 1 << 48
+        and 0 <= record.incarnation < 1 << 48
+        and 0 < record.life < 1 << 63
     )
 
 
-def _is_plausible_entry(word: StateEntry) -> bool:
+def _is_plausible_entry(entry: StateEntry) -> bool:
     return (
-        1 <= len(word.owner) <= 64
-        and 0 <= word.kind < 256
-        and 0 <= word.generation < 1 << 48
-        and 0 <= word.counter < 1 << 48
-        and word.age >= 0
-        and 0 < word.max_age <= 3_600_000
+        1 <= len(entry.owner) <= 64
+        and 0 <= entry.kind < 256
+        and 0 <= entry.generation < 1 << 48
+        and 0 <= entry.counter < 1 << 48
+        and entry.age >= 0
+        and 0 < entry.max_age <= 3_600_000
     )
 
 
 def encoded_size(entry: MemberRecord | StateEntry | HeldVersions) -> int:
-    """Bytes it takes in a datagram."""
+    """Bytes that the entry takes in a datagram."""
     return len(_ENCODER.encode(entry))
 
 
 def count_fitting(entries: Sequence[MemberRecord | StateEntry | HeldVersions], room: int) -> int:
-    """How many of them, from the first on, fit whole into the room."""
+    """Number of leading entries that fit whole into ``room`` bytes."""
     for count, entry in enumerate(entries):
         room -= encoded_size(entry)
         if room < 0:
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -1,4 +1,4 @@
-"""Datagrams: what is read is what was written, and all else is passed over for a stated reason."""
+"""Datagrams: what is written is read unchanged, and anything else is rejected with a reason."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 from martentide_lab.proxy import site_settings
 
 FRAME = Frame("f")
-ME = MemberRecord("a", 1, 7, 1, 0, "z", "127.0.0.1", 7_000)
-FACET = StateEntry("a", 1, 7, 3, 1, 1, 20, 5_000, b"body")
-SAID = Datagram(
-    Kind.GOSSIP, ME, 0, 5, members=[ME], entries=[FACET], held=[HeldVersions("a", 1, 7, 1, 0, {3: 1})]
+RECORD = MemberRecord("a", 1, 7, 1, 0, "z", "127.0.0.1", 7_000)
+ENTRY = StateEntry("a", 1, 7, 3, 1, 1, 20, 5_000, b"body")
+DATAGRAM = Datagram(
+    Kind.GOSSIP, RECORD, 0, 5, members=[RECORD], entries=[ENTRY], held=[HeldVersions("a", 1, 7, 1, 0, {3: 1})]
 )
 
 
@@ -38,10 +38,10 @@
 
 
 def changed(**figures: object) -> bytes:
-    return seal(msgspec.structs.replace(SAID, **figures))
+    return seal(msgspec.structs.replace(DATAGRAM, **figures))
 
 
-GOOD = FRAME.write(SAID)
+VALID = FRAME.write(DATAGRAM)
 
 
 @pytest.mark.parametrize(
@@ -49,25 +49,25 @@
     [
         (b"", DatagramFault.STRANGE),
         (b"GET / HTTP/1.1\r\n\r\n", DatagramFault.STRANGE),
-        (GOOD[:14], DatagramFault.STRANGE),
-        (b"mt\x02" + GOOD[3:], DatagramFault.OTHER_VERSION),
-        (Frame("g").write(SAID), DatagramFault.OTHER_FLEET),
-        (Frame("f", "secret").write(SAID), DatagramFault.DAMAGED),
-        (GOOD[:-1], DatagramFault.DAMAGED),
-        (GOOD[:20] + bytes((GOOD[20] ^ 1,)) + GOOD[21:], DatagramFault.DAMAGED),
-        (GOOD + bytes(1_400), DatagramFault.OVERSIZED),
+        (VALID[:14], DatagramFault.STRANGE),
+        (b"mt\x02" + VALID[3:], DatagramFault.OTHER_VERSION),
+        (Frame("g").write(DATAGRAM), DatagramFault.OTHER_FLEET),
+        (Frame("f", "secret").write(DATAGRAM), DatagramFault.DAMAGED),
+        (VALID[:-1], DatagramFault.DAMAGED),
+        (VALID[:20] + bytes((VALID[20] ^ 1,)) + VALID[21:], DatagramFault.DAMAGED),
+        (VALID + bytes(1_400), DatagramFault.OVERSIZED),
         (seal([1]), DatagramFault.MALFORMED),
         (seal({"kind": 1}), DatagramFault.MALFORMED),
         (changed(echo_delay=-1), DatagramFault.MALFORMED),
-        (changed(sender=msgspec.structs.replace(ME, port=0)), DatagramFault.MALFORMED),
-        (changed(sender=msgspec.structs.replace(ME, name="")), DatagramFault.MALFORMED),
-        (changed(members=[msgspec.structs.replace(ME, state=9)]), DatagramFault.MALFORMED),
-        (changed(members=[msgspec.structs.replace(ME, name="x" * 65)]), DatagramFault.MALFORMED),
-        (changed(entries=[msgspec.structs.replace(FACET, age=-5)]), DatagramFault.MALFORMED),
-        (changed(entries=[msgspec.structs.replace(FACET, max_age=10**9)]), DatagramFault.MALFORMED),
+        (changed(sender=msgspec.structs.replace(RECORD, port=0)), DatagramFault.MALFORMED),
+        (changed(sender=msgspec.structs.replace(RECORD, name="")), DatagramFault.MALFORMED),
+        (changed(members=[msgspec.structs.replace(RECORD, state=9)]), DatagramFault.MALFORMED),
+        (changed(members=[msgspec.structs.replace(RECORD, name="x" * 65)]), DatagramFault.MALFORMED),
+        (changed(entries=[msgspec.structs.replace(ENTRY, age=-5)]), DatagramFault.MALFORMED),
+        (changed(entries=[msgspec.structs.replace(ENTRY, max_age=10**9)]), DatagramFault.MALFORMED),
     ],
 )
-def test_what_can_not_be_read_is_passed_over_for_its_reason(data: bytes, why: DatagramFault) -> None:
+def test_an_invalid_datagram_is_rejected_with_its_reason(data: bytes, why: DatagramFault) -> None:
     with pytest.raises(DatagramError) as caught:
         FRAME.read(data)
     assert caught.value.why is why
@@ -75,24 +75,24 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=1_500))
-def test_no_bytes_do_anything_else(noise: bytes) -> None:
+def test_arbitrary_bytes_raise_no_other_error(noise: bytes) -> None:
     sealed = FRAME.head + noise
     for data in (noise, sealed, sealed + FRAME._check(sealed)):
         with contextlib.suppress(DatagramError):
             FRAME.read(data)
 
 
-def test_what_is_written_is_read_and_a_secret_is_shared() -> None:
-    assert FRAME.read(GOOD) == SAID
-    assert Frame("f", "s").read(Frame("f", "s").write(SAID)) == SAID
+def test_a_written_datagram_is_read_unchanged_also_with_a_shared_secret() -> None:
+    assert FRAME.read(VALID) == DATAGRAM
+    assert Frame("f", "s").read(Frame("f", "s").write(DATAGRAM)) == DATAGRAM
 
 
-PEERS = settings_from(site_settings(1, peers=True))
-ALONE = settings_from(site_settings(1))
+PEERS_ALLOWED = settings_from(site_settings(1, peers=True))
+PEERS_FORBIDDEN = settings_from(site_settings(1))
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ('fleet { listen "127.0.0.1:1" }', "x.kdl: fleet: expected a node name, found none"),
         ('fleet { name "f" }', "x.kdl: fleet: expected a node listen, found none"),
@@ -112,22 +112,22 @@
         ('fleet { name "f"; listen "127.0.0.1:1"; limits bytes-s=3 }', "bytes-s: expected `float` >= 1000"),
     ],
 )
-def test_a_bad_fleet_node_is_refused_in_one_line(text: str, said: str) -> None:
+def test_an_invalid_fleet_node_is_rejected_with_a_one_line_error(text: str, message: str) -> None:
     with pytest.raises(ExtrasError) as caught:
-        read_extras(text, "x.kdl", PEERS)
-    assert said in str(caught.value) and "\n" not in str(caught.value)
+        read_extras(text, "x.kdl", PEERS_ALLOWED)
+    assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_a_fleet_is_refused_where_the_settings_forbid_peers() -> None:
+def test_a_fleet_node_is_rejected_where_the_settings_forbid_peers() -> None:
     text = 'fleet { name "f"; listen "127.0.0.1:1"; seeds "127.0.0.1:2"; secret "s" }'
-    fleet = read_extras(text, "x.kdl", PEERS).fleet
+    fleet = read_extras(text, "x.kdl", PEERS_ALLOWED).fleet
     assert fleet is not None and fleet.seeds == (("127.0.0.1", 2),)
     with pytest.raises(ExtrasError, match=r"fleet: the settings forbid talk between proxies"):
-        read_extras(text, "x.kdl", ALONE)
+        read_extras(text, "x.kdl", PEERS_FORBIDDEN)
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ('at 1 "kil" "n0"', "expected one of kill"),
         ('at 1 "kill" "n9"', "no such member or server: n9"),
@@ -137,8 +137,11 @@
         ('at 1 "server" "s0" "ill"', "expected one of hung"),
     ],
 )
-def test_a_bad_script_is_refused_and_a_good_one_reads_as_written(text: str, said: str) -> None:
-    with pytest.raises(ScriptError, match=said):
+def test_an_invalid_script_is_rejected_and_a_valid_one_reads_back_unchanged(text: str, message: str) -> None:
+    with pytest.raises(ScriptError, match=message):
         read_script(text, "x")
-    good = read_script('fleet proxies=4 seed=3\nat 2.5 "split" "n0,n1" "n2"\nat 1 "loss" 0.1', "x")
-    assert read_script(good.text(), "x") == good and [step.verb for step in good.steps] == ["loss", "split"]
+    valid = read_script('fleet proxies=4 seed=3\nat 2.5 "split" "n0,n1" "n2"\nat 1 "loss" 0.1', "x")
+    assert read_script(valid.text(), "x") == valid and [step.verb for step in valid.steps] == [
+        "loss",
+        "split",
+    ]
