--- a/martentide/net/due_timer.py
+++ b/martentide/net/due_timer.py
@@ -1,15 +1,15 @@
-"""The one timer of an actor whose pure core says when it is due next."""
+"""Timer of an actor whose pure core states when it is due next."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-MAILBOX_RETRY_S = 0.05  # s until the next try, where the actor's mailbox was full
+MAILBOX_RETRY_S = 0.05  # until the next attempt after the actor's mailbox was full
 
 
 class DueTimer:
-    """``post`` puts word of the time into the actor's mailbox, and says whether there was room."""
+    """Calls ``post`` when due; it queues an item to the actor's mailbox and returns False if that is full."""
 
     def __init__(self, post: Callable[[], bool]) -> None:
         self.post = post
@@ -17,10 +17,10 @@
         self.handle: asyncio.TimerHandle | None = None
 
     def arm(self, due: float) -> None:
-        """Let it come at that time of the loop's clock (s), in place of the time before."""
+        """Set the timer to ``due`` (s, on the event loop's clock), in place of an earlier setting."""
         if self.handle is not None:
             if self.handle.when() == due:
-                return  # most datagrams leave it as it is
+                return  # most datagrams don't change the due time
             self.handle.cancel()
         self.handle = self.loop.call_at(due, self._due)
 
@@ -28,6 +28,7 @@
         self.handle = None if self.post() else self.loop.call_later(MAILBOX_RETRY_S, self._due)
 
     def cancel(self) -> None:
+        """Stop the timer; it can be armed again."""
         if self.handle is not None:
             self.handle.cancel()
         self.handle = None
--- a/martentide/net/fleet/__init__.py
+++ b/martentide/net/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet on sockets: one datagram endpoint, one actor."""
+"""Fleet membership on sockets: one datagram endpoint and one actor."""
--- a/martentide/net/fleet/member.py
+++ b/martentide/net/fleet/member.py
@@ -1,7 +1,7 @@
-"""The actor of the fleet: owns the core and the duty of testing, and speaks with the dispatcher by messages.
+"""Fleet membership actor: owns the core and the health-check assignment.
 
-Datagrams come into its mailbox, which has a bound: a flood costs a counter. It has one timer for the core and
-one for its looks at the duty.
+It exchanges messages with the dispatcher. Received datagrams go to its bounded mailbox; those that exceed it
+are dropped and counted. One timer drives the core, another one the evaluation of the health-check assignment.
 """
 
 from __future__ import annotations
@@ -45,62 +45,63 @@
     from martentide.extras import Fleet as FleetPart
     from martentide.net.fleet.agreement_actor import AgreementActor
 
-MAX_MAILBOX_ITEMS = 512  # items in the mailbox; more is dropped, as a full socket buffer would
-ITEMS_PER_TURN = 32  # items taken before the rest of the program has its turn
-EVALUATION_INTERVAL_MS = 250.0  # ms between two looks at the duty of testing
-OPEN_ATTEMPTS, OPEN_RETRY_S = 60, 0.05  # and s between two tries to open the endpoint
-FINAL_RETRY_BUDGET, FINAL_RETRY_BUDGET_MS = (
-    3.0,
-    10_000.0,
-)  # further attempts, and ms, of one that has left the fleet
-REJECTED_LOG_INTERVAL_S = 1.0  # s between two lines about datagrams that were passed over
+MAX_MAILBOX_ITEMS = 512  # more are dropped, as by a full socket buffer
+ITEMS_PER_TURN = 32  # handled before yielding to other tasks
+EVALUATION_INTERVAL_MS = 250.0  # of the health-check assignment
+OPEN_ATTEMPTS, OPEN_RETRY_S = 60, 0.05  # to open the endpoint
+FINAL_RETRY_BUDGET, FINAL_RETRY_BUDGET_MS = 3.0, 10_000.0  # retries after leaving the fleet, and their expiry
+REJECTED_LOG_INTERVAL_S = 1.0  # between two log lines about rejected datagrams
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """An event of the decisions about a watched server."""
+    """The dispatcher received an event about a watched server."""
 
     at: float
     event: Event
 
 
 class Tick:
-    """The core's time has come."""
+    """The core's timer is due."""
 
 
 class Look:
-    """Time to look at the duty of testing."""
+    """The health-check assignment is due for evaluation."""
 
 
 Item = bytes | Seen | Tick | Look
 
 
 class Endpoint(asyncio.DatagramProtocol):
+    """Passes received datagrams to the member's mailbox."""
+
     def __init__(self, member: Member) -> None:
         self.member = member
 
     def datagram_received(self, data: bytes, address: tuple[str | object, int]) -> None:
+        """Queue a datagram, or drop it if the mailbox is full."""
         self.member.post(data)
 
     def error_received(self, error: Exception) -> None:
-        self.member.counts["unreachable"] += 1  # nobody listens there: as good as a lost datagram
+        """Count an ICMP error; the datagram is treated as lost."""
+        self.member.counts["unreachable"] += 1  # no socket at the destination
 
 
 class Member:
-    """This proxy as a member of its fleet; ``rejoin`` after ``retire`` makes it one anew."""
+    """This proxy's membership of its fleet; it can ``join`` again after ``retire``."""
 
     def __init__(self, part: FleetPart, name: str, dispatcher: Dispatcher, seed: int) -> None:
         self.part, self.name, self.dispatcher, self.seed = part, name, dispatcher, seed
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MAX_MAILBOX_ITEMS)
         self.counts: Counter[str] = Counter()
-        self.logged_counts: Counter[str] = Counter()  # as of the last line about them
+        self.logged_counts: Counter[str] = Counter()  # ``counts`` at the last log line
         self.counts_logged_at = 0.0
         self.frame = Frame(part.name, part.secret)
         self.health_checks = HealthCheckAssignment(name, part.zone)
         self.overload: overload.Overload | None = None
-        self.settings: Settings | None = None  # those that the overload part knows
-        self.phase = Phase.NORMAL  # as of the last line about it
+        self.settings: Settings | None = None  # those passed to ``overload``
+        self.phase = Phase.NORMAL  # at the last log line
         self.core: Membership | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.timer = DueTimer(lambda: self.post(Tick()))
@@ -110,18 +111,20 @@
         self.wanted = False
         dispatcher.event_observers.append(self._observe_event)
 
-    # ---- life -------------------------------------------------------------------------------------------
+    # ---- joining and leaving ----------------------------------------------------------------------------
 
     def _now(self) -> float:
         return self.loop.time() * 1000.0
 
     async def join(self) -> None:
-        """Open the endpoint and look for the fleet. Where its address is taken for good, the proxy serves as
-        without a fleet."""
+        """Open the endpoint and join the fleet.
+
+        If its address stays in use for all attempts, the proxy runs without a fleet.
+        """
         self.wanted = True
         transport: asyncio.DatagramTransport | None = None
         for attempt in range(OPEN_ATTEMPTS):
-            try:  # a predecessor lets go of the address in its own time
+            try:  # a predecessor process may still hold the address
                 transport, _ = await self.loop.create_datagram_endpoint(
                     lambda: Endpoint(self), self.part.listen
                 )
@@ -133,12 +136,12 @@
                 await asyncio.sleep(OPEN_RETRY_S)
         assert transport is not None
         if not self.wanted or self.core is not None:
-            transport.close()  # retired while it waited
+            transport.close()  # retired in the meantime
             return
         self.transport = transport
-        own = transport.get_extra_info("sockname")
+        endpoint = transport.get_extra_info("sockname")
         self.join_count += 1
-        address: Address = self.part.advertise or (own[0], own[1])
+        address: Address = self.part.advertise or (endpoint[0], endpoint[1])
         seed = self.seed ^ (self.join_count << 64) ^ int(self.loop.time() * 1e9)
         self.core = Membership(
             self.name,
@@ -157,7 +160,7 @@
                 self.name, self.core.me.life, *self._overload_terms(self.settings), seed=seed
             )
         log_event(
-            "fleet-joining", fleet=self.part.name, address=f"{own[0]}:{own[1]}",
+            "fleet-joining", fleet=self.part.name, address=f"{endpoint[0]}:{endpoint[1]}",
             advertise=f"{address[0]}:{address[1]}", life=self.core.me.life, zone=self.part.zone,
         )  # fmt: skip
         if self.part.agreement is not None:
@@ -168,12 +171,12 @@
             )
             await self.agreement.begin(self.core.me.life, seed)
             if self.core is None or self.agreement is None:
-                return  # retired while it read its books
+                return  # retired while it read its persistent state
         self._arm()
         self.evaluation_timer = self.loop.call_later(EVALUATION_INTERVAL_MS / 1000.0, self._post_evaluation)
 
     def retire(self) -> None:
-        """Fall silent without a word: a successor takes the name over."""
+        """Leave without notifying the other members, as a successor process takes over the name."""
         self.wanted = False
         self.timer.cancel()
         if self.evaluation_timer is not None:
@@ -191,28 +194,29 @@
         self.core = self.transport = self.evaluation_timer = None
 
     def depart(self) -> None:
-        """Tell the others, then fall silent."""
+        """Notify the other members, then leave."""
         if self.core is not None:
             self._feed(Depart())
             log_event("fleet-left")
         self.retire()
 
     async def run(self) -> None:
-        taken = 0
+        """Handle mailbox items until cancelled."""
+        handled = 0
         while True:
             item = await self.mailbox.get()
-            taken += 1
-            if taken % ITEMS_PER_TURN == 0:
+            handled += 1
+            if handled % ITEMS_PER_TURN == 0:
                 await asyncio.sleep(0)
             try:
                 self._handle_item(item)
-            except Exception:  # one strange word must not end the membership
+            except Exception:  # a fault in one message must not end the membership
                 LOG.exception("internal-error fleet", item=type(item).__name__)
             if self.core is not None:
                 self._arm()
 
     def post(self, item: Item) -> bool:
-        """Whether there was room for it."""
+        """Queue an item; return False if the mailbox is full."""
         if self.mailbox.full():
             self.counts["overrun"] += 1
             return False
@@ -253,14 +257,14 @@
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(data)
         try:
-            said = self.frame.read(data)
+            datagram = self.frame.read(data)
         except DatagramError as error:
             self._count_rejected(error.why.value)
             return
-        self._feed(Heard(said))
+        self._feed(Heard(datagram))
 
-    def _count_rejected(self, why: str) -> None:
-        self.counts[why] += 1
+    def _count_rejected(self, reason: str) -> None:
+        self.counts[reason] += 1
         now = self.loop.time()
         if now - self.counts_logged_at >= REJECTED_LOG_INTERVAL_S:
             self.counts_logged_at = now
@@ -273,10 +277,11 @@
                 "oversized",
                 "overrun",
             )
-            new = {kind: self.counts[kind] - self.logged_counts[kind] for kind in kinds}
+            increase = {kind: self.counts[kind] - self.logged_counts[kind] for kind in kinds}
             self.logged_counts = Counter(self.counts)
             log_event(
-                "fleet-passed-over", **{kind.replace("-", "_"): count for kind, count in new.items() if count}
+                "fleet-passed-over",
+                **{kind.replace("-", "_"): count for kind, count in increase.items() if count},
             )
 
     def _feed(self, event: CoreEvent) -> None:
@@ -292,11 +297,11 @@
                 self.counts["sent_bytes"] += len(data) + 28
                 if self.transport is not None:
                     self.transport.sendto(data, address)
-            case Changed(word, old, by, evidence):
+            case Changed(record, old, by, evidence):
                 log_event(
-                    "fleet-member", member=word.name, state=State(word.state).name.lower(),
+                    "fleet-member", member=record.name, state=State(record.state).name.lower(),
                     was="unknown" if old is None else old.name.lower(), by=by, evidence=repr(evidence),
-                    generation=word.generation, life=word.life, zone=word.zone,
+                    generation=record.generation, life=record.life, zone=record.zone,
                 )  # fmt: skip
             case Learned():
                 self.counts["facets"] += 1
@@ -306,7 +311,7 @@
             case Displaced(by):
                 LOG.error(
                     "fleet-displaced", member=by.name, address=f"{by.host}:{by.port}", life=by.life,
-                    detail=repr("another process bears this name by a newer right; this one acts alone"),
+                    detail=repr("a newer process uses this name; this one continues without the fleet"),
                 )  # fmt: skip
             case TableFull(most):
                 LOG.warning("fleet-full", most_members=most)
@@ -315,20 +320,20 @@
                 log_event("fleet-late", ms=round(span))
 
     def hang_up(self) -> None:
-        """SIGHUP: rules that the extras file names are proposed."""
+        """On SIGHUP, propose the rules named in the extras file."""
         if self.agreement is not None:
             self.agreement.propose_file()
 
     def _send_payload(self, to: str, body: bytes) -> None:
-        """A part of a word of agreement, for one member."""
+        """Send a fragment of an agreement message to a member."""
         if self.core is not None:
             self._feed(Carry(to, body))
             self._arm()
 
-    # ---- duty of testing --------------------------------------------------------------------------------
+    # ---- health-check assignment and overload -----------------------------------------------------------
 
     def _observe_event(self, at: float, event: Event) -> None:
-        """Runs in the dispatcher's turn: only counts, and posts only of servers that somebody doubts."""
+        """Observe an event in the dispatcher's task: only count it, or post it if the server is watched."""
         if self.overload is not None:
             self.overload.observe(self._now(), event)
         if isinstance(event, (ProbeEnded, Stands, AttemptEnded)) and (
@@ -340,25 +345,27 @@
         core = self.core
         assert core is not None
         now = self._now()
-        outlook, bad = evaluate_assignment(core, self.health_checks, now, self.dispatcher.controller.servers)
-        if bad:
+        result, undecodable = evaluate_assignment(
+            core, self.health_checks, now, self.dispatcher.controller.servers
+        )
+        if undecodable:
             self._count_rejected("malformed")
-        for kind, end, body in outlook.entries:
-            self._feed(Publish(kind, SCHEMA, end, body))
-        for event in outlook.events:
+        for kind, max_age, body in result.entries:
+            self._feed(Publish(kind, SCHEMA, max_age, body))
+        for event in result.events:
             self.dispatcher.post(event)
-        for name in outlook.health_checks:
+        for name in result.health_checks:
             if (actor := self.dispatcher.servers.get(name)) is not None:
                 actor.post(Probing())
         if self.overload is not None:
             self._handle_overload(core, self.overload, now)
         if self.agreement is not None:
-            for word in self.agreement.look(core):
-                self._feed(word)
+            for entry in self.agreement.look(core):
+                self._feed(entry)
 
     def _overload_terms(self, settings: Settings) -> tuple[dict[str, float], float, float]:
-        worths = {kind.name: kind.worth for kind in settings.classes}
-        return worths, settings.max_hold_off, self.dispatcher.controller.tolerable
+        priorities = {kind.name: kind.worth for kind in settings.classes}
+        return priorities, settings.max_hold_off, self.dispatcher.controller.tolerable
 
     def _handle_overload(self, core: Membership, part: overload.Overload, now: float) -> None:
         controller = self.dispatcher.controller
@@ -366,12 +373,12 @@
             self.settings = controller.settings
             part.settle(*self._overload_terms(self.settings))
         limited = self.dispatcher.now < controller.repeats_until < math.inf
-        purse = controller.repeats if limited else 0.0
-        outcome, bad = overload.look(core, part, now, controller.servers, purse)
-        if bad:
+        token_allotment = controller.repeats if limited else 0.0
+        outcome, undecodable = overload.look(core, part, now, controller.servers, token_allotment)
+        if undecodable:
             self._count_rejected("malformed")
-        for one in outcome.events:
-            self.dispatcher.post(one)
+        for event in outcome.events:
+            self.dispatcher.post(event)
         if outcome.word is not None and not core.silent:
             self._feed(Publish(overload.LOAD, overload.SCHEMA, overload.END, outcome.word))
         if part.level.phase is not self.phase:
@@ -382,19 +389,19 @@
                 alone=part.alone(now),
             )  # fmt: skip
 
-    # ---- what people see --------------------------------------------------------------------------------
+    # ---- status -----------------------------------------------------------------------------------------
 
     def status(self) -> str:
-        """JSON: this member, the others, their facets; ages in ms."""
+        """This member, the others and their state entries as JSON; ages in ms."""
         core, now = self.core, self._now()
         if core is None:
             return json.dumps({"fleet": self.part.name, "name": self.name, "state": "retired", "members": []})
         members = []
         for member in core.members.values():
-            facets = [
-                {"kind": kind, "schema": one.entry.schema, "counter": one.entry.counter,
-                 "age": round(one.age(now)), "end": one.entry.max_age, "bytes": len(one.entry.body)}
-                for kind, one in sorted(member.entries.items())
+            entries = [
+                {"kind": kind, "schema": stored.entry.schema, "counter": stored.entry.counter,
+                 "age": round(stored.age(now)), "end": stored.entry.max_age, "bytes": len(stored.entry.body)}
+                for kind, stored in sorted(member.entries.items())
             ]  # fmt: skip
             members.append(
                 {"name": member.record.name, "zone": member.record.zone, "state": member.state.name.lower(),
@@ -403,7 +410,7 @@
                  "incarnation": member.record.incarnation,
                  "heard": round(core.running_now - member.last_received_at),
                  "since": round(core.running_now - member.since), "accusers": sorted(member.accusers),
-                 "facets": facets}
+                 "facets": entries}
             )  # fmt: skip
         state = "displaced" if core.silent else "joining" if core.joining else "alive"
         return json.dumps(
