--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -31,7 +31,13 @@
 from martentide_lab.simulation import Simulation
 
 MOST_WAITING = 200  # datagrams that the socket of a stopped process holds
-PACES = (0.0, 0.0004, -0.0004, 0.0002, -0.0001)  # by which members' clocks run apart: within the core's DRIFT
+PACES = (
+    0.0,
+    0.0004,
+    -0.0004,
+    0.0002,
+    -0.0001,
+)  # by which members' clocks run apart: within the core's MAX_CLOCK_DRIFT
 Address = tuple[str, int]
 
 
