--- a/martentide/fleet/core.py
+++ b/martentide/fleet/core.py
@@ -57,9 +57,7 @@
 MAX_CLOCK_DRIFT = 0.001  # relative difference allowed between the rates of two clocks
 DEPARTURE_FANOUT = 12  # members notified directly of a departure
 FIXED_BYTES = HEAD + CHECK + 60  # frame, numeric fields and list headers; no sender's record, no entries
-GOSSIP_OVERHEAD_BYTES = (
-    FIXED_BYTES + 28 + 60
-)  # of a gossip datagram: plus IP and UDP headers, sender's record
+GOSSIP_OVERHEAD_BYTES = FIXED_BYTES + 28 + 60  # of a gossip datagram: adds IP, UDP and sender's record
 
 
 class Membership:
@@ -114,7 +112,7 @@
         spread = self.rng.random()
         self.probe_due = now + spread * terms.period
         self.gossip_due: float | None = None
-        self.short_lived_handled_at = -1e18  # last queued short-lived entry: tokens are reserved for those
+        self.short_lived_handled_at = -1e18  # a short-lived entry came up for sending; reserves tokens
         self.sync_due = now + spread * terms.sync_interval
         self.rejoin_due = now + spread * 50.0
         self.tokens, self.tokens_updated_at = terms.burst_bytes, now
