--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -31,13 +31,8 @@
 from martentide_lab.simulation import Simulation
 
 MOST_WAITING = 200  # datagrams that the socket of a stopped process holds
-PACES = (
-    0.0,
-    0.0004,
-    -0.0004,
-    0.0002,
-    -0.0001,
-)  # by which members' clocks run apart: within the core's MAX_CLOCK_DRIFT
+# By which members' clocks run apart: within the core's MAX_CLOCK_DRIFT.
+PACES = (0.0, 0.0004, -0.0004, 0.0002, -0.0001)
 Address = tuple[str, int]
 
 
