--- a/martentide/net/fleet/member.py
+++ b/martentide/net/fleet/member.py
@@ -1,7 +1,7 @@
-"""The actor of the fleet: owns the core and the duty of testing, and speaks with the dispatcher by messages.
+"""Fleet membership actor: owns the core and the health-check assignment.
 
-Datagrams come into its mailbox, which has a bound: a flood costs a counter. It has one timer for the core and
-one for its looks at the duty.
+It exchanges messages with the dispatcher. Received datagrams go to its bounded mailbox; those that exceed it
+are dropped and counted. One timer drives the core, another one the evaluation of the health-check assignment.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
     Displaced,
     Due,
     Heard,
-    Late,
     Learned,
     Publish,
     Send,
+    Stalled,
     TableFull,
 )
 from martentide.fleet.events import Event as CoreEvent
-from martentide.fleet.health_check_assignment import SCHEMA, HealthCheckAssignment, look
+from martentide.fleet.health_check_assignment import SCHEMA, HealthCheckAssignment, evaluate_assignment
 from martentide.fleet.wire import DatagramError, Frame, State
 from martentide.interface import AttemptEnded, Event, ProbeEnded, RepeatBudget, Settings, Stands
 from martentide.net.close_reason import LOG, log_event
@@ -45,98 +45,104 @@
     from martentide.extras import Fleet as FleetPart
     from martentide.net.fleet.agreement_actor import AgreementActor
 
-MOST_WAITING = 512  # items in the mailbox; more is dropped, as a full socket buffer would
-AT_A_TIME = 32  # items taken before the rest of the program has its turn
-LOOK = 250.0  # ms between two looks at the duty of testing
-OPEN_TRIES, OPEN_GAP = 60, 0.05  # and s between two tries to open the endpoint
-LAST_REPEATS, LAST_LIFE = 3.0, 10_000.0  # further attempts, and ms, of one that has left the fleet
-QUIET = 1.0  # s between two lines about datagrams that were passed over
+MAX_MAILBOX_ITEMS = 512  # more are dropped, as by a full socket buffer
+ITEMS_PER_TURN = 32  # handled before yielding to other tasks
+EVALUATION_INTERVAL_MS = 250.0  # of the health-check assignment
+OPEN_ATTEMPTS, OPEN_RETRY_S = 60, 0.05  # to open the endpoint
+FINAL_RETRY_BUDGET, FINAL_RETRY_BUDGET_MS = 3.0, 10_000.0  # retries after leaving the fleet, and their expiry
+REJECTED_LOG_INTERVAL_S = 1.0  # between two log lines about rejected datagrams
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """An event of the decisions about a watched server."""
+    """The dispatcher received an event about a watched server."""
 
     at: float
     event: Event
 
 
 class Tick:
-    """The core's time has come."""
+    """The core's timer is due."""
 
 
 class Look:
-    """Time to look at the duty of testing."""
+    """The health-check assignment is due for evaluation."""
 
 
 Item = bytes | Seen | Tick | Look
 
 
 class Endpoint(asyncio.DatagramProtocol):
+    """Passes received datagrams to the member's mailbox."""
+
     def __init__(self, member: Member) -> None:
         self.member = member
 
     def datagram_received(self, data: bytes, address: tuple[str | object, int]) -> None:
+        """Queue a datagram, or drop it if the mailbox is full."""
         self.member.post(data)
 
     def error_received(self, error: Exception) -> None:
-        self.member.counts["unreachable"] += 1  # nobody listens there: as good as a lost datagram
+        """Count an ICMP error; the datagram is treated as lost."""
+        self.member.counts["unreachable"] += 1  # no socket at the destination
 
 
 class Member:
-    """This proxy as a member of its fleet; ``rejoin`` after ``retire`` makes it one anew."""
+    """This proxy's membership of its fleet; it can ``join`` again after ``retire``."""
 
     def __init__(self, part: FleetPart, name: str, dispatcher: Dispatcher, seed: int) -> None:
         self.part, self.name, self.dispatcher, self.seed = part, name, dispatcher, seed
         self.loop = asyncio.get_running_loop()
-        self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MOST_WAITING)
+        self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MAX_MAILBOX_ITEMS)
         self.counts: Counter[str] = Counter()
-        self.said: Counter[str] = Counter()  # as of the last line about them
-        self.said_at = 0.0
+        self.logged_counts: Counter[str] = Counter()  # ``counts`` at the last log line
+        self.counts_logged_at = 0.0
         self.frame = Frame(part.name, part.secret)
         self.health_checks = HealthCheckAssignment(name, part.zone)
         self.overload: overload.Overload | None = None
-        self.settings: Settings | None = None  # those that the overload part knows
-        self.phase = Phase.NORMAL  # as of the last line about it
+        self.settings: Settings | None = None  # those passed to ``overload``
+        self.phase = Phase.NORMAL  # at the last log line
         self.core: Membership | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.timer = DueTimer(lambda: self.post(Tick()))
-        self.looking: asyncio.TimerHandle | None = None
+        self.evaluation_timer: asyncio.TimerHandle | None = None
         self.agreement: AgreementActor | None = None
-        self.lives = 0
+        self.join_count = 0
         self.wanted = False
-        dispatcher.event_observers.append(self._overhear)
+        dispatcher.event_observers.append(self._observe_event)
 
-    # ---- life -------------------------------------------------------------------------------------------
+    # ---- joining and leaving ----------------------------------------------------------------------------
 
     def _now(self) -> float:
         return self.loop.time() * 1000.0
 
     async def join(self) -> None:
-        """Open the endpoint and look for the fleet. Where its address is taken for good, the proxy serves as
-        without a fleet."""
+        """Open the endpoint and join the fleet.
+
+        If its address stays in use for all attempts, the proxy runs without a fleet.
+        """
         self.wanted = True
         transport: asyncio.DatagramTransport | None = None
-        for attempt in range(OPEN_TRIES):
-            try:  # a predecessor lets go of the address in its own time
+        for attempt in range(OPEN_ATTEMPTS):
+            try:  # a predecessor process may still hold the address
                 transport, _ = await self.loop.create_datagram_endpoint(
                     lambda: Endpoint(self), self.part.listen
                 )
                 break
             except OSError as error:
-                if attempt == OPEN_TRIES - 1:
+                if attempt == OPEN_ATTEMPTS - 1:
                     LOG.error("fleet-not-joined", detail=repr(error.strerror or str(error)))
                     return
-                await asyncio.sleep(OPEN_GAP)
+                await asyncio.sleep(OPEN_RETRY_S)
         assert transport is not None
         if not self.wanted or self.core is not None:
-            transport.close()  # retired while it waited
+            transport.close()  # retired in the meantime
             return
         self.transport = transport
-        own = transport.get_extra_info("sockname")
-        self.lives += 1
-        address: Address = self.part.advertise or (own[0], own[1])
-        seed = self.seed ^ (self.lives << 64) ^ int(self.loop.time() * 1e9)
+        endpoint = transport.get_extra_info("sockname")
+        self.join_count += 1
+        address: Address = self.part.advertise or (endpoint[0], endpoint[1])
+        seed = self.seed ^ (self.join_count << 64) ^ int(self.loop.time() * 1e9)
         self.core = Membership(
             self.name,
             self.part.zone,
@@ -154,27 +160,27 @@
                 self.name, self.core.me.life, *self._overload_terms(self.settings), seed=seed
             )
         log_event(
-            "fleet-joining", fleet=self.part.name, address=f"{own[0]}:{own[1]}",
+            "fleet-joining", fleet=self.part.name, address=f"{endpoint[0]}:{endpoint[1]}",
             advertise=f"{address[0]}:{address[1]}", life=self.core.me.life, zone=self.part.zone,
         )  # fmt: skip
         if self.part.agreement is not None:
             from martentide.net.fleet.agreement_actor import AgreementActor
 
             self.agreement = AgreementActor(
-                self.part.agreement, self.name, self.dispatcher, self._carry, lambda: self.core
+                self.part.agreement, self.name, self.dispatcher, self._send_payload, lambda: self.core
             )
             await self.agreement.begin(self.core.me.life, seed)
             if self.core is None or self.agreement is None:
-                return  # retired while it read its books
+                return  # retired while it read its persistent state
         self._arm()
-        self.looking = self.loop.call_later(LOOK / 1000.0, self._post_look)
+        self.evaluation_timer = self.loop.call_later(EVALUATION_INTERVAL_MS / 1000.0, self._post_evaluation)
 
     def retire(self) -> None:
-        """Fall silent without a word: a successor takes the name over."""
+        """Leave without notifying the other members, as a successor process takes over the name."""
         self.wanted = False
         self.timer.cancel()
-        if self.looking is not None:
-            self.looking.cancel()
+        if self.evaluation_timer is not None:
+            self.evaluation_timer.cancel()
         if self.transport is not None:
             self.transport.close()
         if self.agreement is not None:
@@ -183,33 +189,34 @@
         if self.core is not None:
             log_event("fleet-retired")
         if self.overload is not None:
-            self.dispatcher.post(RepeatBudget(LAST_REPEATS, LAST_LIFE))
+            self.dispatcher.post(RepeatBudget(FINAL_RETRY_BUDGET, FINAL_RETRY_BUDGET_MS))
             self.overload = None
-        self.core = self.transport = self.looking = None
+        self.core = self.transport = self.evaluation_timer = None
 
     def depart(self) -> None:
-        """Tell the others, then fall silent."""
+        """Notify the other members, then leave."""
         if self.core is not None:
             self._feed(Depart())
             log_event("fleet-left")
         self.retire()
 
     async def run(self) -> None:
-        taken = 0
+        """Handle mailbox items until cancelled."""
+        handled = 0
         while True:
             item = await self.mailbox.get()
-            taken += 1
-            if taken % AT_A_TIME == 0:
+            handled += 1
+            if handled % ITEMS_PER_TURN == 0:
                 await asyncio.sleep(0)
             try:
-                self._take(item)
-            except Exception:  # one strange word must not end the membership
+                self._handle_item(item)
+            except Exception:  # a fault in one message must not end the membership
                 LOG.exception("internal-error fleet", item=type(item).__name__)
             if self.core is not None:
                 self._arm()
 
     def post(self, item: Item) -> bool:
-        """Whether there was room for it."""
+        """Queue an item; return False if the mailbox is full."""
         if self.mailbox.full():
             self.counts["overrun"] += 1
             return False
@@ -218,17 +225,19 @@
 
     # ---- items ------------------------------------------------------------------------------------------
 
-    def _take(self, item: Item) -> None:
+    def _handle_item(self, item: Item) -> None:
         if self.core is None:
             return
         match item:
             case bytes():
-                self._read(item)
+                self._receive_datagram(item)
             case Tick():
                 self._feed(Due())
             case Look():
-                self._look()
-                self.looking = self.loop.call_later(LOOK / 1000.0, self._post_look)
+                self._evaluate()
+                self.evaluation_timer = self.loop.call_later(
+                    EVALUATION_INTERVAL_MS / 1000.0, self._post_evaluation
+                )
             case Seen(at, event):
                 self.health_checks.observe(at, event)
 
@@ -236,27 +245,29 @@
         assert self.core is not None
         self.timer.arm(self.core.due / 1000.0)
 
-    def _post_look(self) -> None:
+    def _post_evaluation(self) -> None:
         if self.mailbox.full():
-            self.looking = self.loop.call_later(LOOK / 1000.0, self._post_look)
+            self.evaluation_timer = self.loop.call_later(
+                EVALUATION_INTERVAL_MS / 1000.0, self._post_evaluation
+            )
         else:
             self.post(Look())
 
-    def _read(self, data: bytes) -> None:
+    def _receive_datagram(self, data: bytes) -> None:
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(data)
         try:
-            said = self.frame.read(data)
+            datagram = self.frame.read(data)
         except DatagramError as error:
-            self._passed_over(error.why.value)
+            self._count_rejected(error.why.value)
             return
-        self._feed(Heard(said))
+        self._feed(Heard(datagram))
 
-    def _passed_over(self, why: str) -> None:
-        self.counts[why] += 1
+    def _count_rejected(self, reason: str) -> None:
+        self.counts[reason] += 1
         now = self.loop.time()
-        if now - self.said_at >= QUIET:
-            self.said_at = now
+        if now - self.counts_logged_at >= REJECTED_LOG_INTERVAL_S:
+            self.counts_logged_at = now
             kinds = (
                 "strange",
                 "other-fleet",
@@ -266,18 +277,19 @@
                 "oversized",
                 "overrun",
             )
-            new = {kind: self.counts[kind] - self.said[kind] for kind in kinds}
-            self.said = Counter(self.counts)
+            increase = {kind: self.counts[kind] - self.logged_counts[kind] for kind in kinds}
+            self.logged_counts = Counter(self.counts)
             log_event(
-                "fleet-passed-over", **{kind.replace("-", "_"): count for kind, count in new.items() if count}
+                "fleet-passed-over",
+                **{kind.replace("-", "_"): count for kind, count in increase.items() if count},
             )
 
     def _feed(self, event: CoreEvent) -> None:
         assert self.core is not None
         for action in self.core.handle(self._now(), event):
-            self._act(action)
+            self._execute(action)
 
-    def _act(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Send(address, datagram):
                 data = self.frame.write(datagram)
@@ -285,11 +297,11 @@
                 self.counts["sent_bytes"] += len(data) + 28
                 if self.transport is not None:
                     self.transport.sendto(data, address)
-            case Changed(word, old, by, evidence):
+            case Changed(record, old, by, evidence):
                 log_event(
-                    "fleet-member", member=word.name, state=State(word.state).name.lower(),
+                    "fleet-member", member=record.name, state=State(record.state).name.lower(),
                     was="unknown" if old is None else old.name.lower(), by=by, evidence=repr(evidence),
-                    generation=word.generation, life=word.life, zone=word.zone,
+                    generation=record.generation, life=record.life, zone=record.zone,
                 )  # fmt: skip
             case Learned():
                 self.counts["facets"] += 1
@@ -299,29 +311,29 @@
             case Displaced(by):
                 LOG.error(
                     "fleet-displaced", member=by.name, address=f"{by.host}:{by.port}", life=by.life,
-                    detail=repr("another process bears this name by a newer right; this one acts alone"),
+                    detail=repr("a newer process uses this name; this one continues without the fleet"),
                 )  # fmt: skip
             case TableFull(most):
                 LOG.warning("fleet-full", most_members=most)
-            case Late(span):
+            case Stalled(span):
                 self.counts["late"] += 1
                 log_event("fleet-late", ms=round(span))
 
     def hang_up(self) -> None:
-        """SIGHUP: rules that the extras file names are proposed."""
+        """On SIGHUP, propose the rules named in the extras file."""
         if self.agreement is not None:
             self.agreement.propose_file()
 
-    def _carry(self, to: str, body: bytes) -> None:
-        """A part of a word of agreement, for one member."""
+    def _send_payload(self, to: str, body: bytes) -> None:
+        """Send a fragment of an agreement message to a member."""
         if self.core is not None:
             self._feed(Carry(to, body))
             self._arm()
 
-    # ---- duty of testing --------------------------------------------------------------------------------
+    # ---- health-check assignment and overload -----------------------------------------------------------
 
-    def _overhear(self, at: float, event: Event) -> None:
-        """Runs in the dispatcher's turn: only counts, and posts only of servers that somebody doubts."""
+    def _observe_event(self, at: float, event: Event) -> None:
+        """Observe an event in the dispatcher's task: only count it, or post it if the server is watched."""
         if self.overload is not None:
             self.overload.observe(self._now(), event)
         if isinstance(event, (ProbeEnded, Stands, AttemptEnded)) and (
@@ -329,29 +341,31 @@
         ):
             self.post(Seen(self._now(), event))
 
-    def _look(self) -> None:
+    def _evaluate(self) -> None:
         core = self.core
         assert core is not None
         now = self._now()
-        outlook, bad = look(core, self.health_checks, now, self.dispatcher.controller.servers)
-        if bad:
-            self._passed_over("malformed")
-        for kind, end, body in outlook.facets:
-            self._feed(Publish(kind, SCHEMA, end, body))
-        for event in outlook.events:
+        result, undecodable = evaluate_assignment(
+            core, self.health_checks, now, self.dispatcher.controller.servers
+        )
+        if undecodable:
+            self._count_rejected("malformed")
+        for kind, max_age, body in result.entries:
+            self._feed(Publish(kind, SCHEMA, max_age, body))
+        for event in result.events:
             self.dispatcher.post(event)
-        for name in outlook.tests:
+        for name in result.health_checks:
             if (actor := self.dispatcher.servers.get(name)) is not None:
                 actor.post(Probing())
         if self.overload is not None:
             self._handle_overload(core, self.overload, now)
         if self.agreement is not None:
-            for word in self.agreement.look(core):
-                self._feed(word)
+            for entry in self.agreement.look(core):
+                self._feed(entry)
 
     def _overload_terms(self, settings: Settings) -> tuple[dict[str, float], float, float]:
-        worths = {kind.name: kind.worth for kind in settings.classes}
-        return worths, settings.max_hold_off, self.dispatcher.controller.tolerable
+        priorities = {kind.name: kind.worth for kind in settings.classes}
+        return priorities, settings.max_hold_off, self.dispatcher.controller.tolerable
 
     def _handle_overload(self, core: Membership, part: overload.Overload, now: float) -> None:
         controller = self.dispatcher.controller
@@ -359,12 +373,12 @@
             self.settings = controller.settings
             part.settle(*self._overload_terms(self.settings))
         limited = self.dispatcher.now < controller.repeats_until < math.inf
-        purse = controller.repeats if limited else 0.0
-        outcome, bad = overload.look(core, part, now, controller.servers, purse)
-        if bad:
-            self._passed_over("malformed")
-        for one in outcome.events:
-            self.dispatcher.post(one)
+        token_allotment = controller.repeats if limited else 0.0
+        outcome, undecodable = overload.look(core, part, now, controller.servers, token_allotment)
+        if undecodable:
+            self._count_rejected("malformed")
+        for event in outcome.events:
+            self.dispatcher.post(event)
         if outcome.word is not None and not core.silent:
             self._feed(Publish(overload.LOAD, overload.SCHEMA, overload.END, outcome.word))
         if part.level.phase is not self.phase:
@@ -375,35 +389,37 @@
                 alone=part.alone(now),
             )  # fmt: skip
 
-    # ---- what people see --------------------------------------------------------------------------------
+    # ---- status -----------------------------------------------------------------------------------------
 
     def status(self) -> str:
-        """JSON: this member, the others, their facets; ages in ms."""
+        """This member, the others and their state entries as JSON; ages in ms."""
         core, now = self.core, self._now()
         if core is None:
             return json.dumps({"fleet": self.part.name, "name": self.name, "state": "retired", "members": []})
         members = []
         for member in core.members.values():
-            facets = [
-                {"kind": kind, "schema": one.word.schema, "counter": one.word.counter,
-                 "age": round(one.age(now)), "end": one.word.end, "bytes": len(one.word.body)}
-                for kind, one in sorted(member.facets.items())
+            entries = [
+                {"kind": kind, "schema": stored.entry.schema, "counter": stored.entry.counter,
+                 "age": round(stored.age(now)), "end": stored.entry.max_age, "bytes": len(stored.entry.body)}
+                for kind, stored in sorted(member.entries.items())
             ]  # fmt: skip
             members.append(
                 {"name": member.record.name, "zone": member.record.zone, "state": member.state.name.lower(),
                  "address": f"{member.record.host}:{member.record.port}",
                  "generation": member.record.generation,
-                 "incarnation": member.record.incarnation, "heard": round(core.own - member.heard),
-                 "since": round(core.own - member.since), "accusers": sorted(member.accusers),
-                 "facets": facets}
+                 "incarnation": member.record.incarnation,
+                 "heard": round(core.running_now - member.last_received_at),
+                 "since": round(core.running_now - member.since), "accusers": sorted(member.accusers),
+                 "facets": entries}
             )  # fmt: skip
         state = "displaced" if core.silent else "joining" if core.joining else "alive"
         return json.dumps(
             {"fleet": self.part.name, "name": self.name, "zone": self.part.zone, "state": state,
-             "generation": core.me.generation, "incarnation": core.me.incarnation, "health": core.health,
+             "generation": core.me.generation, "incarnation": core.me.incarnation,
+             "health": core.health_multiplier,
              "counts": dict(self.counts + core.counts),
              "overload": None if self.overload is None else self.overload.status(now),
              "members": sorted(members, key=lambda m: str(m["name"])),
-             "tests_left_to_others": sorted(self.health_checks.last_duty.no_tests),
-             "trials_left_to_others": sorted(self.health_checks.last_duty.no_trials)}
+             "tests_left_to_others": sorted(self.health_checks.last_assignment.no_tests),
+             "trials_left_to_others": sorted(self.health_checks.last_assignment.no_trials)}
         )  # fmt: skip
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -18,10 +18,10 @@
     Displaced,
     Due,
     Heard,
-    Late,
     Learned,
     Publish,
     Send,
+    Stalled,
 )
 from martentide.fleet.events import Event as CoreEvent
 from martentide.fleet.terms import Terms
@@ -31,7 +31,8 @@
 from martentide_lab.simulation import Simulation
 
 MOST_WAITING = 200  # datagrams that the socket of a stopped process holds
-PACES = (0.0, 0.0004, -0.0004, 0.0002, -0.0001)  # by which members' clocks run apart: within the core's DRIFT
+# By which members' clocks run apart: within the core's MAX_CLOCK_DRIFT.
+PACES = (0.0, 0.0004, -0.0004, 0.0002, -0.0001)
 Address = tuple[str, int]
 
 
@@ -114,7 +115,7 @@
             assert node.core is not None
             teller = words[0] if words[0].name != name else words[1]
             rest = [word for word in words if word.name != name]
-            self.feed(name, Heard(Datagram(Kind.LACKING, teller, node.core.me.life, 0, members=rest)))
+            self.feed(name, Heard(Datagram(Kind.MISSING, teller, node.core.me.life, 0, members=rest)))
 
     # ---- processes --------------------------------------------------------------------------------------
 
@@ -245,7 +246,7 @@
                 self._log("facet", node.name, word.owner, facet=word.kind, counter=word.counter, age=word.age)
             case Displaced(by):
                 self._log("displaced", node.name, by.name, life=by.life)
-            case Late(span):
+            case Stalled(span):
                 self._log("late", node.name, node.name, span=span)
         for observe in self.observers:
             observe(node.name, action)
