--- a/martentide/__main__.py
+++ b/martentide/__main__.py
@@ -11,10 +11,10 @@
 
 pacing = PacedImports() if predecessor_may_serve(os.environ) else None
 if pacing is not None:
-    pacing.begin()
+    pacing.install()
 
 from martentide.cli import main  # noqa: E402
 
 if pacing is not None:
-    pacing.end()
+    pacing.uninstall()
 main()
--- a/martentide/handover/wire.py
+++ b/martentide/handover/wire.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 VERSION = 1
-MOST_FRAME = 128 * 1024  # bytes
+MAX_FRAME_BYTES = 128 * 1024  # bytes
 MOST_RECORDS = 1000  # calls named in one frame
 
 
@@ -106,24 +106,24 @@
 
 
 Frame = Hello | Welcome | TurnedAway | Take | Taken | GiveBack | Moving | MovedCalls | MovedLink | Said | Left
-KINDS: dict[str, type[Any]] = {
+FRAME_TYPES: dict[str, type[Any]] = {
     kind.__name__: kind
     for kind in (Hello, Welcome, TurnedAway, Take, Taken, GiveBack, Moving, MovedCalls, MovedLink, Said, Left)
 }
 
 
-def _plain(value: Any) -> Any:
+def _to_json(value: Any) -> Any:
     if isinstance(value, bytes):
         return value.hex()
-    return [_plain(one) for one in value] if isinstance(value, tuple) else value
+    return [_to_json(one) for one in value] if isinstance(value, tuple) else value
 
 
 def write_frame(frame: Frame) -> bytes:
-    values = {field.name: _plain(getattr(frame, field.name)) for field in fields(frame)}
+    values = {field.name: _to_json(getattr(frame, field.name)) for field in fields(frame)}
     return json.dumps([type(frame).__name__, values], separators=(",", ":")).encode("ascii")
 
 
-def _exactly(kind: type[Any]) -> Callable[[Any], Any]:
+def _require_type(kind: type[Any]) -> Callable[[Any], Any]:
     def read(value: Any) -> Any:
         if type(value) is not kind:
             raise ValueError(f"expected {kind.__name__}, found {value!r:.40}")
@@ -132,21 +132,23 @@
     return read
 
 
-def _calls(value: Any) -> tuple[bytes, ...]:
-    return tuple(bytes.fromhex(one) for one in _exactly(list)(value))
+def _read_calls(value: Any) -> tuple[bytes, ...]:
+    return tuple(bytes.fromhex(one) for one in _require_type(list)(value))
 
 
-def _pairs(value: Any) -> tuple[tuple[bytes, bytes], ...]:
-    return tuple((bytes.fromhex(call), bytes.fromhex(message)) for call, message in _exactly(list)(value))
+def _read_call_messages(value: Any) -> tuple[tuple[bytes, bytes], ...]:
+    return tuple(
+        (bytes.fromhex(call), bytes.fromhex(message)) for call, message in _require_type(list)(value)
+    )
 
 
-READ: dict[str, Callable[[Any], Any]] = {
-    "int": _exactly(int),
-    "str": _exactly(str),
-    "bool": _exactly(bool),
-    "bytes": lambda value: bytes.fromhex(_exactly(str)(value)),
-    "tuple[bytes, ...]": _calls,
-    "tuple[tuple[bytes, bytes], ...]": _pairs,
+FIELD_READERS: dict[str, Callable[[Any], Any]] = {
+    "int": _require_type(int),
+    "str": _require_type(str),
+    "bool": _require_type(bool),
+    "bytes": lambda value: bytes.fromhex(_require_type(str)(value)),
+    "tuple[bytes, ...]": _read_calls,
+    "tuple[tuple[bytes, bytes], ...]": _read_call_messages,
 }
 
 
@@ -154,11 +156,11 @@
     """The frame; raises HandoverError."""
     try:
         name, values = json.loads(raw)
-        kind = KINDS[name]
+        kind = FRAME_TYPES[name]
         expected = {field.name: str(field.type) for field in fields(kind)}
         if values.keys() != expected.keys():
             raise ValueError(f"expected the fields {', '.join(expected) or 'none'}")
-        frame: Frame = kind(**{name: READ[what](values[name]) for name, what in expected.items()})
+        frame: Frame = kind(**{name: FIELD_READERS[what](values[name]) for name, what in expected.items()})
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise HandoverError(f"a frame of another kind: {error}") from None
     return frame
--- a/martentide/lifecycle/machine.py
+++ b/martentide/lifecycle/machine.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-LEAVE_AFTER = 0.4  # s of a drain in which links stay: the front sends more for 0.2 s after the first no
-SETTLE_AFTER = 1.9  # s of a drain in which set-ups are taken: none may be younger than 2 s at 4 s
-LATE_ARRIVALS = 0.9  # s after SIGTERM in which set-ups still come
-MOVING = 1.2  # s after SIGTERM in which callers' connections go to the successor
-LAST_WORDS = 0.05  # s for the last answers to leave the mailboxes
+CLOSE_IDLE_DELAY = 0.4  # s of a drain in which links stay: the front sends more for 0.2 s after the first no
+REFUSE_DELAY = 1.9  # s of a drain in which set-ups are taken: none may be younger than 2 s at 4 s
+LATE_ARRIVAL_PERIOD = 0.9  # s after SIGTERM in which set-ups still come
+MOVE_PERIOD = 1.2  # s after SIGTERM in which callers' connections go to the successor
+FLUSH_PERIOD = 0.05  # s for the last answers to leave the mailboxes
 
 
 class Phase(Enum):
@@ -25,25 +25,25 @@
     ENDED = "ended"
 
 
-class Beside(Enum):
+class UpgradePeer(Enum):
     """Who else serves the same address, in an upgrade."""
 
-    NOBODY = "nobody"
+    NONE = "nobody"
     PREDECESSOR = "predecessor"  # it was here first, and has calls still
     SUCCESSOR = "successor"  # it was welcomed, and has not taken yet
-    TAKEN = "taken"  # the successor accepts, and this process no more
+    ACCEPTING_SUCCESSOR = "taken"  # the successor accepts, and this process no more
 
 
 # ---- events ---------------------------------------------------------------------------------------------
 
 
-class Step(Enum):
+class TimerKind(Enum):
     """What a timer stands for."""
 
-    LEAVE = "leave"
-    SETTLE = "settle"
-    LATE_OVER = "late-over"
-    LAST_WORDS = "last-words"
+    CLOSE_IDLE = "leave"
+    REFUSE_SET_UPS = "settle"
+    STOP_ACCEPTING = "late-over"
+    END = "last-words"
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,20 +71,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HangUp:
+class ReloadRequested:
     """SIGHUP."""
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
+class TimerExpired:
     """A timer came due."""
 
     epoch: int
-    step: Step
+    kind: TimerKind
 
 
 @dataclass(frozen=True, slots=True)
-class AllOver:
+class AllCallsEnded:
     """Every call is answered and none stands."""
 
 
@@ -99,19 +99,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SuccessorAsks:
+class SuccessorRequested:
     """A second process wants to take over; ``ask`` numbers its channel."""
 
-    ask: int
+    request: int
 
 
 @dataclass(frozen=True, slots=True)
-class SuccessorTakes:
+class SuccessorReady:
     """It is ready to accept."""
 
 
 @dataclass(frozen=True, slots=True)
-class SuccessorGivesBack:
+class SuccessorReturnedListener:
     """It is to end, and accepts no more."""
 
 
@@ -125,14 +125,14 @@
     | OutOfService
     | InService
     | Terminate
-    | HangUp
-    | Due
-    | AllOver
+    | ReloadRequested
+    | TimerExpired
+    | AllCallsEnded
     | PredecessorFound
     | PredecessorGone
-    | SuccessorAsks
-    | SuccessorTakes
-    | SuccessorGivesBack
+    | SuccessorRequested
+    | SuccessorReady
+    | SuccessorReturnedListener
     | SuccessorGone
 )
 
@@ -153,14 +153,14 @@
 class LeaveLinks:
     """Callers' links are closed as they come to rest (or, ``on`` false, are kept again)."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseSetUps:
     """New set-ups are refused (or taken again)."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -170,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetDue:
-    due: Due
+    timer: TimerExpired
     delay: float
 
 
@@ -206,12 +206,12 @@
 class WelcomeIt:
     """Hand the listening socket to the process that asks."""
 
-    ask: int
+    request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TurnAway:
-    ask: int
+    request: int
     reason: str
 
 
@@ -267,12 +267,12 @@
 )
 
 
-class Machine:
+class StateMachine:
     """The one state of the service."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
-        self.beside = Beside.NOBODY
+        self.upgrade_peer = UpgradePeer.NONE
         self.listening = False
         self.epoch = 0
         self.actions: list[Action] = []
@@ -290,7 +290,7 @@
                 pass
             case Listening():
                 self.listening = True
-                self._do(OpenMeeting())
+                self._emit(OpenMeeting())
                 if self.phase is Phase.STARTING:
                     self._enter(Phase.IN_SERVICE, "start")
             case OutOfService(call):
@@ -299,110 +299,113 @@
                 self._in_service(call)
             case Terminate():
                 self._terminate()
-            case HangUp():
-                self._do(Reload())
-            case Due(epoch, step) if epoch == self.epoch:
-                self._due(step)
-            case AllOver() if self.phase is Phase.STOPPING:
-                self._set(Step.LAST_WORDS, LAST_WORDS)
+            case ReloadRequested():
+                self._emit(Reload())
+            case TimerExpired(epoch, kind) if epoch == self.epoch:
+                self._timer_expired(kind)
+            case AllCallsEnded() if self.phase is Phase.STOPPING:
+                self._set_timer(TimerKind.END, FLUSH_PERIOD)
             case _:
-                self._upgrade(event)
+                self._handle_upgrade(event)
         return self.actions
 
-    def _do(self, *actions: Action) -> None:
+    def _emit(self, *actions: Action) -> None:
         self.actions.extend(actions)
 
     def _enter(self, phase: Phase, by: str) -> None:
         self.phase = phase
         self.epoch += 1
-        self._do(Tell(phase, by))
+        self._emit(Tell(phase, by))
 
-    def _set(self, step: Step, delay: float) -> None:
-        self._do(SetDue(Due(self.epoch, step), delay))
+    def _set_timer(self, kind: TimerKind, delay: float) -> None:
+        self._emit(SetDue(TimerExpired(self.epoch, kind), delay))
 
     def _out_of_service(self, call: int) -> None:
         if self.phase is Phase.STOPPING:
-            self._do(Answer(call, 409, "stopping"))
+            self._emit(Answer(call, 409, "stopping"))
             return
         if self.phase is Phase.DRAINING:
-            self._do(Answer(call, 200, "out of service already"))
+            self._emit(Answer(call, 200, "out of service already"))
             return
         self._enter(Phase.DRAINING, "operator")
-        self._set(Step.LEAVE, LEAVE_AFTER)
-        self._set(Step.SETTLE, SETTLE_AFTER)
-        self._do(Answer(call, 200, "out of service"))
+        self._set_timer(TimerKind.CLOSE_IDLE, CLOSE_IDLE_DELAY)
+        self._set_timer(TimerKind.REFUSE_SET_UPS, REFUSE_DELAY)
+        self._emit(Answer(call, 200, "out of service"))
 
     def _in_service(self, call: int) -> None:
         if self.phase is Phase.STOPPING:
-            self._do(Answer(call, 409, "stopping"))
+            self._emit(Answer(call, 409, "stopping"))
             return
         if self.phase is not Phase.DRAINING:
-            self._do(Answer(call, 200, "in service already" if self.ready else "starting"))
+            self._emit(Answer(call, 200, "in service already" if self.ready else "starting"))
             return
         self._enter(Phase.IN_SERVICE if self.listening else Phase.STARTING, "operator")
-        self._do(LeaveLinks(False), RefuseSetUps(False), Answer(call, 200, "in service"))
+        self._emit(LeaveLinks(False), RefuseSetUps(False), Answer(call, 200, "in service"))
 
-    def _upgrade(self, event: Event) -> None:
+    def _handle_upgrade(self, event: Event) -> None:
         match event:
             case PredecessorFound():
-                self.beside = Beside.PREDECESSOR
-            case PredecessorGone() if self.beside is Beside.PREDECESSOR:
-                self.beside = Beside.NOBODY
-                self._do(LetGoOfPredecessor())
-            case SuccessorAsks(ask):
-                self._successor_asks(ask)
-            case SuccessorTakes() if self.beside is Beside.SUCCESSOR:
-                self._successor_takes()
-            case SuccessorGivesBack() if self.beside is Beside.TAKEN:
-                self._successor_leaves(Beside.SUCCESSOR)
-            case SuccessorGone() if self.beside in (Beside.SUCCESSOR, Beside.TAKEN):
-                self._successor_leaves(Beside.NOBODY)
-
-    def _successor_asks(self, ask: int) -> None:
+                self.upgrade_peer = UpgradePeer.PREDECESSOR
+            case PredecessorGone() if self.upgrade_peer is UpgradePeer.PREDECESSOR:
+                self.upgrade_peer = UpgradePeer.NONE
+                self._emit(LetGoOfPredecessor())
+            case SuccessorRequested(ask):
+                self._successor_requested(ask)
+            case SuccessorReady() if self.upgrade_peer is UpgradePeer.SUCCESSOR:
+                self._successor_ready()
+            case SuccessorReturnedListener() if self.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR:
+                self._successor_leaves(UpgradePeer.SUCCESSOR)
+            case SuccessorGone() if self.upgrade_peer in (
+                UpgradePeer.SUCCESSOR,
+                UpgradePeer.ACCEPTING_SUCCESSOR,
+            ):
+                self._successor_leaves(UpgradePeer.NONE)
+
+    def _successor_requested(self, request: int) -> None:
         if not self.listening:
-            self._do(TurnAway(ask, self.phase.value))
-        elif self.beside is not Beside.NOBODY:
-            self._do(TurnAway(ask, f"another upgrade is under way: {self.beside.value}"))
+            self._emit(TurnAway(request, self.phase.value))
+        elif self.upgrade_peer is not UpgradePeer.NONE:
+            self._emit(TurnAway(request, f"another upgrade is under way: {self.upgrade_peer.value}"))
         else:
-            self.beside = Beside.SUCCESSOR
-            self._do(WelcomeIt(ask))
+            self.upgrade_peer = UpgradePeer.SUCCESSOR
+            self._emit(WelcomeIt(request))
 
-    def _successor_takes(self) -> None:
+    def _successor_ready(self) -> None:
         """Also while stopping: who still connects is the successor's then, and is not cut off by the end."""
-        self.beside = Beside.TAKEN
-        self._do(Yield())
+        self.upgrade_peer = UpgradePeer.ACCEPTING_SUCCESSOR
+        self._emit(Yield())
         if self.phase is Phase.STOPPING:
-            self._do(MoveOut())
+            self._emit(MoveOut())
 
-    def _successor_leaves(self, beside: Beside) -> None:
-        taken, self.beside = self.beside is Beside.TAKEN, beside
-        if beside is Beside.NOBODY:
-            self._do(LetGoOfSuccessor())
-        if self.phase is not Phase.STOPPING and (taken or beside is Beside.NOBODY):
-            self._do(AcceptAgain(), OpenMeeting())
+    def _successor_leaves(self, upgrade_peer: UpgradePeer) -> None:
+        was_accepting, self.upgrade_peer = self.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR, upgrade_peer
+        if upgrade_peer is UpgradePeer.NONE:
+            self._emit(LetGoOfSuccessor())
+        if self.phase is not Phase.STOPPING and (was_accepting or upgrade_peer is UpgradePeer.NONE):
+            self._emit(AcceptAgain(), OpenMeeting())
 
     def _terminate(self) -> None:
         if self.phase is Phase.STOPPING:
             return
         self._enter(Phase.STOPPING, "signal")
-        self._do(CloseFronts())
-        if self.beside is Beside.TAKEN:
-            self._do(MoveOut())
-            self._set(Step.LATE_OVER, MOVING)
+        self._emit(CloseFronts())
+        if self.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR:
+            self._emit(MoveOut())
+            self._set_timer(TimerKind.STOP_ACCEPTING, MOVE_PERIOD)
             return
         # Callers do not know yet: what still comes on new and open connections is served like any other call.
-        self._set(Step.LATE_OVER, LATE_ARRIVALS if self.listening else 0.0)
-
-    def _due(self, step: Step) -> None:
-        match step:
-            case Step.LEAVE:
-                self._do(LeaveLinks(True))
-            case Step.SETTLE:
-                self._do(RefuseSetUps(True))
-            case Step.LATE_OVER:
-                if self.beside is Beside.PREDECESSOR:
-                    self._do(GiveBackIt())
+        self._set_timer(TimerKind.STOP_ACCEPTING, LATE_ARRIVAL_PERIOD if self.listening else 0.0)
+
+    def _timer_expired(self, kind: TimerKind) -> None:
+        match kind:
+            case TimerKind.CLOSE_IDLE:
+                self._emit(LeaveLinks(True))
+            case TimerKind.REFUSE_SET_UPS:
+                self._emit(RefuseSetUps(True))
+            case TimerKind.STOP_ACCEPTING:
+                if self.upgrade_peer is UpgradePeer.PREDECESSOR:
+                    self._emit(GiveBackIt())
                 self.listening = False
-                self._do(StopListening(), RefuseSetUps(True), TellWhenOver())
-            case Step.LAST_WORDS:
+                self._emit(StopListening(), RefuseSetUps(True), TellWhenOver())
+            case TimerKind.END:
                 self._enter(Phase.ENDED, "all-over")
--- a/martentide/log.py
+++ b/martentide/log.py
@@ -14,7 +14,7 @@
 FORMATS = ("text", "json")
 
 
-def stamp(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+def add_timestamp(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
     """Time of the machine's zone, with milliseconds."""
     now = time.time()
     clock = time.strftime("%Y-%m-%dT%H:%M:%S", time.localtime(now))
@@ -22,7 +22,7 @@
     return event
 
 
-def text_line(_: Any, __: str, event: MutableMapping[str, Any]) -> str:
+def render_text(_: Any, __: str, event: MutableMapping[str, Any]) -> str:
     """``TIME LEVEL EVENT name=value ...``, and a trace, if there is one, on the lines behind."""
     head = f"{event.pop('timestamp')} {event.pop('level').upper()} {event.pop('event')}"
     trace = event.pop("exception", None)
@@ -30,7 +30,7 @@
     return f"{line}\n{trace}" if trace else line
 
 
-class _Library(logging.Handler):
+class _LibraryHandler(logging.Handler):
     """Lines of libraries that log by the standard library, in the same form and on the same stream."""
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -43,16 +43,16 @@
 
 def configure(level: str = "info", form: str = "text") -> None:
     """Set the least level shown and the form; called once, before anything is logged."""
-    last: Any = text_line if form == "text" else structlog.processors.JSONRenderer(default=str)
+    renderer: Any = render_text if form == "text" else structlog.processors.JSONRenderer(default=str)
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
-            stamp,
+            add_timestamp,
             structlog.processors.format_exc_info,
-            last,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=True,
     )
-    logging.basicConfig(level=max(logging.WARNING, LEVELS[level]), handlers=[_Library()], force=True)
+    logging.basicConfig(level=max(logging.WARNING, LEVELS[level]), handlers=[_LibraryHandler()], force=True)
--- a/martentide/net/config.py
+++ b/martentide/net/config.py
@@ -18,7 +18,7 @@
     from martentide.extras import Extras
 
 
-OVERRIDES = (("PROXY_LISTEN", "listen"), ("PROXY_NAME", "name"), ("PROXY_OPERATOR", "operator"))
+ENVIRONMENT_OVERRIDES = (("PROXY_LISTEN", "listen"), ("PROXY_NAME", "name"), ("PROXY_OPERATOR", "operator"))
 
 
 class ConfigError(Exception):
@@ -54,10 +54,10 @@
     extras: Extras | None = None  # what the extras file turns on
 
 
-def read_address(text: Any, what: str) -> Address:
+def read_address(text: Any, key: str) -> Address:
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or int(port) > 65535:
-        raise ConfigError(f"{what}: {text!r} is not HOST:PORT")
+        raise ConfigError(f"{key}: {text!r} is not HOST:PORT")
     return Address(host, int(port))
 
 
@@ -71,14 +71,14 @@
         raise ConfigError("PROXY_CONFIG: not set, and no --config given")
     try:
         text = Path(path).read_text(encoding="utf-8")
-        raw = json.loads(text, parse_constant=no_constant, parse_float=finite)
+        raw = json.loads(text, parse_constant=reject_constant, parse_float=parse_finite_float)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except ValueError as error:
         raise ConfigError(f"{path}: not JSON: {error}") from None
     if not isinstance(raw, dict):
         raise ConfigError(f"{path}: not a JSON object")
-    for variable, key in OVERRIDES:
+    for variable, key in ENVIRONMENT_OVERRIDES:
         if environment.get(variable):
             raw[key] = environment[variable]
     config = read_config(raw)
@@ -93,22 +93,22 @@
         raise ConfigError(str(error)) from None
 
 
-def finite(text: str) -> float:
+def parse_finite_float(text: str) -> float:
     number = float(text)
     if math.isinf(number):
         raise ValueError(f"{text} is beyond any number")
     return number
 
 
-def no_constant(text: str) -> Any:
+def reject_constant(text: str) -> Any:
     raise ValueError(f"{text} is no number of JSON")
 
 
 def check_keys(new: Config, running: Config) -> None:
     """Raises ConfigError where the file lacks a key that the running one has."""
-    lost = sorted(running.keys - new.keys)
-    if lost:
-        raise ConfigError(f"{lost[0]}: missing, the running configuration has it")
+    missing = sorted(running.keys - new.keys)
+    if missing:
+        raise ConfigError(f"{missing[0]}: missing, the running configuration has it")
 
 
 def read_config(raw: Mapping[str, Any]) -> Config:
--- a/martentide/net/discovery.py
+++ b/martentide/net/discovery.py
@@ -13,23 +13,23 @@
 from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
 from martentide.net.config import Address
 
-SILENCE = 2.2  # s without a frame after which the connection is dead
-REDIAL_AFTER = (0.1, 0.4)  # s, drawn between the two
+SILENCE_TIMEOUT = 2.2  # s without a frame after which the connection is dead
+RECONNECT_DELAY = (0.1, 0.4)  # s, drawn between the two
 # s instead after a connection that lasted and told something: what is listed counts as told meanwhile, and a
 # drain may have a grace of less than the other. One that ends sooner is not dialled in a loop.
-REDIAL_FIRST, LASTED = (0.0, 0.05), 0.5
+FAST_RECONNECT_DELAY, MIN_LIFETIME = (0.0, 0.05), 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class FollowEnded:
+class ConnectionEnded:
     """The ``attempt``-th connection to the board is over, or none came up; ``lived``: it lasted and told."""
 
     attempt: int
-    lived: bool
+    healthy: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
+class AddressChanged:
     """The board is told at another address from now on; its numbers continue."""
 
     address: Address
@@ -39,58 +39,62 @@
     def __init__(
         self,
         address: Address,
-        last: int,
+        last_number: int,
         zones: tuple[str, ...],
         connect_timeout: float,
-        tell: Callable[[Notice], None],
-        short: Callable[[OSError], object] = lambda error: None,
+        on_notice: Callable[[Notice], None],
+        on_dial_error: Callable[[OSError], object] = lambda error: None,
     ) -> None:
-        self.address, self.last, self.zones, self.tell = address, last, zones, tell
+        self.address, self.last_number, self.zones, self.on_notice = address, last_number, zones, on_notice
         self.connect_timeout = connect_timeout
-        self.short = short  # told of an error of a dial, which may be for want of a descriptor
-        self.mailbox: asyncio.Queue[Notice | FollowEnded | Moved] = asyncio.Queue()
-        self.following: asyncio.Task[None] | None = None
+        self.on_dial_error = (
+            on_dial_error  # told of an error of a dial, which may be for want of a descriptor
+        )
+        self.mailbox: asyncio.Queue[Notice | ConnectionEnded | AddressChanged] = asyncio.Queue()
+        self.connection_task: asyncio.Task[None] | None = None
         self.attempt = 0
 
-    def post(self, item: Moved) -> None:
+    def post(self, item: AddressChanged) -> None:
         self.mailbox.put_nowait(item)
 
     async def run(self) -> None:
-        self._dial(0.0)
+        self._connect(0.0)
         while True:
             item = await self.mailbox.get()
-            if isinstance(item, Moved):
+            if isinstance(item, AddressChanged):
                 # The old address may keep its connection open and tell nothing: it is left at once.
                 self.address = item.address
-                if self.following is not None:
-                    self.following.cancel()
-                self._dial(0.0)
-            elif isinstance(item, FollowEnded):
+                if self.connection_task is not None:
+                    self.connection_task.cancel()
+                self._connect(0.0)
+            elif isinstance(item, ConnectionEnded):
                 if item.attempt == self.attempt:  # not of a connection that a move has ended
-                    self._dial(random.uniform(*(REDIAL_FIRST if item.lived else REDIAL_AFTER)))
-            elif item.number > self.last:  # one that comes twice tells nothing new
-                self.last = item.number
-                self.tell(item)
-
-    def _dial(self, pause: float) -> None:
+                    self._connect(
+                        random.uniform(*(FAST_RECONNECT_DELAY if item.healthy else RECONNECT_DELAY))
+                    )
+            elif item.number > self.last_number:  # one that comes twice tells nothing new
+                self.last_number = item.number
+                self.on_notice(item)
+
+    def _connect(self, delay: float) -> None:
         self.attempt += 1
-        self.following = asyncio.create_task(self._follow(self.attempt, pause), name="board")
+        self.connection_task = asyncio.create_task(self._follow_notices(self.attempt, delay), name="board")
 
-    async def _follow(self, attempt: int, pause: float) -> None:
+    async def _follow_notices(self, attempt: int, delay: float) -> None:
         """One connection, from its dial to its one log line."""
-        await asyncio.sleep(pause)
-        address, begun_at = self.address, asyncio.get_running_loop().time()
+        await asyncio.sleep(delay)
+        address, started_at = self.address, asyncio.get_running_loop().time()
         writer: asyncio.StreamWriter | None = None
-        reason, detail, lived = CloseReason.INTERNAL, "", False
+        reason, detail, received_any = CloseReason.INTERNAL, "", False
         try:
             async with asyncio.timeout(self.connect_timeout):
                 reader, writer = await asyncio.open_connection(address.host, address.port)
-            writer.write(write_number(self.last))
+            writer.write(write_number(self.last_number))
             while True:
-                async with asyncio.timeout(SILENCE):
+                async with asyncio.timeout(SILENCE_TIMEOUT):
                     head = await reader.readexactly(LENGTH.size)
                     body = await reader.readexactly(frame_length(head))
-                notice, lived = read_frame(body, self.zones), True
+                notice, received_any = read_frame(body, self.zones), True
                 if notice is not None:
                     self.mailbox.put_nowait(notice)
         except TimeoutError:
@@ -105,7 +109,7 @@
         except ConnectionResetError:
             reason = CloseReason.PEER_RESET
         except OSError as error:
-            self.short(error)
+            self.on_dial_error(error)
             reason, detail = (CloseReason.DIAL_ERROR if writer is None else CloseReason.IO_ERROR), str(error)
         except asyncio.CancelledError:
             reason = CloseReason.SHUTDOWN if attempt == self.attempt else CloseReason.MOVED
@@ -115,6 +119,6 @@
         finally:
             if writer is not None:
                 writer.close()
-            lasted = asyncio.get_running_loop().time() - begun_at >= LASTED
+            long_lived = asyncio.get_running_loop().time() - started_at >= MIN_LIFETIME
             log_connection_closed("board", str(address), reason, detail)
-            self.mailbox.put_nowait(FollowEnded(attempt, lived and lasted))
+            self.mailbox.put_nowait(ConnectionEnded(attempt, received_any and long_lived))
--- a/martentide/net/handover.py
+++ b/martentide/net/handover.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from martentide.handover.wire import (
-    MOST_FRAME,
+    MAX_FRAME_BYTES,
     VERSION,
     Frame,
     HandoverError,
@@ -28,15 +28,15 @@
 from martentide.net.close_reason import CloseReason, log_connection_closed, log_event
 from martentide.net.config import Address
 
-HELLO_LIMIT = 1.0  # s for the first word of either side
-MOST_QUEUED = 16 * 1024 * 1024  # bytes of frames that wait for the other process, before it is given up
-MOST_HEARD = 64  # frames, each with a descriptor at most, that wait to be taken
-HEAR_AGAIN = 0.005  # s until the next look whether some were
-FDS = 1  # descriptors beside one frame
+HELLO_TIMEOUT = 1.0  # s for the first word of either side
+MAX_QUEUED_BYTES = 16 * 1024 * 1024  # bytes of frames that wait for the other process, before it is given up
+MAX_RECEIVED_FRAMES = 64  # frames, each with a descriptor at most, that wait to be taken
+READ_RETRY_DELAY = 0.005  # s until the next look whether some were
+MAX_DESCRIPTORS = 1  # descriptors beside one frame
 CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
 
 
-def meeting_place(environment: Mapping[str, str], listen: Address) -> str | None:
+def handover_socket_path(environment: Mapping[str, str], listen: Address) -> str | None:
     """The path of the socket; None where there is no folder for it."""
     folder = environment.get("TMPDIR")
     return os.path.join(folder, f"martentide-{listen.host}-{listen.port}.sock") if folder else None
@@ -52,9 +52,9 @@
     def __init__(self, sock: socket.socket, role: str) -> None:
         self.sock, self.role = sock, role
         self.loop = asyncio.get_running_loop()
-        self.heard: asyncio.Queue[tuple[Frame, int | None] | None] = asyncio.Queue()
-        self.queue: deque[tuple[bytes, int | None]] = deque()
-        self.queued = 0
+        self.received: asyncio.Queue[tuple[Frame, int | None] | None] = asyncio.Queue()
+        self.outgoing: deque[tuple[bytes, int | None]] = deque()
+        self.queued_bytes = 0
         self.alive = True
         sock.setblocking(False)
         self.loop.add_reader(sock, self._readable)
@@ -64,21 +64,21 @@
         if not self.alive:
             return
         raw = write_frame(frame)
-        own = os.dup(descriptor) if descriptor is not None else None
-        self.queue.append((raw, own))
-        self.queued += len(raw)
-        if len(self.queue) == 1:
+        duplicate = os.dup(descriptor) if descriptor is not None else None
+        self.outgoing.append((raw, duplicate))
+        self.queued_bytes += len(raw)
+        if len(self.outgoing) == 1:
             self._flush()
-        if self.queued > MOST_QUEUED:
+        if self.queued_bytes > MAX_QUEUED_BYTES:
             self.close(CloseReason.BLOCKED)
 
     def _flush(self) -> None:
         try:
-            while self.queue:
-                raw, descriptor = self.queue[0]
-                socket.send_fds(self.sock, [raw], [] if descriptor is None else [descriptor])
-                self.queue.popleft()
-                self.queued -= len(raw)
+            while self.outgoing:
+                data, descriptor = self.outgoing[0]
+                socket.send_fds(self.sock, [data], [] if descriptor is None else [descriptor])
+                self.outgoing.popleft()
+                self.queued_bytes -= len(data)
                 if descriptor is not None:
                     os.close(descriptor)
         except BlockingIOError:
@@ -89,21 +89,21 @@
             return
         self.loop.remove_writer(self.sock)
 
-    def _hear_again(self) -> None:
+    def _resume_reading(self) -> None:
         if self.alive:
             self.loop.add_reader(self.sock, self._readable)
 
     def _readable(self) -> None:
-        if self.heard.qsize() >= MOST_HEARD:
+        if self.received.qsize() >= MAX_RECEIVED_FRAMES:
             self.loop.remove_reader(self.sock)
-            self.loop.call_later(HEAR_AGAIN, self._hear_again)
+            self.loop.call_later(READ_RETRY_DELAY, self._resume_reading)
             return
         try:
-            raw, descriptors, _, _ = socket.recv_fds(self.sock, MOST_FRAME, FDS)
+            raw, descriptors, _, _ = socket.recv_fds(self.sock, MAX_FRAME_BYTES, MAX_DESCRIPTORS)
             if not raw:
                 self.close(CloseReason.PEER_CLOSED)
                 return
-            self.heard.put_nowait((read_frame(raw), descriptors[0] if descriptors else None))
+            self.received.put_nowait((read_frame(raw), descriptors[0] if descriptors else None))
         except BlockingIOError:
             return
         except HandoverError as error:
@@ -118,34 +118,34 @@
         self.loop.remove_reader(self.sock)
         self.loop.remove_writer(self.sock)
         self.sock.close()
-        for _, descriptor in self.queue:
+        for _, descriptor in self.outgoing:
             if descriptor is not None:
                 os.close(descriptor)
-        self.queue.clear()
+        self.outgoing.clear()
         log_connection_closed("upgrade", self.role, reason, detail)
-        self.heard.put_nowait(None)
+        self.received.put_nowait(None)
 
 
-def own_user(sock: socket.socket) -> bool:
+def is_same_user(sock: socket.socket) -> bool:
     """Whether the process at the other end is of the same user."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
     return bool(CREDENTIALS.unpack(raw)[1] == os.getuid())
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class Predecessor:
     """A predecessor that hands over: its listening socket, and how many connections it holds."""
 
     channel: Channel
     listener: socket.socket
-    links: int
+    connections: int
 
 
-class Refusal(Exception):
+class HandoverRefused(Exception):
     """A predecessor is in service and does not hand over; the text says why."""
 
 
-async def find_predecessor(path: str, hello: Hello) -> Found | None:
+async def find_predecessor(path: str, hello: Hello) -> Predecessor | None:
     """The process in service at that path, None if there is none; raises Refusal."""
     loop = asyncio.get_running_loop()
     try:
@@ -155,7 +155,7 @@
         return None
     sock.setblocking(False)
     try:
-        async with asyncio.timeout(HELLO_LIMIT):
+        async with asyncio.timeout(HELLO_TIMEOUT):
             await loop.sock_connect(sock, path)
     except (OSError, TimeoutError):  # nobody there, a stale file or a foreign one
         sock.close()
@@ -163,28 +163,28 @@
     channel = Channel(sock, "predecessor")
     channel.send(hello)
     try:
-        async with asyncio.timeout(HELLO_LIMIT):
-            heard = await channel.heard.get()
+        async with asyncio.timeout(HELLO_TIMEOUT):
+            received = await channel.received.get()
     except TimeoutError:
         channel.close(CloseReason.SILENT)
-        raise Refusal("the process in service does not answer") from None
-    match heard:
+        raise HandoverRefused("the process in service does not answer") from None
+    match received:
         case (Welcome(links), int(descriptor)):
-            return Found(channel, socket.socket(fileno=descriptor), links)
+            return Predecessor(channel, socket.socket(fileno=descriptor), links)
         case (TurnedAway(reason), _):
             channel.close()
-            raise Refusal(reason)
+            raise HandoverRefused(reason)
     channel.close(CloseReason.MALFORMED)
-    raise Refusal("the process in service ended as it was asked")
+    raise HandoverRefused("the process in service ended as it was asked")
 
 
-class Meeting:
+class HandoverSocket:
     """Where the process in service is found by its successor; ``asked`` gets each hello with its channel."""
 
-    def __init__(self, path: str, asked: Callable[[Channel, Hello], None]) -> None:
-        self.path, self.asked = path, asked
+    def __init__(self, path: str, on_hello: Callable[[Channel, Hello], None]) -> None:
+        self.path, self.on_hello = path, on_hello
         self.sock: socket.socket | None = None
-        self.task: asyncio.Task[None] | None = None
+        self.accept_task: asyncio.Task[None] | None = None
 
     def open(self) -> bool:
         """Whether it could be opened; a socket that a dead process left is replaced, nothing else is."""
@@ -210,7 +210,7 @@
             log_event("upgrade-off", path=repr(self.path), detail=repr(str(error)))
             return False
         self.sock = sock
-        self.task = asyncio.get_running_loop().create_task(self._accept(sock), name="upgrade")
+        self.accept_task = asyncio.get_running_loop().create_task(self._accept(sock), name="upgrade")
         return True
 
     async def _accept(self, sock: socket.socket) -> None:
@@ -221,29 +221,29 @@
             except OSError as error:
                 log_event("upgrade-off", detail=repr(str(error)))
                 return
-            if not own_user(peer):
+            if not is_same_user(peer):
                 peer.close()
                 continue
             channel = Channel(peer, "successor")
             try:
-                async with asyncio.timeout(HELLO_LIMIT):
-                    heard = await channel.heard.get()
+                async with asyncio.timeout(HELLO_TIMEOUT):
+                    received = await channel.received.get()
             except TimeoutError:
-                heard = None
-            if heard is None or not isinstance(heard[0], Hello):
+                received = None
+            if received is None or not isinstance(received[0], Hello):
                 channel.close(CloseReason.MUTE)
-            elif heard[0].version != VERSION:
-                channel.send(TurnedAway(f"version {VERSION} is in service, {heard[0].version} asks"))
+            elif received[0].version != VERSION:
+                channel.send(TurnedAway(f"version {VERSION} is in service, {received[0].version} asks"))
                 channel.close()
             else:
-                self.asked(channel, heard[0])
+                self.on_hello(channel, received[0])
 
     def close(self, unlink: bool = True) -> None:
         """Be found no more; the path is left for the successor's own (it replaces it) or removed."""
         if self.sock is None:
             return
-        if self.task is not None:
-            self.task.cancel()
+        if self.accept_task is not None:
+            self.accept_task.cancel()
         self.sock.close()
         self.sock = None
         if unlink:
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -30,9 +30,9 @@
 from martentide.net.dispatcher import Dispatcher
 from martentide.net.links import unix_ms
 
-LOCK = "lock"
-REACH_LIMIT = 2.0  # s for a folder to be opened, locked and read
-LAST_SAVE = 1.0  # s for the save at the end; a disk that takes longer keeps the state before
+LOCK_FILE = "lock"
+OPEN_TIMEOUT = 2.0  # s for a folder to be opened, locked and read
+FINAL_SAVE_TIMEOUT = 1.0  # s for the save at the end; a disk that takes longer keeps the state before
 
 
 class DiskFolder:
@@ -46,7 +46,7 @@
         self.lock = -1
         try:
             flags = os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC
-            self.lock = os.open(LOCK, flags, 0o600, dir_fd=self.fd)
+            self.lock = os.open(LOCK_FILE, flags, 0o600, dir_fd=self.fd)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             self.close()
@@ -58,12 +58,12 @@
                 os.close(fd)
         self.lock = self.fd = -1
 
-    def _same(self) -> None:
+    def _check_not_replaced(self) -> None:
         """Guards against a folder that was replaced, by a symlink above all: nothing is written elsewhere,
         and nothing where the next start would not look."""
         here = os.stat(self.path, follow_symlinks=False)
-        held = os.fstat(self.fd)
-        if (here.st_dev, here.st_ino) != (held.st_dev, held.st_ino):
+        opened = os.fstat(self.fd)
+        if (here.st_dev, here.st_ino) != (opened.st_dev, opened.st_ino):
             raise OSError(errno.ESTALE, "the folder was replaced by another")
 
     def read(self, name: str, most: int) -> bytes | None:
@@ -78,7 +78,7 @@
             return file.read(most)
 
     def write(self, name: str, data: bytes) -> None:
-        self._same()
+        self._check_not_replaced()
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW
         fd = os.open(name, flags, 0o600, dir_fd=self.fd)
         with open(fd, "wb", buffering=0) as file:
@@ -107,39 +107,39 @@
         os.fsync(self.fd)
 
 
-class Worker:
+class FileWorker:
     """One thread for file work. A daemon: a disk that hangs must not keep the program from its end."""
 
     def __init__(self) -> None:
-        self.work: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
+        self.jobs: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._run, name="learned-state", daemon=True)
         self.thread.start()
 
     def _run(self) -> None:
-        while (job := self.work.get()) is not None:
+        while (job := self.jobs.get()) is not None:
             job()
 
-    def put(self, job: Callable[[], None]) -> None:
-        self.work.put(job)
+    def submit(self, job: Callable[[], None]) -> None:
+        self.jobs.put(job)
 
-    def end(self) -> None:
-        self.work.put(None)
+    def stop(self) -> None:
+        self.jobs.put(None)
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class CheckDue:
     """Time to look whether to save."""
 
 
 @dataclass(frozen=True, slots=True)
-class Saved:
+class SaveFinished:
     folder: DiskFolder
     size: int
     error: str
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
+class FolderChanged:
     """SIGHUP named another folder."""
 
     folder: str
@@ -152,37 +152,37 @@
     def __init__(
         self, folder: str, pace: Pace, settings: Settings, dispatcher: Dispatcher, seed: int
     ) -> None:
-        self.path, self.dispatcher, self.dice = folder, dispatcher, random.Random(seed)
-        self.print = fingerprint(settings)
+        self.path, self.dispatcher, self.rng = folder, dispatcher, random.Random(seed)
+        self.settings_fingerprint = fingerprint(settings)
         self.pacing = Pacing(pace)
         self.loop = asyncio.get_running_loop()
-        self.mailbox: asyncio.Queue[Look | Saved | Moved] = asyncio.Queue()
-        self.worker = Worker()
+        self.mailbox: asyncio.Queue[CheckDue | SaveFinished | FolderChanged] = asyncio.Queue()
+        self.worker = FileWorker()
         self.folder: DiskFolder | None = None
         self.snapshots = Snapshots()
         self.hints: Hints | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.last: Learned | None = None
+        self.last_snapshot: Learned | None = None
         self.idle = asyncio.Event()
         self.idle.set()
-        self.saves = 0
+        self.save_count = 0
 
-    def settle(self, settings: Settings) -> None:
+    def change_settings(self, settings: Settings) -> None:
         """Other settings hold: what is saved from now on was learned under them."""
-        self.print = fingerprint(settings)
+        self.settings_fingerprint = fingerprint(settings)
 
     # ---- start --------------------------------------------------------------------------------------------
 
     async def start(self) -> Decision | None:
         """Open the folder and take up what is there; None where it can't be had in time. Never raises."""
-        reached = await self._reach(self.path)
-        if isinstance(reached, str):
-            LOG.warning("state-off", folder=self.path, detail=repr(reached))
+        opened = await self._open_folder(self.path)
+        if isinstance(opened, str):
+            LOG.warning("state-off", folder=self.path, detail=repr(opened))
             return None
-        self.folder, files = reached
-        now, begun = unix_ms(), time.perf_counter()
-        decision = decide(files, self.print, now)
-        load_ms = round((time.perf_counter() - begun) * 1000.0, 2)
+        self.folder, files = opened
+        now, load_started = unix_ms(), time.perf_counter()
+        decision = decide(files, self.settings_fingerprint, now)
+        load_ms = round((time.perf_counter() - load_started) * 1000.0, 2)
         for name, why in decision.refused:
             LOG.warning("state-refused", file=name, detail=repr(why))
         self.snapshots.sequence = decision.sequence
@@ -190,7 +190,7 @@
             log_event("state-start", start=decision.start.value, load_ms=load_ms)
             return decision
         controller = self.dispatcher.controller
-        counts, self.hints = restore(controller, decision.state, now, self.dice)
+        counts, self.hints = restore(controller, decision.state, now, self.rng)
         log_event(
             "state-start",
             start=decision.start.value,
@@ -205,14 +205,14 @@
             cold=counts.cold,
             redials=counts.redials,
         )
-        self.dispatcher.event_observers.append(self._heard)
+        self.dispatcher.event_observers.append(self._on_event)
         return decision
 
     def _list_changed(self, _: object) -> None:
         self.pacing.ask()
-        self.mailbox.put_nowait(Look())
+        self.mailbox.put_nowait(CheckDue())
 
-    async def _reach(self, path: str) -> tuple[DiskFolder, list[Found]] | str:
+    async def _open_folder(self, path: str) -> tuple[DiskFolder, list[Found]] | str:
         """Open, lock and read a folder, in a thread of its own: a disk that hangs must not keep the program
         from its start, nor hold it up at SIGHUP. A text says why it can't be had."""
         answer: asyncio.Future[tuple[DiskFolder, list[Found]] | str] = self.loop.create_future()
@@ -235,114 +235,114 @@
 
         threading.Thread(target=reach, name="learned-state-open", daemon=True).start()
         try:
-            async with asyncio.timeout(REACH_LIMIT):
+            async with asyncio.timeout(OPEN_TIMEOUT):
                 return await answer
         except TimeoutError:
-            return f"no answer within {REACH_LIMIT:.0f} s"
+            return f"no answer within {OPEN_TIMEOUT:.0f} s"
 
-    def _heard(self, now: float, event: Event) -> None:
+    def _on_event(self, now: float, event: Event) -> None:
         assert self.hints is not None
         self.hints.heard(now, event, self.dispatcher.controller)
         if self.hints.over:
-            self.dispatcher.event_observers.remove(self._heard)
+            self.dispatcher.event_observers.remove(self._on_event)
 
     # ---- saving -------------------------------------------------------------------------------------------
 
-    def move(self, folder: str, pace: Pace) -> None:
+    def change_folder(self, folder: str, pace: Pace) -> None:
         """SIGHUP: save there, at that pace, from now on."""
-        self.mailbox.put_nowait(Moved(folder, pace))
+        self.mailbox.put_nowait(FolderChanged(folder, pace))
 
     async def run(self) -> None:
         self.dispatcher.list_observers.append(self._list_changed)
-        self._look_at(unix_ms())
+        self._schedule_check(unix_ms())
         while True:
             item = await self.mailbox.get()
             now = unix_ms()
             match item:
-                case Saved():
-                    self._saved(item, now)
-                case Moved():
-                    await self._moved(item)
-                case Look():
+                case SaveFinished():
+                    self._on_save_finished(item, now)
+                case FolderChanged():
+                    await self._on_folder_changed(item)
+                case CheckDue():
                     pass
             if self.pacing.hangs(now):
                 LOG.warning("state-save-hangs", folder=self.path)
             if self.folder is not None and self.pacing.may_begin(now):
-                await self._begin(now)
-            self._look_at(unix_ms())
+                await self._begin_save(now)
+            self._schedule_check(unix_ms())
 
-    def _look_at(self, now: float) -> None:
+    def _schedule_check(self, now: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
         delay = max(0.01, (self.pacing.due(now) - now) / 1000.0)
-        self.timer = self.loop.call_later(delay, self.mailbox.put_nowait, Look())
+        self.timer = self.loop.call_later(delay, self.mailbox.put_nowait, CheckDue())
 
-    async def _begin(self, now: float) -> None:
+    async def _begin_save(self, now: float) -> None:
         """Take a snapshot, slice by slice, and hand it to the thread."""
-        whole: Learned | None = None
+        snapshot: Learned | None = None
         slices = self.snapshots.slices(self.dispatcher.controller, now)
-        while whole is None:
-            whole = next(slices)
+        while snapshot is None:
+            snapshot = next(slices)
             await asyncio.sleep(0)
         if (
-            self.last is not None
-            and self.last.servers == whole.servers
-            and self.last.redials == whole.redials
+            self.last_snapshot is not None
+            and self.last_snapshot.servers == snapshot.servers
+            and self.last_snapshot.redials == snapshot.redials
         ):
             self.pacing.begin(now)  # nothing changed: the file there says the same
             self.pacing.done(now, 0)
             return
         self.pacing.begin(now)
         self.idle.clear()
-        self.last = whole
+        self.last_snapshot = snapshot
         folder = self.folder
         assert folder is not None
-        self.worker.put(lambda: self._save(folder, whole))
+        self.worker.submit(lambda: self._save_in_thread(folder, snapshot))
 
-    def _save(self, folder: DiskFolder, whole: Learned) -> None:
+    def _save_in_thread(self, folder: DiskFolder, snapshot: Learned) -> None:
         """In the thread."""
-        size, said = 0, ""
+        size, error_text = 0, ""
         try:
-            data = write_state(whole, self.print)
+            data = write_state(snapshot, self.settings_fingerprint)
             size = len(data)
             save(folder, data)
         except OSError as error:
-            said = error.strerror or str(error)
+            error_text = error.strerror or str(error)
         except StateError as error:
-            said = str(error)
+            error_text = str(error)
         with contextlib.suppress(RuntimeError):  # the program has ended
-            self.loop.call_soon_threadsafe(self.mailbox.put_nowait, Saved(folder, size, said))
+            self.loop.call_soon_threadsafe(self.mailbox.put_nowait, SaveFinished(folder, size, error_text))
 
-    def _saved(self, item: Saved, now: float) -> None:
+    def _on_save_finished(self, item: SaveFinished, now: float) -> None:
         if item.folder is not self.folder:
             return  # of the folder before SIGHUP moved it: its save says nothing of the one here
         self.idle.set()
         if not item.error:
-            self.saves += 1
+            self.save_count += 1
             if self.pacing.failures:
                 log_event("state-saved-again", folder=self.path, bytes=item.size)
             self.pacing.done(now, item.size)
             return
-        self.last = None
+        self.last_snapshot = None
         wait = self.pacing.failed(now)
         LOG.warning("state-not-saved", folder=self.path, detail=repr(item.error), again_in_s=wait / 1000.0)
 
-    async def _moved(self, item: Moved) -> None:
+    async def _on_folder_changed(self, item: FolderChanged) -> None:
         """To another folder, if that can be had; else the old one stays."""
         self.pacing.pace = item.pace
         if item.folder == self.path:
             return
-        reached = await self._reach(item.folder)
-        if isinstance(reached, str):
-            LOG.warning("state-not-moved", folder=item.folder, detail=repr(reached))
+        opened = await self._open_folder(item.folder)
+        if isinstance(opened, str):
+            LOG.warning("state-not-moved", folder=item.folder, detail=repr(opened))
             return
-        old, (self.folder, files) = self.folder, reached
+        old, (self.folder, files) = self.folder, opened
         self.path = item.folder
         if old is not None:
-            self.worker.put(old.close)  # behind a save that may be under way there
-        sequence = decide(files, self.print, unix_ms()).sequence
+            self.worker.submit(old.close)  # behind a save that may be under way there
+        sequence = decide(files, self.settings_fingerprint, unix_ms()).sequence
         self.snapshots.sequence = max(self.snapshots.sequence, sequence)
-        self.last, self.pacing = None, Pacing(item.pace)
+        self.last_snapshot, self.pacing = None, Pacing(item.pace)
         self.idle.set()
         log_event("state-moved", folder=self.path)
 
@@ -353,16 +353,16 @@
         if self.folder is None:
             return
         try:
-            async with asyncio.timeout(LAST_SAVE):
-                await self._await_saved()
-                await self._begin(unix_ms())
-                await self._await_saved()
+            async with asyncio.timeout(FINAL_SAVE_TIMEOUT):
+                await self._wait_for_save()
+                await self._begin_save(unix_ms())
+                await self._wait_for_save()
         except TimeoutError:
             LOG.warning("state-save-hangs", folder=self.path)
-        self.worker.end()
+        self.worker.stop()
 
-    async def _await_saved(self) -> None:
+    async def _wait_for_save(self) -> None:
         while not self.idle.is_set():
             item = await self.mailbox.get()
-            if isinstance(item, Saved):
-                self._saved(item, unix_ms())
+            if isinstance(item, SaveFinished):
+                self._on_save_finished(item, unix_ms())
--- a/martentide/paced_start.py
+++ b/martentide/paced_start.py
@@ -14,9 +14,12 @@
 from importlib.machinery import ModuleSpec
 from types import ModuleType
 
-SOCKET_NAME, SOCKET_END = "martentide-", ".sock"  # as ``net/handover.py`` names it, with the address between
-SLICE = 0.008  # s of processor time between two pauses
-PAUSE_SHARE = 1.0  # s of pause for each second of processor time
+SOCKET_PREFIX, SOCKET_SUFFIX = (
+    "martentide-",
+    ".sock",
+)  # as ``net/handover.py`` names it, with the address between
+CPU_SLICE = 0.008  # s of processor time between two pauses
+PAUSE_RATIO = 1.0  # s of pause for each second of processor time
 
 
 def predecessor_may_serve(environment: Mapping[str, str]) -> bool:
@@ -26,31 +29,31 @@
         names = os.listdir(folder) if folder else []
     except OSError:
         return False
-    return any(name.startswith(SOCKET_NAME) and name.endswith(SOCKET_END) for name in names)
+    return any(name.startswith(SOCKET_PREFIX) and name.endswith(SOCKET_SUFFIX) for name in names)
 
 
 class PacedImports:
     """A finder of modules that finds none, and pauses each time that a slice of processor time is used up."""
 
     def __init__(
-        self, used: Callable[[], float] = time.process_time, pause: Callable[[float], None] = time.sleep
+        self, cpu_time: Callable[[], float] = time.process_time, pause: Callable[[float], None] = time.sleep
     ) -> None:
-        self.used, self.pause = used, pause
-        self.since = used()
+        self.cpu_time, self.pause = cpu_time, pause
+        self.slice_started_at = cpu_time()
 
     def find_spec(
         self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        used = self.used() - self.since
-        if used >= SLICE:
-            self.pause(used * PAUSE_SHARE)
-            self.since = self.used()
+        used = self.cpu_time() - self.slice_started_at
+        if used >= CPU_SLICE:
+            self.pause(used * PAUSE_RATIO)
+            self.slice_started_at = self.cpu_time()
         return None
 
-    def begin(self) -> None:
+    def install(self) -> None:
         sys.meta_path.insert(0, self)
 
-    def end(self) -> None:
+    def uninstall(self) -> None:
         """From now on imports run at full speed: a pause would hold up the service itself."""
         if self in sys.meta_path:
             sys.meta_path.remove(self)
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -85,7 +85,7 @@
 
     async def scene(site: Site) -> None:
         nonlocal last
-        await site.until(lambda: site.store.saves >= 2)
+        await site.until(lambda: site.store.save_count >= 2)
         site.touch()
         last = site.touched
 
@@ -95,13 +95,13 @@
 
 def test_a_state_that_does_not_change_is_not_written_again(tmp_path: Path) -> None:
     async def scene(site: Site) -> None:
-        await site.until(lambda: site.store.saves >= 1)
+        await site.until(lambda: site.store.save_count >= 1)
         async with asyncio.timeout(LIMIT):
             await site.store.idle.wait()
         before = site.store.snapshots.sequence
         while site.store.snapshots.sequence < before + 4:
             await asyncio.sleep(0.005)
-        assert site.store.saves <= 2
+        assert site.store.save_count <= 2
 
     play(tmp_path, scene)
 
@@ -112,7 +112,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, number: int
 ) -> None:
     async def scene(site: Site) -> None:
-        await site.until(lambda: site.store.saves >= 1)
+        await site.until(lambda: site.store.save_count >= 1)
 
         def fail(*_: object, **__: object) -> int:
             raise OSError(number, os.strerror(number))
@@ -122,8 +122,8 @@
             await site.until(lambda: site.store.pacing.failures >= 2)
         good = [name for name in (STATE, OLD) if (tmp_path / name).exists()]
         assert good and read_state((tmp_path / good[0]).read_bytes(), None)
-        done = site.store.saves
-        await site.until(lambda: site.store.saves > done)
+        done = site.store.save_count
+        await site.until(lambda: site.store.save_count > done)
         assert site.store.pacing.failures == 0
 
     play(tmp_path, scene)
@@ -140,15 +140,15 @@
         real(fd)
 
     async def scene(site: Site) -> None:
-        await site.until(lambda: site.store.saves >= 1)
+        await site.until(lambda: site.store.save_count >= 1)
         monkeypatch.setattr("martentide.net.learned.os.fsync", hang)
         await site.until(lambda: site.store.pacing.hang_said)
         before = site.touched
         await site.until(lambda: site.touched > before + 20)  # the loop goes on
         free.set()
         monkeypatch.setattr("martentide.net.learned.os.fsync", real)
-        done = site.store.saves
-        await site.until(lambda: site.store.saves > done + 1)
+        done = site.store.save_count
+        await site.until(lambda: site.store.save_count > done + 1)
 
     play(tmp_path, scene)
 
@@ -164,7 +164,7 @@
         real(path, mode, exist_ok)
 
     monkeypatch.setattr("martentide.net.learned.os.makedirs", hang)
-    monkeypatch.setattr("martentide.net.learned.REACH_LIMIT", 0.05)
+    monkeypatch.setattr("martentide.net.learned.OPEN_TIMEOUT", 0.05)
 
     async def scene(site: Site) -> None:
         assert site.store.folder is None
@@ -178,7 +178,7 @@
     other.mkdir()
 
     async def scene(site: Site) -> None:
-        await site.until(lambda: site.store.saves >= 1)
+        await site.until(lambda: site.store.save_count >= 1)
         folder.rename(tmp_path / "moved")
         folder.symlink_to(other)
         await site.until(lambda: site.store.pacing.failures >= 1)
@@ -189,7 +189,7 @@
 
 def test_a_second_store_on_the_folder_runs_without_and_touches_nothing(tmp_path: Path) -> None:
     async def scene(site: Site) -> None:
-        await site.until(lambda: site.store.saves >= 1)
+        await site.until(lambda: site.store.save_count >= 1)
         second = Site(tmp_path)
         assert await second.store.start() is None and second.store.folder is None
 
@@ -201,7 +201,7 @@
     os.truncate(tmp_path / STATE, 1 << 30)
 
     async def scene(site: Site) -> None:
-        await site.until(lambda: site.store.saves >= 1)
+        await site.until(lambda: site.store.save_count >= 1)
 
     play(tmp_path, scene)
     assert wait_in(tmp_path) > 0
@@ -209,7 +209,7 @@
 
 def test_five_thousand_servers_are_saved_whole(tmp_path: Path) -> None:
     async def scene(site: Site) -> None:
-        await site.until(lambda: site.store.saves >= 1)
+        await site.until(lambda: site.store.save_count >= 1)
 
     play(tmp_path, scene, servers=5_000)
     assert len(read_state((tmp_path / STATE).read_bytes(), None).servers) == 5_000
@@ -275,7 +275,7 @@
 
 def test_commands_show_check_and_compare_files(tmp_path: Path) -> None:
     async def scene(site: Site) -> None:
-        await site.until(lambda: site.store.saves >= 3)
+        await site.until(lambda: site.store.save_count >= 3)
 
     play(tmp_path, scene)
     state, old, bad = tmp_path / STATE, tmp_path / OLD, tmp_path / "bad"
--- a/tests/lifecycle/test_machine.py
+++ b/tests/lifecycle/test_machine.py
@@ -8,15 +8,11 @@
 
 from martentide.lifecycle.machine import (
     AcceptAgain,
-    AllOver,
+    AllCallsEnded,
     Answer,
-    Beside,
-    Due,
-    HangUp,
     InService,
     LeaveLinks,
     Listening,
-    Machine,
     MoveOut,
     OutOfService,
     Phase,
@@ -24,15 +20,19 @@
     PredecessorGone,
     RefuseSetUps,
     Reload,
+    ReloadRequested,
     SetDue,
-    Step,
+    StateMachine,
     StopListening,
-    SuccessorAsks,
-    SuccessorGivesBack,
     SuccessorGone,
-    SuccessorTakes,
+    SuccessorReady,
+    SuccessorRequested,
+    SuccessorReturnedListener,
     Terminate,
+    TimerExpired,
+    TimerKind,
     TurnAway,
+    UpgradePeer,
     WelcomeIt,
     Yield,
 )
@@ -43,9 +43,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.machine = Machine()
+        self.machine = StateMachine()
         self.leaving = self.refusing = self.stopped = self.accepting = False
-        self.timers: list[Due] = []
+        self.timers: list[TimerExpired] = []
         self.calls = 0
 
     def feed(self, event: object) -> list[object]:
@@ -59,7 +59,7 @@
                 case StopListening():
                     self.stopped, self.accepting = True, False
                 case Yield():
-                    assert self.machine.beside is Beside.TAKEN
+                    assert self.machine.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR
                     self.accepting = False
                 case AcceptAgain():
                     assert not self.stopped
@@ -81,23 +81,25 @@
     def predecessor_gone(self) -> None:
         self.feed(PredecessorGone())
         if self.machine.phase is not Phase.ENDED:
-            assert self.machine.beside is not Beside.PREDECESSOR
+            assert self.machine.upgrade_peer is not UpgradePeer.PREDECESSOR
 
     @rule()
     def successor_asks(self) -> None:
         self.calls += 1
-        free = self.machine.listening and self.machine.beside is Beside.NOBODY
-        said = [one for one in self.feed(SuccessorAsks(self.calls)) if isinstance(one, WelcomeIt | TurnAway)]
+        free = self.machine.listening and self.machine.upgrade_peer is UpgradePeer.NONE
+        said = [
+            one for one in self.feed(SuccessorRequested(self.calls)) if isinstance(one, WelcomeIt | TurnAway)
+        ]
         if self.machine.phase is Phase.ENDED:
             assert not said
         else:
             assert [type(one) for one in said] == [WelcomeIt if free else TurnAway]
 
-    @rule(event=st.sampled_from([SuccessorTakes(), SuccessorGivesBack(), SuccessorGone()]))
-    def successor(self, event: SuccessorTakes | SuccessorGivesBack | SuccessorGone) -> None:
+    @rule(event=st.sampled_from([SuccessorReady(), SuccessorReturnedListener(), SuccessorGone()]))
+    def successor(self, event: SuccessorReady | SuccessorReturnedListener | SuccessorGone) -> None:
         self.feed(event)
         if isinstance(event, SuccessorGone) and self.machine.phase is not Phase.ENDED:
-            assert self.machine.beside in (Beside.NOBODY, Beside.PREDECESSOR)
+            assert self.machine.upgrade_peer in (UpgradePeer.NONE, UpgradePeer.PREDECESSOR)
 
     @rule(out=st.booleans())
     def operator(self, out: bool) -> None:
@@ -121,7 +123,7 @@
     @rule()
     def hang_up(self) -> None:
         before = self.machine.phase
-        assert self.feed(HangUp()) == ([] if before is Phase.ENDED else [Reload()])
+        assert self.feed(ReloadRequested()) == ([] if before is Phase.ENDED else [Reload()])
         assert self.machine.phase is before
 
     @precondition(lambda self: self.timers)
@@ -135,7 +137,7 @@
 
     @rule()
     def all_over(self) -> None:
-        self.feed(AllOver())
+        self.feed(AllCallsEnded())
 
     @invariant()
     def ready_only_in_service(self) -> None:
@@ -146,7 +148,7 @@
     @invariant()
     def one_of_two_accepts(self) -> None:
         """Nobody's connection waits for good: this process accepts, or the successor does, until the end."""
-        if self.machine.beside is Beside.TAKEN:
+        if self.machine.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR:
             assert not self.accepting
         elif self.machine.listening and self.machine.phase not in (Phase.STOPPING, Phase.ENDED):
             assert self.accepting
@@ -154,12 +156,12 @@
     @invariant()
     def a_drain_and_a_stop_end(self) -> None:
         """What is still to come leads on from every phase that must not last."""
-        steps = {timer.step for timer in self.timers if timer.epoch == self.machine.epoch}
+        steps = {timer.kind for timer in self.timers if timer.epoch == self.machine.epoch}
         if self.machine.phase is Phase.DRAINING:
-            assert self.leaving or Step.LEAVE in steps
-            assert self.refusing or Step.SETTLE in steps
+            assert self.leaving or TimerKind.CLOSE_IDLE in steps
+            assert self.refusing or TimerKind.REFUSE_SET_UPS in steps
         if self.machine.phase is Phase.STOPPING and not self.stopped:
-            assert Step.LATE_OVER in steps
+            assert TimerKind.STOP_ACCEPTING in steps
 
 
 Orders.TestCase.settings = settings(max_examples=300, stateful_step_count=40, deadline=None, derandomize=True)
@@ -167,17 +169,17 @@
 
 
 def test_a_stop_goes_its_way_to_the_end() -> None:
-    machine = Machine()
+    machine = StateMachine()
     machine.handle(Listening())
-    (stop,) = [action.due for action in machine.handle(Terminate()) if isinstance(action, SetDue)]
+    (stop,) = [action.timer for action in machine.handle(Terminate()) if isinstance(action, SetDue)]
     assert StopListening() in machine.handle(stop)
-    (last,) = [action.due for action in machine.handle(AllOver()) if isinstance(action, SetDue)]
+    (last,) = [action.timer for action in machine.handle(AllCallsEnded()) if isinstance(action, SetDue)]
     machine.handle(last)
     assert machine.phase is Phase.ENDED
 
 
 def test_out_of_service_while_starting_holds_once_callers_could_be_served() -> None:
-    machine = Machine()
+    machine = StateMachine()
     machine.handle(OutOfService(1))
     machine.handle(Listening())
     assert not machine.ready
@@ -186,14 +188,14 @@
 
 
 def test_told_to_end_beside_a_successor_it_moves_its_connections() -> None:
-    machine = Machine()
-    for event in (Listening(), SuccessorAsks(1), SuccessorTakes()):
+    machine = StateMachine()
+    for event in (Listening(), SuccessorRequested(1), SuccessorReady()):
         machine.handle(event)
     assert MoveOut() in machine.handle(Terminate())
 
 
 def test_a_successor_that_takes_while_this_one_stops_gets_the_connections_too() -> None:
-    machine = Machine()
-    for event in (Listening(), Terminate(), SuccessorAsks(1)):
+    machine = StateMachine()
+    for event in (Listening(), Terminate(), SuccessorRequested(1)):
         machine.handle(event)
-    assert MoveOut() in machine.handle(SuccessorTakes())
+    assert MoveOut() in machine.handle(SuccessorReady())
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -8,24 +8,32 @@
 import pytest
 
 from martentide.net.config import Address
-from martentide.net.discovery import REDIAL_AFTER, REDIAL_FIRST, DiscoveryClient
+from martentide.net.discovery import FAST_RECONNECT_DELAY, RECONNECT_DELAY, DiscoveryClient
 from tests.net.support import frame
 
 
 @pytest.mark.parametrize(
     ("told", "lasts", "pauses"),
     [
-        (frame(1, 0), 0.0, [REDIAL_FIRST, REDIAL_AFTER, REDIAL_AFTER]),  # then nobody listens any more
-        (b"", 0.0, [REDIAL_AFTER, REDIAL_AFTER, REDIAL_AFTER]),
-        (frame(1, 0)[:5], 0.0, [REDIAL_AFTER, REDIAL_AFTER, REDIAL_AFTER]),
-        (frame(1, 0), 60.0, [REDIAL_AFTER, REDIAL_AFTER, REDIAL_AFTER]),  # it ended sooner than counts
+        (
+            frame(1, 0),
+            0.0,
+            [FAST_RECONNECT_DELAY, RECONNECT_DELAY, RECONNECT_DELAY],
+        ),  # then nobody listens any more
+        (b"", 0.0, [RECONNECT_DELAY, RECONNECT_DELAY, RECONNECT_DELAY]),
+        (frame(1, 0)[:5], 0.0, [RECONNECT_DELAY, RECONNECT_DELAY, RECONNECT_DELAY]),
+        (
+            frame(1, 0),
+            60.0,
+            [RECONNECT_DELAY, RECONNECT_DELAY, RECONNECT_DELAY],
+        ),  # it ended sooner than counts
     ],
 )
 def test_a_board_that_told_something_is_dialled_again_at_once(
     monkeypatch: pytest.MonkeyPatch, told: bytes, lasts: float, pauses: list[tuple[float, float]]
 ) -> None:
     """Guards against a drain with a short grace that is told while nobody listens; ``lasts``: in s."""
-    monkeypatch.setattr("martentide.net.discovery.LASTED", lasts)
+    monkeypatch.setattr("martentide.net.discovery.MIN_LIFETIME", lasts)
     asked: list[tuple[float, float]] = []
 
     def uniform(least: float, most: float) -> float:
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -17,7 +17,7 @@
 from martentide.handover.wire import Hello, Left, write_frame
 from martentide.net.callers import LEAST_DOOR, Callers
 from martentide.net.config import Address
-from martentide.net.handover import MOST_HEARD, Channel
+from martentide.net.handover import MAX_RECEIVED_FRAMES, Channel
 from tests.net.support import LIMIT, ROOT, Program, Wire
 from tests.net.test_rules_on_sockets import A, B, stand
 
@@ -48,7 +48,7 @@
         return
 
 
-def meeting(folder: Path) -> list[Path]:
+def handover_sockets(folder: Path) -> list[Path]:
     return [path for path in folder.iterdir() if stat.S_ISSOCK(path.stat().st_mode)]
 
 
@@ -196,7 +196,7 @@
 
 def test_another_version_is_turned_away(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
-        (path,) = meeting(tmp_path)
+        (path,) = handover_sockets(tmp_path)
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
             stranger.settimeout(LIMIT)
             stranger.connect(str(path))
@@ -245,13 +245,13 @@
     async def scene() -> None:
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         one, other = Channel(ends[0], "successor"), Channel(ends[1], "predecessor")
-        sent = [Left("a", at.to_bytes(8, "big")) for at in range(3 * MOST_HEARD)]
+        sent = [Left("a", at.to_bytes(8, "big")) for at in range(3 * MAX_RECEIVED_FRAMES)]
         for frame in sent:
             one.send(frame)
         await asyncio.sleep(0.1)
-        assert other.heard.qsize() == MOST_HEARD
+        assert other.received.qsize() == MAX_RECEIVED_FRAMES
         async with asyncio.timeout(LIMIT):
-            heard = [await other.heard.get() for _ in sent]
+            heard = [await other.received.get() for _ in sent]
         assert [item[0] for item in heard if item is not None] == sent
         one.close()
         other.close()
--- a/tests/test_paced_start.py
+++ b/tests/test_paced_start.py
@@ -8,26 +8,26 @@
 import pytest
 
 from martentide.net.config import Address
-from martentide.net.handover import meeting_place
-from martentide.paced_start import SLICE, PacedImports, predecessor_may_serve
+from martentide.net.handover import handover_socket_path
+from martentide.paced_start import CPU_SLICE, PacedImports, predecessor_may_serve
 
 
 def test_imports_pause_for_the_processor_time_that_they_used() -> None:
     clock = [0.0]
     pauses: list[float] = []
     pacing = PacedImports(lambda: clock[0], pauses.append)
-    for used in (SLICE / 2, SLICE * 0.9, SLICE * 4, SLICE * 4.1):
+    for used in (CPU_SLICE / 2, CPU_SLICE * 0.9, CPU_SLICE * 4, CPU_SLICE * 4.1):
         clock[0] = used
         assert pacing.find_spec("anything") is None
-    assert pauses == [pytest.approx(SLICE * 4)]
+    assert pauses == [pytest.approx(CPU_SLICE * 4)]
 
 
 def test_it_begins_and_ends() -> None:
     pacing = PacedImports()
-    pacing.begin()
+    pacing.install()
     assert sys.meta_path[0] is pacing
-    pacing.end()
-    pacing.end()
+    pacing.uninstall()
+    pacing.uninstall()
     assert pacing not in sys.meta_path
 
 
@@ -36,7 +36,7 @@
     assert not predecessor_may_serve({"TMPDIR": str(tmp_path / "none")})
     environment = {"TMPDIR": str(tmp_path)}
     assert not predecessor_may_serve(environment)
-    place = meeting_place(environment, Address("127.0.0.1", 5080))
+    place = handover_socket_path(environment, Address("127.0.0.1", 5080))
     assert place is not None
     Path(place).touch()
     assert predecessor_may_serve(environment)
