--- a/martentide/net/handover.py
+++ b/martentide/net/handover.py
@@ -1,5 +1,7 @@
-"""The two ends of an upgrade: a Unix socket in ``$TMPDIR`` where the process in service is found, and the
-channel between it and the process that takes over. ``docs/design/operations.md`` says what passes there.
+"""Transport of an upgrade: the handover socket and the channel between the two processes.
+
+The process in service listens on a Unix socket in ``$TMPDIR``; its successor connects there and takes over.
+The exchange is described in ``docs/design/operations.md``.
 """
 
 from __future__ import annotations
@@ -28,25 +30,26 @@
 from martentide.net.close_reason import CloseReason, log_connection_closed, log_event
 from martentide.net.config import Address
 
-HELLO_TIMEOUT = 1.0  # s for the first word of either side
-MAX_QUEUED_BYTES = 16 * 1024 * 1024  # bytes of frames that wait for the other process, before it is given up
-MAX_RECEIVED_FRAMES = 64  # frames, each with a descriptor at most, that wait to be taken
-READ_RETRY_DELAY = 0.005  # s until the next look whether some were
-MAX_DESCRIPTORS = 1  # descriptors beside one frame
+HELLO_TIMEOUT = 1.0  # s to connect, and for the first frame of either side
+MAX_QUEUED_BYTES = 16 * 1024 * 1024  # bytes of unsent frames beyond which the channel is closed
+MAX_RECEIVED_FRAMES = 64  # frames, each with at most one descriptor, that may await processing
+READ_RETRY_DELAY = 0.005  # s between checks whether reading may resume
+MAX_DESCRIPTORS = 1  # descriptors passed with one frame
 CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
 
 
 def handover_socket_path(environment: Mapping[str, str], listen: Address) -> str | None:
-    """The path of the socket; None where there is no folder for it."""
+    """Return the path of the handover socket, or None if ``$TMPDIR`` is not set."""
     folder = environment.get("TMPDIR")
     return os.path.join(folder, f"martentide-{listen.host}-{listen.port}.sock") if folder else None
 
 
 class Channel:
-    """One connection between the two processes: whole frames with their descriptors, in order, both ways.
+    """One connection between the two processes, carrying whole frames with their descriptors, in order.
 
-    ``heard`` gets each frame, and None once at the end. Nothing here waits: what the other side does not take
-    is queued, and beyond MOST_QUEUED the channel ends. While MOST_HEARD frames wait here, no more are read.
+    ``received`` gets each frame and, once at the end, None. No call blocks: frames that the other side does
+    not read are queued, and the channel closes when more than MAX_QUEUED_BYTES are queued. Reading pauses
+    while MAX_RECEIVED_FRAMES frames await processing.
     """
 
     def __init__(self, sock: socket.socket, role: str) -> None:
@@ -60,7 +63,7 @@
         self.loop.add_reader(sock, self._readable)
 
     def send(self, frame: Frame, descriptor: int | None = None) -> None:
-        """Send the frame; the descriptor goes along and stays the caller's own to close."""
+        """Send a frame and a duplicate of the descriptor; the caller still has to close its own."""
         if not self.alive:
             return
         raw = write_frame(frame)
@@ -112,6 +115,7 @@
             self.close(CloseReason.PEER_RESET, str(error))
 
     def close(self, reason: CloseReason = CloseReason.SHUTDOWN, detail: str = "") -> None:
+        """Close the connection, drop unsent frames and log the reason; a second call does nothing."""
         if not self.alive:
             return
         self.alive = False
@@ -127,14 +131,14 @@
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Whether the process at the other end is of the same user."""
+    """Return whether the process at the other end runs as the same user."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
     return bool(CREDENTIALS.unpack(raw)[1] == os.getuid())
 
 
 @dataclass(frozen=True, slots=True)
 class Predecessor:
-    """A predecessor that hands over: its listening socket, and how many connections it holds."""
+    """A predecessor that hands over: its listening socket and the number of callers' connections it holds."""
 
     channel: Channel
     listener: socket.socket
@@ -142,11 +146,14 @@
 
 
 class HandoverRefused(Exception):
-    """A predecessor is in service and does not hand over; the text says why."""
+    """A predecessor is in service and does not hand over; the message gives the reason."""
 
 
 async def find_predecessor(path: str, hello: Hello) -> Predecessor | None:
-    """The process in service at that path, None if there is none; raises Refusal."""
+    """Connect to the process in service at that path and exchange the handshake.
+
+    Returns None if no process is in service there. Raises HandoverRefused.
+    """
     loop = asyncio.get_running_loop()
     try:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -157,7 +164,7 @@
     try:
         async with asyncio.timeout(HELLO_TIMEOUT):
             await loop.sock_connect(sock, path)
-    except (OSError, TimeoutError):  # nobody there, a stale file or a foreign one
+    except (OSError, TimeoutError):  # no socket, a stale one, or a file of another kind
         sock.close()
         return None
     channel = Channel(sock, "predecessor")
@@ -175,11 +182,14 @@
             channel.close()
             raise HandoverRefused(reason)
     channel.close(CloseReason.MALFORMED)
-    raise HandoverRefused("the process in service ended as it was asked")
+    raise HandoverRefused("the process in service closed the channel during the handshake")
 
 
 class HandoverSocket:
-    """Where the process in service is found by its successor; ``asked`` gets each hello with its channel."""
+    """The Unix socket on which a successor contacts the process in service.
+
+    ``on_hello`` is called with the channel and the Hello of each successor of the same user and version.
+    """
 
     def __init__(self, path: str, on_hello: Callable[[Channel, Hello], None]) -> None:
         self.path, self.on_hello = path, on_hello
@@ -187,7 +197,10 @@
         self.accept_task: asyncio.Task[None] | None = None
 
     def open(self) -> bool:
-        """Whether it could be opened; a socket that a dead process left is replaced, nothing else is."""
+        """Start listening and return whether that succeeded.
+
+        An existing socket is replaced, since a process that has ended may have left it; other files are not.
+        """
         if self.sock is not None:
             return True
         try:
@@ -233,13 +246,17 @@
             if received is None or not isinstance(received[0], Hello):
                 channel.close(CloseReason.MUTE)
             elif received[0].version != VERSION:
-                channel.send(TurnedAway(f"version {VERSION} is in service, {received[0].version} asks"))
+                channel.send(
+                    TurnedAway(
+                        f"version {VERSION} is in service, the request has version {received[0].version}"
+                    )
+                )
                 channel.close()
             else:
                 self.on_hello(channel, received[0])
 
     def close(self, unlink: bool = True) -> None:
-        """Be found no more; the path is left for the successor's own (it replaces it) or removed."""
+        """Stop listening; ``unlink`` removes the path, which otherwise stays for the successor to replace."""
         if self.sock is None:
             return
         if self.accept_task is not None:
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -1,7 +1,7 @@
-"""The store of learned state on a real disk: an actor with a mailbox, and one thread for its file work.
+"""Saves learned state to disk and restores it at the start.
 
-A disk that takes seconds, or never answers, delays no call: the thread alone waits for it. Imported only
-where the extras file turns it on.
+The store is an actor with a mailbox; a worker thread does the file operations, so a slow or hanging disk
+delays no call. The module is imported only if the extras file enables the store.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 from martentide.net.links import unix_ms
 
 LOCK_FILE = "lock"
-OPEN_TIMEOUT = 2.0  # s for a folder to be opened, locked and read
-FINAL_SAVE_TIMEOUT = 1.0  # s for the save at the end; a disk that takes longer keeps the state before
+OPEN_TIMEOUT = 2.0  # s to open, lock and read a folder
+FINAL_SAVE_TIMEOUT = 1.0  # s for the save at shutdown; after a timeout the previous state remains on disk
 
 
 class DiskFolder:
-    """A folder held open: files are named within it, whatever its path comes to mean later."""
+    """A locked folder. Files are accessed relative to its descriptor, even if the path is replaced later."""
 
     def __init__(self, path: str) -> None:
-        """Open and lock it. Raises OSError; EAGAIN where another proxy has it."""
+        """Create, open and lock the folder. Raises OSError, with EAGAIN if another proxy holds the lock."""
         self.path = path
         os.makedirs(path, mode=0o700, exist_ok=True)
         self.fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_NOFOLLOW)
@@ -53,20 +53,28 @@
             raise
 
     def close(self) -> None:
+        """Release the lock and close the descriptors."""
         for fd in (self.lock, self.fd):
             if fd >= 0:
                 os.close(fd)
         self.lock = self.fd = -1
 
     def _check_not_replaced(self) -> None:
-        """Guards against a folder that was replaced, by a symlink above all: nothing is written elsewhere,
-        and nothing where the next start would not look."""
+        """Raise ESTALE if the path no longer names the opened folder.
+
+        A replacement, above all by a symlink, must not redirect writes, and nothing may be written to a
+        folder that the next start would not read.
+        """
         here = os.stat(self.path, follow_symlinks=False)
         opened = os.fstat(self.fd)
         if (here.st_dev, here.st_ino) != (opened.st_dev, opened.st_ino):
             raise OSError(errno.ESTALE, "the folder was replaced by another")
 
     def read(self, name: str, most: int) -> bytes | None:
+        """Return the content of a file of at most ``most`` bytes, or None if it doesn't exist.
+
+        Raises OSError, with EFBIG for a larger file.
+        """
         try:
             fd = os.open(name, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK, dir_fd=self.fd)
         except FileNotFoundError:
@@ -78,6 +86,7 @@
             return file.read(most)
 
     def write(self, name: str, data: bytes) -> None:
+        """Create or overwrite a file. Raises OSError, with ESTALE if the folder was replaced."""
         self._check_not_replaced()
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW
         fd = os.open(name, flags, 0o600, dir_fd=self.fd)
@@ -87,6 +96,7 @@
                 view = view[file.write(view) :]
 
     def sync(self, name: str) -> None:
+        """Flush a file to disk. Raises OSError."""
         fd = os.open(name, os.O_RDONLY | os.O_NOFOLLOW, dir_fd=self.fd)
         try:
             os.fsync(fd)
@@ -94,9 +104,11 @@
             os.close(fd)
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file, replacing any file of the new name. Raises OSError."""
         os.rename(old, new, src_dir_fd=self.fd, dst_dir_fd=self.fd)
 
     def exists(self, name: str) -> bool:
+        """Return whether the folder has an entry of this name, without following symlinks."""
         try:
             os.stat(name, dir_fd=self.fd, follow_symlinks=False)
         except FileNotFoundError:
@@ -104,11 +116,12 @@
         return True
 
     def sync_folder(self) -> None:
+        """Flush the directory entries to disk. Raises OSError."""
         os.fsync(self.fd)
 
 
 class FileWorker:
-    """One thread for file work. A daemon: a disk that hangs must not keep the program from its end."""
+    """One thread for file operations; a daemon thread, because a hanging disk must not block the exit."""
 
     def __init__(self) -> None:
         self.jobs: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
@@ -120,19 +133,23 @@
             job()
 
     def submit(self, job: Callable[[], None]) -> None:
+        """Queue a job behind those already submitted."""
         self.jobs.put(job)
 
     def stop(self) -> None:
+        """End the thread after the jobs already submitted."""
         self.jobs.put(None)
 
 
 @dataclass(frozen=True, slots=True)
 class CheckDue:
-    """Time to look whether to save."""
+    """Requests a check whether a save is due."""
 
 
 @dataclass(frozen=True, slots=True)
 class SaveFinished:
+    """A save has ended; ``size`` is in bytes, ``error`` is empty on success."""
+
     folder: DiskFolder
     size: int
     error: str
@@ -140,14 +157,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FolderChanged:
-    """SIGHUP named another folder."""
+    """A reload has set a folder and a pace of saves."""
 
     folder: str
     pace: Pace
 
 
 class Store:
-    """The actor. ``start`` reads what is there before the program serves; then it saves until its end."""
+    """The actor that restores learned state in ``start``, before the proxy serves, and then saves changes."""
 
     def __init__(
         self, folder: str, pace: Pace, settings: Settings, dispatcher: Dispatcher, seed: int
@@ -168,13 +185,16 @@
         self.save_count = 0
 
     def change_settings(self, settings: Settings) -> None:
-        """Other settings hold: what is saved from now on was learned under them."""
+        """Use the fingerprint of these settings for all later saves, since state is now learned under them."""
         self.settings_fingerprint = fingerprint(settings)
 
     # ---- start --------------------------------------------------------------------------------------------
 
     async def start(self) -> Decision | None:
-        """Open the folder and take up what is there; None where it can't be had in time. Never raises."""
+        """Open the folder and restore the saved state into the controller.
+
+        Returns None if the folder can't be opened within OPEN_TIMEOUT; the proxy then runs without the store.
+        """
         opened = await self._open_folder(self.path)
         if isinstance(opened, str):
             LOG.warning("state-off", folder=self.path, detail=repr(opened))
@@ -213,27 +233,29 @@
         self.mailbox.put_nowait(CheckDue())
 
     async def _open_folder(self, path: str) -> tuple[DiskFolder, list[Found]] | str:
-        """Open, lock and read a folder, in a thread of its own: a disk that hangs must not keep the program
-        from its start, nor hold it up at SIGHUP. A text says why it can't be had."""
+        """Open, lock and read a folder; return the reason as text if that fails.
+
+        This runs in a thread of its own, so that a hanging disk blocks neither the start nor a reload.
+        """
         answer: asyncio.Future[tuple[DiskFolder, list[Found]] | str] = self.loop.create_future()
 
-        def done(found: tuple[DiskFolder, list[Found]] | str) -> None:
+        def deliver(found: tuple[DiskFolder, list[Found]] | str) -> None:
             if not answer.done():
                 answer.set_result(found)
             elif not isinstance(found, str):
-                found[0].close()  # too late: the program goes on without
+                found[0].close()  # timed out: the proxy already continues without this folder
 
-        def reach() -> None:
+        def open_and_load() -> None:
             try:
                 folder = DiskFolder(path)
                 found: tuple[DiskFolder, list[Found]] | str = (folder, load(folder))
             except OSError as error:
                 busy = error.errno == errno.EAGAIN
-                found = "another proxy has it" if busy else error.strerror or str(error)
-            with contextlib.suppress(RuntimeError):  # the program has ended
-                self.loop.call_soon_threadsafe(done, found)
+                found = "locked by another proxy" if busy else error.strerror or str(error)
+            with contextlib.suppress(RuntimeError):  # the event loop is closed
+                self.loop.call_soon_threadsafe(deliver, found)
 
-        threading.Thread(target=reach, name="learned-state-open", daemon=True).start()
+        threading.Thread(target=open_and_load, name="learned-state-open", daemon=True).start()
         try:
             async with asyncio.timeout(OPEN_TIMEOUT):
                 return await answer
@@ -249,10 +271,11 @@
     # ---- saving -------------------------------------------------------------------------------------------
 
     def change_folder(self, folder: str, pace: Pace) -> None:
-        """SIGHUP: save there, at that pace, from now on."""
+        """Save to ``folder`` at ``pace`` from now on; called on a reload."""
         self.mailbox.put_nowait(FolderChanged(folder, pace))
 
     async def run(self) -> None:
+        """Save changes at the configured pace until cancelled."""
         self.dispatcher.list_observers.append(self._list_changed)
         self._schedule_check(unix_ms())
         while True:
@@ -278,7 +301,7 @@
         self.timer = self.loop.call_later(delay, self.mailbox.put_nowait, CheckDue())
 
     async def _begin_save(self, now: float) -> None:
-        """Take a snapshot, slice by slice, and hand it to the thread."""
+        """Take a snapshot, yielding to the event loop after each slice, and submit it to the worker."""
         snapshot: Learned | None = None
         slices = self.snapshots.slices(self.dispatcher.controller, now)
         while snapshot is None:
@@ -289,7 +312,7 @@
             and self.last_snapshot.servers == snapshot.servers
             and self.last_snapshot.redials == snapshot.redials
         ):
-            self.pacing.begin(now)  # nothing changed: the file there says the same
+            self.pacing.begin(now)  # nothing changed since the last save
             self.pacing.done(now, 0)
             return
         self.pacing.begin(now)
@@ -300,7 +323,7 @@
         self.worker.submit(lambda: self._save_in_thread(folder, snapshot))
 
     def _save_in_thread(self, folder: DiskFolder, snapshot: Learned) -> None:
-        """In the thread."""
+        """Encode and save a snapshot; runs in the worker thread."""
         size, error_text = 0, ""
         try:
             data = write_state(snapshot, self.settings_fingerprint)
@@ -310,12 +333,12 @@
             error_text = error.strerror or str(error)
         except StateError as error:
             error_text = str(error)
-        with contextlib.suppress(RuntimeError):  # the program has ended
+        with contextlib.suppress(RuntimeError):  # the event loop is closed
             self.loop.call_soon_threadsafe(self.mailbox.put_nowait, SaveFinished(folder, size, error_text))
 
     def _on_save_finished(self, item: SaveFinished, now: float) -> None:
         if item.folder is not self.folder:
-            return  # of the folder before SIGHUP moved it: its save says nothing of the one here
+            return  # a save in the previous folder says nothing about the current one
         self.idle.set()
         if not item.error:
             self.save_count += 1
@@ -328,7 +351,7 @@
         LOG.warning("state-not-saved", folder=self.path, detail=repr(item.error), again_in_s=wait / 1000.0)
 
     async def _on_folder_changed(self, item: FolderChanged) -> None:
-        """To another folder, if that can be had; else the old one stays."""
+        """Switch to another folder if it can be opened; otherwise keep the current one."""
         self.pacing.pace = item.pace
         if item.folder == self.path:
             return
@@ -339,7 +362,7 @@
         old, (self.folder, files) = self.folder, opened
         self.path = item.folder
         if old is not None:
-            self.worker.submit(old.close)  # behind a save that may be under way there
+            self.worker.submit(old.close)  # queued behind a save that may still be running
         sequence = decide(files, self.settings_fingerprint, unix_ms()).sequence
         self.snapshots.sequence = max(self.snapshots.sequence, sequence)
         self.last_snapshot, self.pacing = None, Pacing(item.pace)
@@ -347,7 +370,7 @@
         log_event("state-moved", folder=self.path)
 
     async def stop(self) -> None:
-        """One last save, if the disk takes it within LAST_SAVE; after ``run`` was cancelled."""
+        """Save once more within FINAL_SAVE_TIMEOUT and stop the worker; call after ``run`` was cancelled."""
         if self.timer is not None:
             self.timer.cancel()
         if self.folder is None:
--- a/martentide/net/service.py
+++ b/martentide/net/service.py
@@ -1,4 +1,8 @@
-"""Wires the actors of one signalling proxy together, from its start to its end after SIGTERM."""
+"""Creates and connects the actors of one signalling proxy and runs its service life cycle.
+
+The life cycle covers start, reload on SIGHUP, drains, upgrades to a successor process and the stop on
+SIGTERM.
+"""
 
 from __future__ import annotations
 
@@ -53,14 +57,13 @@
     from martentide.net.learned import Store
     from martentide.net.tier.proxy import TierMember
 
-COLD_SHARE_DURING_UPGRADE = (
-    0.5  # of what a cold server may be sent is each process's, until the old one is told to end
-)
-TAKE_TIMEOUT = 1.0  # s for the predecessor to accept no more
+# Fraction of a cold server's limit that each of the two processes may use until the old one is told to end.
+COLD_SHARE_DURING_UPGRADE = 0.5
+TAKE_TIMEOUT = 1.0  # s for the predecessor to stop accepting connections
 
 
 def merge_notices(notices: tuple[Notice, ...]) -> Notice:
-    """The list that the notices of the start add up to."""
+    """Apply the notices in order and return the result as one complete notice, without gone servers."""
     servers: dict[str, Listed] = {}
     for notice in notices:
         if notice.whole:
@@ -72,12 +75,17 @@
 
 
 class UndialledServer:
-    """Stands for a server that the program does not dial: fronts carry what goes there."""
+    """Replaces the server actor where this process opens no server connections.
+
+    Fronts that use this process as their external processor then reach the servers themselves. Every order or
+    probe that arrives here fails as unreachable.
+    """
 
     def __init__(self, listed: Listed, dispatcher: Dispatcher) -> None:
         self.listed, self.dispatcher = listed, dispatcher
 
     def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
+        """Report a probe or an attempt as failed; ignore all other items."""
         if isinstance(item, Probing):
             name = self.listed.entry.name
             self.dispatcher.post(ProbeEnded(name, Ending.UNREACHABLE, False, 0.0, None))
@@ -87,7 +95,7 @@
 
 
 def controller_settings(settings: Settings, dials: bool) -> Settings:
-    """The settings that the decisions are told: where only fronts reach the servers, nobody tests."""
+    """Return the settings for the controller; without own server connections, health checks are disabled."""
     return settings if dials else dataclasses.replace(settings, may_probe=False)
 
 
@@ -100,14 +108,17 @@
     store: Store | None = None,
     member: Member | None = None,
 ) -> Config:
-    """SIGHUP: the configuration that holds from now on; a bad file changes nothing."""
+    """Reload the configuration on SIGHUP and return the one now in force.
+
+    An invalid file changes nothing. Changes that need a restart are logged and not applied.
+    """
     try:
         new = read()
         check_keys(new, config)
     except ConfigError as error:
         log_event("reload-failed", detail=repr(str(error)), revision=config.settings.revision)
         return config
-    # Where an instance is and what it is called is the same until its next start, and so are its limits.
+    # The identity, addresses and limits of an instance can change only at a restart.
     fixed_keys = ("name", "listen", "operator", "zones", "sockets")
     restart_needed = [key for key in fixed_keys if getattr(new, key) != getattr(config, key)]
     settings = dataclasses.replace(new.settings, revision=config.settings.revision)
@@ -150,7 +161,7 @@
 
 
 class Service:
-    """The actor of the service's state: feeds the machine and carries out what it asks for."""
+    """The actor that feeds events to the state machine and carries out the actions it returns."""
 
     def __init__(
         self,
@@ -177,7 +188,7 @@
         self.idle_task: asyncio.Task[None] | None = None
         self.predecessor: Predecessor | None = None
         self.handover_socket: HandoverSocket | None = None
-        self.channel: Channel | None = None  # to the predecessor, or to the successor that was welcomed
+        self.channel: Channel | None = None  # to the predecessor, or to the accepted successor
         self.channel_reader: asyncio.Task[None] | None = None
         self.accept_task: asyncio.Task[None] | None = None
         self.fleet_join_task: asyncio.Task[None] | None = None
@@ -185,10 +196,11 @@
         self.pending_successors: dict[int, Channel] = {}
 
     def post(self, event: machine.Event) -> None:
+        """Queue an event for the state machine."""
         self.mailbox.put_nowait(event)
 
     async def handle_call(self, path: str, body: bytes) -> tuple[int, str]:
-        """The operator's call of that path: its status and text."""
+        """Carry out an operator's call and return its HTTP status and text."""
         if path == READY:
             return (200, "ready") if self.machine.ready else (503, self.machine.phase.value)
         if path == FLEET:
@@ -198,7 +210,7 @@
             if self.member is None or self.member.part.agreement is None:
                 return 404, "no agreement is set"
             if self.member.agreement is None:
-                return 503, "this process is no member: its successor is, or it joins just now"
+                return 503, "this process is not a member: its successor is, or it is still joining"
             return self.member.agreement.ask(path, body)
         number = next(self.request_numbers)
         answer: asyncio.Future[tuple[int, str]] = self.loop.create_future()
@@ -210,13 +222,13 @@
             del self.pending_calls[number]
 
     async def run(self) -> None:
-        """Until the machine has ended."""
+        """Process events until the state machine has ended."""
         while self.machine.phase is not machine.Phase.ENDED:
             event = await self.mailbox.get()
             for action in self.machine.handle(event):
                 try:
                     self._act(action)
-                except Exception:  # one part that fails must not keep the others from ending in good order
+                except Exception:  # a failure in one component must not prevent an orderly stop of the others
                     LOG.exception("internal-error", action=type(action).__name__)
 
     def _act(self, action: machine.Action) -> None:
@@ -224,18 +236,18 @@
             case machine.Answer(call, status, text):
                 if (asked := self.pending_calls.get(call)) is not None and not asked.done():
                     asked.set_result((status, text))
-            case machine.LeaveLinks(on):
-                self.callers.client_connections.leave(on)
-            case machine.RefuseSetUps(on):
-                self.dispatcher.closing = on
+            case machine.LeaveLinks(enabled):
+                self.callers.client_connections.leave(enabled)
+            case machine.RefuseSetUps(enabled):
+                self.dispatcher.closing = enabled
             case machine.StopListening():
                 self.callers.close()
                 if self.handover_socket is not None:
                     self.handover_socket.close(
                         unlink=self.machine.upgrade_peer is not machine.UpgradePeer.ACCEPTING_SUCCESSOR
                     )
-            case machine.SetDue(due, delay):
-                self.loop.call_later(delay, self.post, due)
+            case machine.SetDue(timer, delay):
+                self.loop.call_later(delay, self.post, timer)
             case machine.TellWhenOver():
                 self.idle_task = self.loop.create_task(self._report_when_idle(), name="all over")
             case machine.Reload():
@@ -250,7 +262,7 @@
                 )
             case machine.CloseFronts():
                 if self.processor is not None:
-                    self.processor.closing()  # fronts are told on their streams: no time to learn of it
+                    self.processor.closing()  # announced on the open streams, so fronts need no grace period
             case machine.Tell(phase, by):
                 log_event("service-state", state=phase.value, by=by, calls=len(self.dispatcher.calls))
                 if phase is machine.Phase.STOPPING:
@@ -259,7 +271,7 @@
                 self._act_on_upgrade(action)
 
     def _leave_fleet(self) -> None:
-        """Say goodbye to the fleet, flat or by control nodes."""
+        """Announce the departure to the fleet or to the control tier."""
         for part in (self.member, self.tier):
             if part is not None:
                 part.depart()
@@ -273,9 +285,11 @@
     # ---- upgrade ----------------------------------------------------------------------------------------
 
     def successor_connected(self, channel: Channel, hello: Hello) -> None:
-        """A second process came to the meeting place."""
+        """Handle the Hello of a second process; reject it if its proxy name differs."""
         if hello.name != self.config.name:
-            channel.send(TurnedAway(f"{self.config.name} is in service here, {hello.name} asks"))
+            channel.send(
+                TurnedAway(f"{self.config.name} is in service here, the request is from {hello.name}")
+            )
             channel.close()
             return
         number = next(self.request_numbers)
@@ -287,13 +301,13 @@
             case machine.OpenMeeting():
                 if self.handover_socket is not None:
                     self.handover_socket.open()
-            case machine.TurnAway(ask, reason):
-                channel = self.pending_successors.pop(ask)
+            case machine.TurnAway(request, reason):
+                channel = self.pending_successors.pop(request)
                 channel.send(TurnedAway(reason))
                 channel.close()
                 log_event("upgrade", step="turned-away", detail=repr(reason))
-            case machine.WelcomeIt(ask):
-                self.channel = self.pending_successors.pop(ask)
+            case machine.WelcomeIt(request):
+                self.channel = self.pending_successors.pop(request)
                 listener = self.callers.socket
                 assert listener is not None
                 self.channel.send(Welcome(len(self.callers.client_connections.open)), listener.fileno())
@@ -328,7 +342,7 @@
     def _yield_listener(self) -> None:
         assert self.channel is not None
         if self.member is not None:
-            self.member.retire()  # before the word that its address is free
+            self.member.retire()  # before Taken tells the successor that the fleet address is free
         if self.tier is not None:
             self.tier.retire()
         self.callers.yield_to(self.channel.send)
@@ -372,7 +386,10 @@
         self.post(machine.PredecessorGone())
 
     async def connect_predecessor(self, environment: Mapping[str, str]) -> None:
-        """Look for a process in service that hands over; raises Refusal if it does not want to."""
+        """Connect to a process in service at this address, if there is one.
+
+        Raises HandoverRefused if that process does not hand over.
+        """
         path = (
             handover_socket_path(environment, self.config.listen)
             if self.config.operator is not None
@@ -386,9 +403,12 @@
                 self.dispatcher.handle_now(ColdShare(COLD_SHARE_DURING_UPGRADE))
 
     async def listen(self) -> None:
-        """Open the callers' listener: the predecessor's, where there is one, or a new one."""
+        """Open the callers' listener, inherited from the predecessor if there is one, and start accepting.
+
+        Raises OSError if the address can't be listened on.
+        """
         if self.predecessor is None:
-            # Where nobody could find this process, a second one may only share its address.
+            # Without a handover socket a successor can't find this process, so the port must be shareable.
             self.callers.bind(
                 self.config.listen, self.config.operator is not None and self.handover_socket is None
             )
@@ -409,10 +429,13 @@
         except TimeoutError:
             received = None
         if received is not None and not isinstance(received[0], Taken):
-            raise OSError(f"the process in service said {type(received[0]).__name__}")
+            raise OSError(
+                f"the process in service replied with an unexpected {type(received[0]).__name__} frame"
+            )
         log_event("upgrade", step="took", links=predecessor.connections)
         if received is None:
-            # Without a word it is dead or as good as dead: its socket is here, and its queue with it.
+            # A predecessor that does not reply is treated as dead; this process already holds the listening
+            # socket, and with it the queue of connections to accept.
             predecessor.channel.close(CloseReason.SILENT)
             self.post(machine.PredecessorGone())
             return
@@ -421,6 +444,7 @@
         )
 
     def close(self) -> None:
+        """Close the handover socket and the channel to the other process."""
         if self.handover_socket is not None:
             self.handover_socket.close(
                 unlink=self.machine.upgrade_peer is not machine.UpgradePeer.ACCEPTING_SUCCESSOR
@@ -432,7 +456,10 @@
 def create_optional_actors(
     config: Config, settings: Settings, dispatcher: Dispatcher
 ) -> tuple[Store | None, ExternalProcessorServer | None, Member | None]:
-    """What the extras file turns on; the libraries come with it."""
+    """Create the store, external processor and fleet member that the extras file enables.
+
+    Their modules are imported only when enabled, because they need additional libraries.
+    """
     store: Store | None = None
     processor: ExternalProcessorServer | None = None
     member: Member | None = None
@@ -452,7 +479,7 @@
 
 
 def create_tier_member(config: Config, dispatcher: Dispatcher) -> TierMember | None:
-    """The proxy's side of the control tier, where the extras file names one."""
+    """Create the proxy's member of the control tier, or return None if the extras file configures none."""
     if config.extras is None or config.extras.control_tier is None:
         return None
     from martentide.net.tier.proxy import TierMember
@@ -461,8 +488,11 @@
 
 
 async def serve(config: Config, read: Callable[[], Config], environment: Mapping[str, str]) -> None:
-    """Run until SIGTERM (or SIGINT) and until all that was taken by then is answered and over; ``read`` reads
-    the configuration anew. Raises OSError where an address can't be listened on."""
+    """Run the proxy until SIGTERM or SIGINT, and then until all accepted calls are answered and have ended.
+
+    ``read`` loads the configuration again for a reload. Raises OSError if an address can't be listened on or
+    a process in service refuses to hand over.
+    """
     LOG.debug("settings", settings=config.settings, zones=config.zones, known=config.known)
     loop = asyncio.get_running_loop()
     dials = config.extras is None or config.extras.dials
@@ -494,7 +524,7 @@
     tasks = [asyncio.create_task(service.run(), name="service")]
     control: OperatorListener | None = None
     if config.operator is not None:
-        from martentide.net.control import OperatorListener  # h11 comes with it
+        from martentide.net.control import OperatorListener  # needs h11
 
         control = OperatorListener(service.handle_call, descriptors.for_operator(descriptor_limit))
         await control.listen(config.operator)
@@ -508,7 +538,8 @@
     if store is not None:
         await store.start()
     actors: dict[str, Dispatcher | DiscoveryClient | Member | TierMember | Store | None] = {
-        "decider": dispatcher, "list": discovery, "fleet": member, "control tier": tier, "learned state": store,
+        "decider": dispatcher, "list": discovery, "fleet": member, "control tier": tier,
+        "learned state": store,
     }  # fmt: skip
     tasks += [asyncio.create_task(one.run(), name=name) for name, one in actors.items() if one is not None]
     if processor is not None:
