--- a/martentide/lifecycle/__init__.py
+++ b/martentide/lifecycle/__init__.py
@@ -1,1 +1,4 @@
-"""The state of the service as one pure machine: no clock, no sockets; ``docs/design/operations.md``."""
+"""The life cycle of the service as a pure state machine, without clock or sockets.
+
+The design is described in ``docs/design/operations.md``.
+"""
--- a/martentide/lifecycle/machine.py
+++ b/martentide/lifecycle/machine.py
@@ -1,8 +1,8 @@
-"""Starting, in service, draining, stopping: what each event means, and what is to be done about it.
+"""State machine of the service: starting, in service, draining, stopping and ended, with upgrades beside.
 
-Times are seconds. The host feeds one event at a time and carries the actions out in their order. A timer
-belongs to the epoch it was set in; one of an earlier epoch is passed over, so that a drain that was ended, or
-gave way to the end of the program, can't act any more.
+Times are seconds. The host feeds one event at a time and carries out the returned actions in their order. A
+timer belongs to the epoch in which it was set, and timers of earlier epochs are ignored, so that a drain that
+was ended or replaced by a stop has no further effect.
 """
 
 from __future__ import annotations
@@ -10,14 +10,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-CLOSE_IDLE_DELAY = 0.4  # s of a drain in which links stay: the front sends more for 0.2 s after the first no
-REFUSE_DELAY = 1.9  # s of a drain in which set-ups are taken: none may be younger than 2 s at 4 s
-LATE_ARRIVAL_PERIOD = 0.9  # s after SIGTERM in which set-ups still come
-MOVE_PERIOD = 1.2  # s after SIGTERM in which callers' connections go to the successor
+# s of a drain before idle connections close; a front still sends for 0.2 s after its first failed health check
+CLOSE_IDLE_DELAY = 0.4
+REFUSE_DELAY = 1.9  # s of a drain in which set-ups are accepted; at 4 s none may be younger than 2 s
+LATE_ARRIVAL_PERIOD = 0.9  # s after SIGTERM in which set-ups still arrive
+MOVE_PERIOD = 1.2  # s after SIGTERM in which callers' connections move to the successor
 FLUSH_PERIOD = 0.05  # s for the last answers to leave the mailboxes
 
 
 class Phase(Enum):
+    """Phase of the service's life cycle."""
+
     STARTING = "starting"
     IN_SERVICE = "in-service"
     DRAINING = "draining"
@@ -26,19 +29,19 @@
 
 
 class UpgradePeer(Enum):
-    """Who else serves the same address, in an upgrade."""
+    """The other process that serves the same address during an upgrade."""
 
     NONE = "nobody"
-    PREDECESSOR = "predecessor"  # it was here first, and has calls still
-    SUCCESSOR = "successor"  # it was welcomed, and has not taken yet
-    ACCEPTING_SUCCESSOR = "taken"  # the successor accepts, and this process no more
+    PREDECESSOR = "predecessor"  # it handed over the listening socket and still has calls
+    SUCCESSOR = "successor"  # it has the listening socket but does not accept yet
+    ACCEPTING_SUCCESSOR = "taken"  # the successor accepts connections and this process does not
 
 
 # ---- events ---------------------------------------------------------------------------------------------
 
 
 class TimerKind(Enum):
-    """What a timer stands for."""
+    """What happens when a timer expires."""
 
     CLOSE_IDLE = "leave"
     REFUSE_SET_UPS = "settle"
@@ -48,36 +51,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Listening:
-    """Callers can be served from now on."""
+    """The callers' listener is open."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutOfService:
-    """The operator sends callers away; ``call`` numbers the call, for its answer."""
+    """The operator starts a drain; ``call`` identifies the call for its answer."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class InService:
-    """The operator ends a drain."""
+    """The operator ends a drain; ``call`` identifies the call for its answer."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class Terminate:
-    """SIGTERM or SIGINT."""
+    """SIGTERM or SIGINT was received."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReloadRequested:
-    """SIGHUP."""
+    """SIGHUP was received."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer came due."""
+    """A timer set in ``epoch`` has expired."""
 
     epoch: int
     kind: TimerKind
@@ -85,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AllCallsEnded:
-    """Every call is answered and none stands."""
+    """Every call is answered and no standing call is left."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,29 +98,29 @@
 
 @dataclass(frozen=True, slots=True)
 class PredecessorGone:
-    """It has ended."""
+    """The predecessor has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorRequested:
-    """A second process wants to take over; ``ask`` numbers its channel."""
+    """A second process asks to take over; ``request`` identifies its channel."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReady:
-    """It is ready to accept."""
+    """The successor is ready to accept connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReturnedListener:
-    """It is to end, and accepts no more."""
+    """The successor was told to end and no longer accepts connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorGone:
-    """It has ended."""
+    """The successor has ended."""
 
 
 Event = (
@@ -142,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The answer to the operator's call of that number; ``status`` as in HTTP."""
+    """Answer the operator's call of that number with an HTTP status and a text."""
 
     call: int
     status: int
@@ -151,47 +154,49 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveLinks:
-    """Callers' links are closed as they come to rest (or, ``on`` false, are kept again)."""
+    """Close callers' connections as soon as they are idle, or stop doing so if ``enabled`` is false."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseSetUps:
-    """New set-ups are refused (or taken again)."""
+    """Refuse new set-ups, or accept them again if ``enabled`` is false."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StopListening:
-    """No further connection of callers is accepted."""
+    """Stop accepting callers' connections for good."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetDue:
+    """Feed ``timer`` back as an event after ``delay`` seconds."""
+
     timer: TimerExpired
     delay: float
 
 
 @dataclass(frozen=True, slots=True)
 class TellWhenOver:
-    """AllOver is to come once every call is answered and none stands."""
+    """Send AllCallsEnded once every call is answered and no standing call is left."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reload:
-    """Read the configuration anew."""
+    """Reload the configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseFronts:
-    """Further fronts are told on their streams that the program ends."""
+    """Announce the stop to the fronts that use this process as external processor, on their open streams."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """A log line: the phase has changed, and by what."""
+    """Log a change of phase and its cause."""
 
     phase: Phase
     by: str
@@ -199,50 +204,52 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenMeeting:
-    """Be found by a successor from now on."""
+    """Open the handover socket, so that a successor can find this process."""
 
 
 @dataclass(frozen=True, slots=True)
 class WelcomeIt:
-    """Hand the listening socket to the process that asks."""
+    """Hand the listening socket to the process that asked."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TurnAway:
+    """Reject the process that asked to take over, with a reason for people."""
+
     request: int
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Yield:
-    """Accept no more, and tell the successor that it may."""
+    """Stop accepting connections and tell the successor to start."""
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptAgain:
-    """The successor is no more: accept on the same socket again."""
+    """Resume accepting on the same socket, because the successor has ended or is ending."""
 
 
 @dataclass(frozen=True, slots=True)
 class MoveOut:
-    """Callers' connections go to the successor."""
+    """Move callers' connections to the successor."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveBackIt:
-    """Tell the predecessor that it may accept again."""
+    """Tell the predecessor to resume accepting."""
 
 
 @dataclass(frozen=True, slots=True)
 class LetGoOfSuccessor:
-    """Calls whose connections the successor had are its callers' no more."""
+    """Treat the callers whose connections had moved to the successor as gone."""
 
 
 @dataclass(frozen=True, slots=True)
 class LetGoOfPredecessor:
-    """What the predecessor left unanswered fails; its share of descriptors is free."""
+    """Fail the calls that the predecessor left unanswered and use its share of descriptors."""
 
 
 Action = (
@@ -268,7 +275,7 @@
 
 
 class StateMachine:
-    """The one state of the service."""
+    """The state of the service; ``handle`` maps each event to actions."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
@@ -279,11 +286,11 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers are to be sent here."""
+        """Return whether the readiness check should pass."""
         return self.phase is Phase.IN_SERVICE
 
     def handle(self, event: Event) -> list[Action]:
-        """What to do about one event; after ENDED nothing."""
+        """Return the actions for one event; after ENDED there are none."""
         self.actions = []
         match event:
             case _ if self.phase is Phase.ENDED:
@@ -349,8 +356,8 @@
             case PredecessorGone() if self.upgrade_peer is UpgradePeer.PREDECESSOR:
                 self.upgrade_peer = UpgradePeer.NONE
                 self._emit(LetGoOfPredecessor())
-            case SuccessorRequested(ask):
-                self._successor_requested(ask)
+            case SuccessorRequested(request):
+                self._successor_requested(request)
             case SuccessorReady() if self.upgrade_peer is UpgradePeer.SUCCESSOR:
                 self._successor_ready()
             case SuccessorReturnedListener() if self.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR:
@@ -371,7 +378,7 @@
             self._emit(WelcomeIt(request))
 
     def _successor_ready(self) -> None:
-        """Also while stopping: who still connects is the successor's then, and is not cut off by the end."""
+        """Yield the listener, also while stopping, so that callers who connect late are served."""
         self.upgrade_peer = UpgradePeer.ACCEPTING_SUCCESSOR
         self._emit(Yield())
         if self.phase is Phase.STOPPING:
@@ -393,7 +400,7 @@
             self._emit(MoveOut())
             self._set_timer(TimerKind.STOP_ACCEPTING, MOVE_PERIOD)
             return
-        # Callers do not know yet: what still comes on new and open connections is served like any other call.
+        # Callers have not learned of the stop yet, so set-ups on new and open connections are still served.
         self._set_timer(TimerKind.STOP_ACCEPTING, LATE_ARRIVAL_PERIOD if self.listening else 0.0)
 
     def _timer_expired(self, kind: TimerKind) -> None:
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -185,7 +185,7 @@
         self.save_count = 0
 
     def change_settings(self, settings: Settings) -> None:
-        """Use the fingerprint of these settings for all later saves, since state is now learned under them."""
+        """Set the settings whose fingerprint is saved with the state that is learned from now on."""
         self.settings_fingerprint = fingerprint(settings)
 
     # ---- start --------------------------------------------------------------------------------------------
--- a/martentide/net/service.py
+++ b/martentide/net/service.py
@@ -234,8 +234,8 @@
     def _act(self, action: machine.Action) -> None:
         match action:
             case machine.Answer(call, status, text):
-                if (asked := self.pending_calls.get(call)) is not None and not asked.done():
-                    asked.set_result((status, text))
+                if (pending := self.pending_calls.get(call)) is not None and not pending.done():
+                    pending.set_result((status, text))
             case machine.LeaveLinks(enabled):
                 self.callers.client_connections.leave(enabled)
             case machine.RefuseSetUps(enabled):
