--- a/martentide/__main__.py
+++ b/martentide/__main__.py
@@ -1,12 +1,12 @@
-"""``python -m martentide``: see ``martentide/cli.py``."""
+"""Entry point of ``python -m martentide``; the commands are in ``martentide/cli.py``."""
 
 import os
 import sys
 
 from martentide.paced_start import PacedImports, predecessor_may_serve
 
-# asyncio takes in the standard library's TLS wherever it is found. Nothing here speaks it, and a proxy on a
-# small machine has better use for 4 MB. (gRPC, where the operator turns it on, brings its own.)
+# asyncio imports the ssl module if it is available. The proxy does not use TLS, and leaving it out saves 4 MB
+# on small machines. (gRPC, if the operator enables it, has its own TLS.)
 sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]
 
 pacing = PacedImports() if predecessor_may_serve(os.environ) else None
--- a/martentide/handover/__init__.py
+++ b/martentide/handover/__init__.py
@@ -1,1 +1,4 @@
-"""What two processes of one upgrade say to each other: pure, no sockets; ``docs/design/operations.md``."""
+"""The protocol between the two processes of an upgrade, without sockets.
+
+The design is described in ``docs/design/operations.md``.
+"""
--- a/martentide/handover/wire.py
+++ b/martentide/handover/wire.py
@@ -1,7 +1,7 @@
-"""The frames between the old and the new process of an upgrade, as JSON; descriptors travel beside them.
+"""JSON frames between the old and the new process of an upgrade; descriptors are passed alongside.
 
-A frame is ``[KIND, {field: value}]``. Bytes are hex. Another version is turned away before anything is handed
-over, so a frame that can't be read is a fault and ends the channel.
+A frame is ``[KIND, {field: value}]``, with bytes in hexadecimal. A process of another version is rejected in
+the handshake, so a frame that can't be decoded is an error and closes the channel.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from typing import Any
 
 VERSION = 1
-MAX_FRAME_BYTES = 128 * 1024  # bytes
-MOST_RECORDS = 1000  # calls named in one frame
+MAX_FRAME_BYTES = 128 * 1024
+MOST_RECORDS = 1000  # calls listed in one frame
 
 
 class HandoverError(ValueError):
-    """A frame that the other process should not have sent."""
+    """A frame that can't be decoded."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,39 +31,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """The listening socket comes beside this; ``links``: callers' connections that the old process holds."""
+    """The old process accepts the request; the listening socket is passed alongside.
+
+    ``links`` is the number of callers' connections that the old process holds.
+    """
 
     links: int
 
 
 @dataclass(frozen=True, slots=True)
 class TurnedAway:
+    """The old process rejects the request, with a reason for people."""
+
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Take:
-    """The new process is ready to accept."""
+    """The new process is ready to accept connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """The old process accepts no more; the new one may."""
+    """The old process has stopped accepting connections; the new one may start."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveBack:
-    """The new process is to end, and accepts no more; the old one may again."""
+    """The new process was told to end and has stopped accepting connections; the old one may resume."""
 
 
 @dataclass(frozen=True, slots=True)
 class Moving:
-    """The old process was told to end: what it may still send is the new one's now."""
+    """The old process was told to end; its share of the traffic to cold servers goes to the new process."""
 
 
 @dataclass(frozen=True, slots=True)
 class MovedCalls:
-    """Calls of a party without a link, all of which stand, and releases that it is owed, by call."""
+    """Standing calls of a client without a connection, and its undelivered releases as (call, message)."""
 
     host: str
     standing: tuple[bytes, ...]
@@ -72,10 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MovedLink:
-    """A caller's connection, whose descriptor comes beside this, and the calls on it.
+    """A caller's connection, whose descriptor is passed alongside, and the calls on it.
 
-    ``begun``: what was read of a message that is not whole. ``mute``: nothing on it was answered yet.
-    ``stood``: calls that have stood on it so far.
+    ``begun`` holds the bytes read of an incomplete message. ``mute`` is set if nothing on the connection has
+    been answered yet. ``stood`` counts the calls on it that have become standing calls.
     """
 
     host: str
@@ -89,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Said:
-    """What the old process has to say to a caller whose connection it has handed over."""
+    """A message from the old process to a caller whose connection it has handed over."""
 
     host: str
     call: bytes
@@ -99,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Left:
-    """A caller gave a call up or ended it, or is gone; the call is the old process's."""
+    """A caller gave up or ended a call that the old process handles, or the caller is gone."""
 
     host: str
     call: bytes
@@ -119,6 +124,7 @@
 
 
 def write_frame(frame: Frame) -> bytes:
+    """Encode a frame."""
     values = {field.name: _to_json(getattr(frame, field.name)) for field in fields(frame)}
     return json.dumps([type(frame).__name__, values], separators=(",", ":")).encode("ascii")
 
@@ -153,7 +159,7 @@
 
 
 def read_frame(raw: bytes) -> Frame:
-    """The frame; raises HandoverError."""
+    """Decode a frame. Raises HandoverError."""
     try:
         name, values = json.loads(raw)
         kind = FRAME_TYPES[name]
@@ -162,5 +168,5 @@
             raise ValueError(f"expected the fields {', '.join(expected) or 'none'}")
         frame: Frame = kind(**{name: FIELD_READERS[what](values[name]) for name, what in expected.items()})
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise HandoverError(f"a frame of another kind: {error}") from None
+        raise HandoverError(f"invalid frame: {error}") from None
     return frame
--- a/martentide/lifecycle/machine.py
+++ b/martentide/lifecycle/machine.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# s of a drain before idle connections close; a front still sends for 0.2 s after its first failed health check
+# s of a drain before idle connections close. The front sends calls for 0.2 s more after the first failed
+# health check of this proxy.
 CLOSE_IDLE_DELAY = 0.4
 REFUSE_DELAY = 1.9  # s of a drain in which set-ups are accepted; at 4 s none may be younger than 2 s
 LATE_ARRIVAL_PERIOD = 0.9  # s after SIGTERM in which set-ups still arrive
--- a/martentide/log.py
+++ b/martentide/log.py
@@ -1,4 +1,7 @@
-"""The log: structlog on standard error, one line an event, as text (docs/ON-CALL.md) or as JSON Lines."""
+"""Configures logging: structlog on standard error, one line per event, as text or JSON Lines.
+
+The events are listed in ``docs/ON-CALL.md``.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 def add_timestamp(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Time of the machine's zone, with milliseconds."""
+    """Add the local time with milliseconds."""
     now = time.time()
     clock = time.strftime("%Y-%m-%dT%H:%M:%S", time.localtime(now))
     event["timestamp"] = f"{clock}.{int(now * 1000) % 1000:03d}"
@@ -23,7 +26,7 @@
 
 
 def render_text(_: Any, __: str, event: MutableMapping[str, Any]) -> str:
-    """``TIME LEVEL EVENT name=value ...``, and a trace, if there is one, on the lines behind."""
+    """Render ``TIME LEVEL EVENT name=value ...``, followed by the traceback, if there is one."""
     head = f"{event.pop('timestamp')} {event.pop('level').upper()} {event.pop('event')}"
     trace = event.pop("exception", None)
     line = head + "".join(f" {name}={value}" for name, value in event.items())
@@ -31,9 +34,10 @@
 
 
 class _LibraryHandler(logging.Handler):
-    """Lines of libraries that log by the standard library, in the same form and on the same stream."""
+    """Forwards records of the standard ``logging`` module, which libraries use, to structlog."""
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Log the record as the event ``library``; levels below error become warnings."""
         log = structlog.get_logger()
         level = "error" if record.levelno >= logging.ERROR else "warning"
         getattr(log, level)(
@@ -42,7 +46,7 @@
 
 
 def configure(level: str = "info", form: str = "text") -> None:
-    """Set the least level shown and the form; called once, before anything is logged."""
+    """Set the minimum level and the output format; call once, before anything is logged."""
     renderer: Any = render_text if form == "text" else structlog.processors.JSONRenderer(default=str)
     structlog.configure(
         processors=[
--- a/martentide/net/config.py
+++ b/martentide/net/config.py
@@ -1,4 +1,4 @@
-"""What a signalling proxy is told at its start: PROXY_CONFIG, PROXY_LISTEN and PROXY_NAME."""
+"""Loads the proxy's configuration file and the environment variables that override parts of it."""
 
 from __future__ import annotations
 
@@ -22,11 +22,13 @@
 
 
 class ConfigError(Exception):
-    """A configuration that the program cannot start with; its text is one line."""
+    """An invalid configuration; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
+    """A host and a TCP port."""
+
     host: str
     port: int
 
@@ -36,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Times are seconds, as asyncio counts them."""
+    """The configuration of one proxy; times of its own fields are seconds."""
 
     name: str
     listen: Address
@@ -49,12 +51,13 @@
     zones: tuple[str, ...]
     connect_timeout: float
     max_open: int
-    keys: frozenset[str]  # of the file, down to those of a class: a later file may not lack one
-    operator: Address | None = None  # where the operator's calls come in; None: nowhere
-    extras: Extras | None = None  # what the extras file turns on
+    keys: frozenset[str]  # key paths of the file, which a reloaded file must have too
+    operator: Address | None = None  # address for the operator's calls; None: disabled
+    extras: Extras | None = None  # optional features enabled by the extras file
 
 
 def read_address(text: Any, key: str) -> Address:
+    """Parse ``HOST:PORT``. Raises ConfigError that names ``key``."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or int(port) > 65535:
         raise ConfigError(f"{key}: {text!r} is not HOST:PORT")
@@ -62,9 +65,10 @@
 
 
 def load_config(environment: Mapping[str, str], path: str | None = None, extras: str | None = None) -> Config:
-    """The configuration file named by ``path`` or PROXY_CONFIG; the other variables go before its text.
+    """Load the configuration file named by ``path`` or PROXY_CONFIG and apply the environment overrides.
 
-    The extras file is the one named by ``extras`` or MARTENTIDE_EXTRAS; without either there is none.
+    The extras file is named by ``extras`` or MARTENTIDE_EXTRAS; without either there is none.
+    Raises ConfigError.
     """
     path = path or environment.get("PROXY_CONFIG")
     if not path:
@@ -85,7 +89,7 @@
     extras = extras or environment.get("MARTENTIDE_EXTRAS")
     if not extras:
         return config
-    from martentide.extras import ExtrasError, load_extras  # its libraries are not the platform's
+    from martentide.extras import ExtrasError, load_extras  # needs third-party libraries
 
     try:
         return replace(config, extras=load_extras(extras, config.settings))
@@ -94,24 +98,27 @@
 
 
 def parse_finite_float(text: str) -> float:
+    """Parse a JSON number. Raises ValueError for one that overflows to infinity."""
     number = float(text)
     if math.isinf(number):
-        raise ValueError(f"{text} is beyond any number")
+        raise ValueError(f"{text} is out of range")
     return number
 
 
 def reject_constant(text: str) -> Any:
-    raise ValueError(f"{text} is no number of JSON")
+    """Raise ValueError for NaN and the infinities, which Python's parser would accept."""
+    raise ValueError(f"{text} is not a JSON number")
 
 
 def check_keys(new: Config, running: Config) -> None:
-    """Raises ConfigError where the file lacks a key that the running one has."""
+    """Raise ConfigError if the new configuration lacks a key that the running one has."""
     missing = sorted(running.keys - new.keys)
     if missing:
         raise ConfigError(f"{missing[0]}: missing, the running configuration has it")
 
 
 def read_config(raw: Mapping[str, Any]) -> Config:
+    """Validate and convert a decoded configuration file. Raises ConfigError."""
     try:
         check_settings(raw["settings"])
         settings = settings_from(raw["settings"])
@@ -139,4 +146,4 @@
     except KeyError as error:
         raise ConfigError(f"{error.args[0]}: missing") from None
     except (TypeError, ValueError) as error:
-        raise ConfigError(f"a value has the wrong form: {error}") from None
+        raise ConfigError(f"invalid value: {error}") from None
--- a/martentide/net/control.py
+++ b/martentide/net/control.py
@@ -1,7 +1,8 @@
-"""The operator's listener: an actor of its own, so that no flood of callers keeps it from answering.
+"""The listener for operator calls, an actor of its own so that a flood of callers does not block it.
 
-One call a connection. Each has one timer; beyond ``most`` the oldest unfinished one goes, so that callers
-who send nothing or half a call neither delay nor displace one that is whole.
+Each connection carries one call and has one timeout. Beyond the limit of connections the oldest one whose
+call is incomplete is closed, so that clients that send nothing or a partial call neither delay nor displace a
+complete call.
 """
 
 from __future__ import annotations
@@ -14,26 +15,32 @@
 from martentide.net.config import Address
 from martentide.net.listeners import bound
 
-CALL_TIMEOUT = 0.8  # s in which a call must be whole; every answer is owed within 1 s
-LINGER_TIMEOUT = 0.3  # s for the caller to take its answer and close
-ACCEPT_BACKLOG = 256  # connections that wait in the system to be accepted
-READ_SIZE = 4096  # bytes read at a time
+CALL_TIMEOUT = 0.8  # s to receive a complete call; every answer is due within 1 s
+LINGER_TIMEOUT = 0.3  # s for the client to read its answer and close
+ACCEPT_BACKLOG = 256  # connections in the kernel's accept queue
+READ_SIZE = 4096  # bytes
 
 CallHandler = Callable[[str, bytes], Awaitable[tuple[int, str]]]
 
 
 class OperatorListener:
-    """``ask`` carries a call out, named by its path, with its body, and gives its status and text."""
+    """Serves operator calls over HTTP.
+
+    ``handle_call`` carries out a call, given its path and body, and returns an HTTP status and a text.
+    """
 
     def __init__(self, handle_call: CallHandler, max_connections: int) -> None:
         self.handle_call, self.max_connections = handle_call, max_connections
-        self.incomplete: dict[asyncio.Task[None], None] = {}  # calls that are not whole yet, oldest first
+        self.incomplete: dict[
+            asyncio.Task[None], None
+        ] = {}  # tasks whose call is not complete yet, oldest first
         self.open_calls: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> None:
-        # So many are accepted at a time, whatever waits. The queue of those that wait is long: where it is
-        # full the system drops a connect, which is tried again a second later, too late for its answer.
+        """Start serving on ``address``. Raises OSError."""
+        # asyncio accepts up to ``backlog`` connections per wakeup. The kernel's queue is longer, because a
+        # connect dropped from a full queue is retried only after a second, too late for an answer in time.
         listener = bound(address)
         self.server = await asyncio.start_server(
             self._serve, sock=listener, backlog=self.max_connections, limit=READ_SIZE
@@ -41,9 +48,11 @@
         listener.listen(ACCEPT_BACKLOG)
 
     def addresses(self) -> list[tuple[str, int]]:
+        """Return the bound addresses."""
         return [sock.getsockname()[:2] for sock in self.server.sockets] if self.server else []
 
     def close(self) -> None:
+        """Stop accepting calls."""
         if self.server is not None:
             self.server.close()
 
@@ -53,7 +62,7 @@
         self.incomplete[task] = None
         self.open_calls.add(task)
         if len(self.open_calls) > self.max_connections:
-            # What is over and lingers goes by itself within LINGER: only a half call is cut off for room.
+            # Answered connections close within LINGER_TIMEOUT, so only incomplete calls are cut off.
             oldest = next(iter(self.incomplete))
             self.incomplete.pop(oldest)
             oldest.cancel()
@@ -66,7 +75,7 @@
             reason = CloseReason.PEER_RESET
         except OSError:
             reason = CloseReason.IO_ERROR
-        except Exception:  # one bad call must not take the listener down
+        except Exception:  # a failing call must not stop the listener
             LOG.exception("internal-error operator's call")
         finally:
             self.incomplete.pop(task, None)
@@ -92,15 +101,15 @@
         except TimeoutError:
             if not received_any:
                 return CloseReason.MUTE
-            outcome = Refused(408, f"the call was not whole within {CALL_TIMEOUT:g} s")
+            outcome = Refused(408, f"the call was not complete within {CALL_TIMEOUT:g} s")
         self.incomplete.pop(task, None)
         if isinstance(outcome, Request):
             status, text = await self.handle_call(outcome.path, outcome.body)
             writer.write(call.answer(status, text))
         else:
             writer.write(call.answer(outcome.status, outcome.text, outcome.allow))
-        # The caller closes first, if it will: bytes of its that were left unread would reset the connection
-        # and might take the answer with them.
+        # Let the client close first: closing with unread bytes would reset the connection and could lose the
+        # answer.
         writer.write_eof()
         try:
             async with asyncio.timeout(LINGER_TIMEOUT):
--- a/martentide/net/discovery.py
+++ b/martentide/net/discovery.py
@@ -1,5 +1,8 @@
-"""The actor of the list: follows the notice board from the last number it has, over as many connections as
-that takes. A connection without its frame each second is dead, whatever TCP says."""
+"""The client of the discovery service, which announces changes of the list of session servers.
+
+The client resumes after the last notice number it has received and reconnects as often as needed. The service
+sends a frame each second; a connection without frames is treated as dead, even if TCP reports no error.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,20 @@
 from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
 from martentide.net.config import Address
 
-SILENCE_TIMEOUT = 2.2  # s without a frame after which the connection is dead
-RECONNECT_DELAY = (0.1, 0.4)  # s, drawn between the two
-# s instead after a connection that lasted and told something: what is listed counts as told meanwhile, and a
-# drain may have a grace of less than the other. One that ends sooner is not dialled in a loop.
+SILENCE_TIMEOUT = 2.2  # s without a frame after which the connection is closed
+RECONNECT_DELAY = (0.1, 0.4)  # s; the delay is drawn from this range
+# s; the delay after a connection that delivered a frame and lasted MIN_LIFETIME s. It is short because the
+# service counts a change as announced once it is listed, and the grace of a drain may be less than
+# RECONNECT_DELAY. The minimum lifetime prevents a tight reconnect loop.
 FAST_RECONNECT_DELAY, MIN_LIFETIME = (0.0, 0.05), 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnded:
-    """The ``attempt``-th connection to the board is over, or none came up; ``lived``: it lasted and told."""
+    """The ``attempt``-th connection has ended or could not be opened.
+
+    ``healthy``: it delivered a frame and lasted at least MIN_LIFETIME.
+    """
 
     attempt: int
     healthy: bool
@@ -30,12 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressChanged:
-    """The board is told at another address from now on; its numbers continue."""
+    """The discovery service has another address; its notice numbers continue."""
 
     address: Address
 
 
 class DiscoveryClient:
+    """The actor that follows the discovery service and passes each new notice to ``on_notice``."""
+
     def __init__(
         self,
         address: Address,
@@ -47,32 +56,32 @@
     ) -> None:
         self.address, self.last_number, self.zones, self.on_notice = address, last_number, zones, on_notice
         self.connect_timeout = connect_timeout
-        self.on_dial_error = (
-            on_dial_error  # told of an error of a dial, which may be for want of a descriptor
-        )
+        self.on_dial_error = on_dial_error  # gets errors such as a shortage of descriptors
         self.mailbox: asyncio.Queue[Notice | ConnectionEnded | AddressChanged] = asyncio.Queue()
         self.connection_task: asyncio.Task[None] | None = None
         self.attempt = 0
 
     def post(self, item: AddressChanged) -> None:
+        """Queue a change of address."""
         self.mailbox.put_nowait(item)
 
     async def run(self) -> None:
+        """Follow the discovery service until cancelled."""
         self._connect(0.0)
         while True:
             item = await self.mailbox.get()
             if isinstance(item, AddressChanged):
-                # The old address may keep its connection open and tell nothing: it is left at once.
+                # The service at the old address may keep the connection open without sending notices.
                 self.address = item.address
                 if self.connection_task is not None:
                     self.connection_task.cancel()
                 self._connect(0.0)
             elif isinstance(item, ConnectionEnded):
-                if item.attempt == self.attempt:  # not of a connection that a move has ended
+                if item.attempt == self.attempt:  # else a change of address has replaced it
                     self._connect(
                         random.uniform(*(FAST_RECONNECT_DELAY if item.healthy else RECONNECT_DELAY))
                     )
-            elif item.number > self.last_number:  # one that comes twice tells nothing new
+            elif item.number > self.last_number:  # ignore notices received before
                 self.last_number = item.number
                 self.on_notice(item)
 
@@ -81,7 +90,7 @@
         self.connection_task = asyncio.create_task(self._follow_notices(self.attempt, delay), name="board")
 
     async def _follow_notices(self, attempt: int, delay: float) -> None:
-        """One connection, from its dial to its one log line."""
+        """Run one connection, from connecting after ``delay`` s to logging its end."""
         await asyncio.sleep(delay)
         address, started_at = self.address, asyncio.get_running_loop().time()
         writer: asyncio.StreamWriter | None = None
--- a/martentide/paced_start.py
+++ b/martentide/paced_start.py
@@ -1,8 +1,9 @@
-"""A second process starts gently beside the one in service, with which it shares its limit of processor time.
+"""Throttles the imports of a process that starts beside a predecessor in service.
 
-At full speed the imports of a start use up what both may use, and the process in service stands still in the
-midst of its calls (110 ms were seen). So where a predecessor's handover socket is found, imports pause for as
-long as they ran. Only the standard library is used here, since nothing else may be loaded before.
+Both processes share one limit of processor time. Imports at full speed exhaust it and stall the process in
+service in the middle of calls (by 110 ms in one case). Therefore, if a predecessor's handover socket exists,
+imports pause for as long as they ran. This module uses only the standard library, since nothing else may be
+imported before it.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 SOCKET_PREFIX, SOCKET_SUFFIX = (
     "martentide-",
     ".sock",
-)  # as ``net/handover.py`` names it, with the address between
-CPU_SLICE = 0.008  # s of processor time between two pauses
-PAUSE_RATIO = 1.0  # s of pause for each second of processor time
+)  # around the address, as in ``net/handover.py``
+CPU_SLICE = 0.008  # s of processor time between pauses
+PAUSE_RATIO = 1.0  # s of pause per second of processor time
 
 
 def predecessor_may_serve(environment: Mapping[str, str]) -> bool:
-    """Whether a handover socket lies in ``$TMPDIR``; it may be one that a dead process left."""
+    """Return whether ``$TMPDIR`` has a handover socket, which may also be a stale one."""
     folder = environment.get("TMPDIR")
     try:
         names = os.listdir(folder) if folder else []
@@ -33,7 +34,7 @@
 
 
 class PacedImports:
-    """A finder of modules that finds none, and pauses each time that a slice of processor time is used up."""
+    """An import finder that finds nothing and pauses whenever a slice of processor time is used up."""
 
     def __init__(
         self, cpu_time: Callable[[], float] = time.process_time, pause: Callable[[float], None] = time.sleep
@@ -44,6 +45,7 @@
     def find_spec(
         self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
+        """Pause if a slice is used up, and leave the import to the other finders."""
         used = self.cpu_time() - self.slice_started_at
         if used >= CPU_SLICE:
             self.pause(used * PAUSE_RATIO)
@@ -51,9 +53,10 @@
         return None
 
     def install(self) -> None:
+        """Start to throttle imports."""
         sys.meta_path.insert(0, self)
 
     def uninstall(self) -> None:
-        """From now on imports run at full speed: a pause would hold up the service itself."""
+        """Stop throttling; after the start a pause would delay the service itself."""
         if self in sys.meta_path:
             sys.meta_path.remove(self)
