--- a/martentide/net/control.py
+++ b/martentide/net/control.py
@@ -31,9 +31,8 @@
 
     def __init__(self, handle_call: CallHandler, max_connections: int) -> None:
         self.handle_call, self.max_connections = handle_call, max_connections
-        self.incomplete: dict[
-            asyncio.Task[None], None
-        ] = {}  # tasks whose call is not complete yet, oldest first
+        # Tasks whose call is not complete yet, oldest first.
+        self.incomplete: dict[asyncio.Task[None], None] = {}
         self.open_calls: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
 
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -70,7 +70,7 @@
         if (here.st_dev, here.st_ino) != (opened.st_dev, opened.st_ino):
             raise OSError(errno.ESTALE, "the folder was replaced by another")
 
-    def read(self, name: str, most: int) -> bytes | None:
+    def read(self, name: str, max_bytes: int) -> bytes | None:
         """Return the content of a file of at most ``most`` bytes, or None if it doesn't exist.
 
         Raises OSError, with EFBIG for a larger file.
@@ -81,9 +81,9 @@
             return None
         with open(fd, "rb") as file:
             size = os.fstat(fd).st_size
-            if size > most:
-                raise OSError(errno.EFBIG, f"{size} bytes, expected {most} at most")
-            return file.read(most)
+            if size > max_bytes:
+                raise OSError(errno.EFBIG, f"{size} bytes, expected {max_bytes} at most")
+            return file.read(max_bytes)
 
     def write(self, name: str, data: bytes) -> None:
         """Create or overwrite a file. Raises OSError, with ESTALE if the folder was replaced."""
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -30,41 +30,41 @@
 LIMIT = 15.0
 
 
-class Mute:
+class IdleServer:
     """A server's actor that does nothing."""
 
     def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
         pass
 
 
-class Site:
+class StoreFixture:
     """A store beside a dispatcher that has ``servers``; ``touch`` makes something worth saving."""
 
     def __init__(self, folder: Path, servers: int = 2) -> None:
-        self.dispatcher = Dispatcher(Controller(SETTINGS, 1), lambda listed, dispatcher: Mute(), 10)
+        self.dispatcher = Dispatcher(Controller(SETTINGS, 1), lambda listed, dispatcher: IdleServer(), 10)
         names = tuple(Listed(entry(f"s{at}", at), "127.0.0.1", 1) for at in range(servers))
         self.dispatcher.apply_list(Notice(1, True, names))
         self.store = Store(str(folder), QUICK, SETTINGS, self.dispatcher, 1)
-        self.touched = 0.0
+        self.last_wait = 0.0
 
-    def touch(self) -> None:
-        self.touched += 1.0
-        self.dispatcher.controller.servers["s0"].wait = self.touched
+    def change_state(self) -> None:
+        self.last_wait += 1.0
+        self.dispatcher.controller.servers["s0"].wait = self.last_wait
 
-    async def until(self, what: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(LIMIT):
-            while not what():
-                self.touch()
+            while not condition():
+                self.change_state()
                 await asyncio.sleep(0.005)
 
 
-def play(folder: Path, scene: Callable[[Site], Awaitable[None]], servers: int = 2) -> None:
+def run_scenario(folder: Path, scenario: Callable[[StoreFixture], Awaitable[None]], servers: int = 2) -> None:
     async def run() -> None:
-        site = Site(folder, servers)
+        site = StoreFixture(folder, servers)
         await site.store.start()
         task = asyncio.create_task(site.store.run())
         try:
-            await scene(site)
+            await scenario(site)
         finally:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
@@ -75,26 +75,26 @@
     asyncio.run(run())
 
 
-def wait_in(folder: Path) -> float:
+def saved_wait(folder: Path) -> float:
     learned = read_state((folder / STATE).read_bytes(), fingerprint(SETTINGS))
     return next(server.wait for server in learned.servers if server.name == "s0")
 
 
-def test_what_changes_is_saved_and_the_end_saves_the_last_of_it(tmp_path: Path) -> None:
+def test_changes_are_saved_and_the_last_one_at_shutdown(tmp_path: Path) -> None:
     last = 0.0
 
-    async def scene(site: Site) -> None:
+    async def scenario(site: StoreFixture) -> None:
         nonlocal last
         await site.until(lambda: site.store.save_count >= 2)
-        site.touch()
-        last = site.touched
+        site.change_state()
+        last = site.last_wait
 
-    play(tmp_path, scene)
-    assert wait_in(tmp_path) == last and (tmp_path / OLD).exists()
+    run_scenario(tmp_path, scenario)
+    assert saved_wait(tmp_path) == last and (tmp_path / OLD).exists()
 
 
-def test_a_state_that_does_not_change_is_not_written_again(tmp_path: Path) -> None:
-    async def scene(site: Site) -> None:
+def test_unchanged_state_is_not_written_again(tmp_path: Path) -> None:
+    async def scenario(site: StoreFixture) -> None:
         await site.until(lambda: site.store.save_count >= 1)
         async with asyncio.timeout(LIMIT):
             await site.store.idle.wait()
@@ -103,15 +103,15 @@
             await asyncio.sleep(0.005)
         assert site.store.save_count <= 2
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("call", ["fsync", "open", "rename"])
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EROFS, errno.EACCES])
-def test_a_disk_that_fails_is_tried_again_and_the_state_before_stays(
+def test_failed_save_is_retried_and_the_previous_state_stays(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, number: int
 ) -> None:
-    async def scene(site: Site) -> None:
+    async def scenario(site: StoreFixture) -> None:
         await site.until(lambda: site.store.save_count >= 1)
 
         def fail(*_: object, **__: object) -> int:
@@ -126,10 +126,10 @@
         await site.until(lambda: site.store.save_count > done)
         assert site.store.pacing.failures == 0
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_fsync_that_hangs_delays_nothing_and_is_said_once(
+def test_hanging_fsync_blocks_nothing_and_is_logged_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     free = threading.Event()
@@ -139,23 +139,21 @@
         free.wait(LIMIT)
         real(fd)
 
-    async def scene(site: Site) -> None:
+    async def scenario(site: StoreFixture) -> None:
         await site.until(lambda: site.store.save_count >= 1)
         monkeypatch.setattr("martentide.net.learned.os.fsync", hang)
         await site.until(lambda: site.store.pacing.hang_said)
-        before = site.touched
-        await site.until(lambda: site.touched > before + 20)  # the loop goes on
+        before = site.last_wait
+        await site.until(lambda: site.last_wait > before + 20)  # the loop goes on
         free.set()
         monkeypatch.setattr("martentide.net.learned.os.fsync", real)
         done = site.store.save_count
         await site.until(lambda: site.store.save_count > done + 1)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_disk_that_hangs_at_the_start_is_done_without(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_start_continues_without_a_hanging_disk(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     free = threading.Event()
     real = os.makedirs
 
@@ -166,66 +164,66 @@
     monkeypatch.setattr("martentide.net.learned.os.makedirs", hang)
     monkeypatch.setattr("martentide.net.learned.OPEN_TIMEOUT", 0.05)
 
-    async def scene(site: Site) -> None:
+    async def scenario(site: StoreFixture) -> None:
         assert site.store.folder is None
         free.set()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_folder_replaced_by_a_symlink_is_not_followed(tmp_path: Path) -> None:
+def test_folder_replaced_by_a_symlink_is_not_written(tmp_path: Path) -> None:
     folder, other = tmp_path / "state", tmp_path / "other"
     other.mkdir()
 
-    async def scene(site: Site) -> None:
+    async def scenario(site: StoreFixture) -> None:
         await site.until(lambda: site.store.save_count >= 1)
         folder.rename(tmp_path / "moved")
         folder.symlink_to(other)
         await site.until(lambda: site.store.pacing.failures >= 1)
         assert not any(other.iterdir())
 
-    play(folder, scene)
+    run_scenario(folder, scenario)
 
 
-def test_a_second_store_on_the_folder_runs_without_and_touches_nothing(tmp_path: Path) -> None:
-    async def scene(site: Site) -> None:
+def test_second_store_on_a_locked_folder_is_off(tmp_path: Path) -> None:
+    async def scenario(site: StoreFixture) -> None:
         await site.until(lambda: site.store.save_count >= 1)
-        second = Site(tmp_path)
+        second = StoreFixture(tmp_path)
         assert await second.store.start() is None and second.store.folder is None
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_file_of_a_gigabyte_is_refused_unread(tmp_path: Path) -> None:
+def test_oversized_file_is_rejected_unread(tmp_path: Path) -> None:
     (tmp_path / STATE).touch()
     os.truncate(tmp_path / STATE, 1 << 30)
 
-    async def scene(site: Site) -> None:
+    async def scenario(site: StoreFixture) -> None:
         await site.until(lambda: site.store.save_count >= 1)
 
-    play(tmp_path, scene)
-    assert wait_in(tmp_path) > 0
+    run_scenario(tmp_path, scenario)
+    assert saved_wait(tmp_path) > 0
 
 
-def test_five_thousand_servers_are_saved_whole(tmp_path: Path) -> None:
-    async def scene(site: Site) -> None:
+def test_five_thousand_servers_are_saved(tmp_path: Path) -> None:
+    async def scenario(site: StoreFixture) -> None:
         await site.until(lambda: site.store.save_count >= 1)
 
-    play(tmp_path, scene, servers=5_000)
+    run_scenario(tmp_path, scenario, servers=5_000)
     assert len(read_state((tmp_path / STATE).read_bytes(), None).servers) == 5_000
 
 
 # ---- the real program -------------------------------------------------------------------------------------
 
 
-def program(scene: Callable[[Proxy, list[SessionServer]], Awaitable[None]], extras: str) -> None:
+def run_program(scenario: Callable[[Proxy, list[SessionServer]], Awaitable[None]], extras: str) -> None:
     async def run() -> None:
         servers, board = [SessionServer(number) for number in range(2)], Board()
         for server in servers:
             await server.start()
         await board.start()
         async with asyncio.timeout(40), Proxy(board, servers, extras) as proxy:
-            await scene(proxy, servers)
+            await scenario(proxy, servers)
         for server in servers:
             await server.stop()
         await board.stop()
@@ -233,14 +231,14 @@
     asyncio.run(run())
 
 
-def text(folder: Path) -> str:
+def extras_text(folder: Path) -> str:
     return f'learned-state {{\n folder "{folder}"\n times period-ms=50 gap-ms=10\n}}\n'
 
 
-def test_the_program_takes_up_its_state_after_sigterm_and_after_sigkill(tmp_path: Path) -> None:
+def test_program_restores_its_state_after_sigterm_and_sigkill(tmp_path: Path) -> None:
     folder = tmp_path / "n0"
 
-    async def scene(proxy: Proxy, servers: list[SessionServer]) -> None:
+    async def scenario(proxy: Proxy, servers: list[SessionServer]) -> None:
         assert "start=nothing" in await proxy.logged("state-start")
         for number in (signal.SIGTERM, signal.SIGKILL, signal.SIGTERM):
             while not (folder / STATE).exists():
@@ -254,30 +252,30 @@
             assert "start=last-good" in line or "start=earlier-good" in line
             assert " servers=2 " in line
 
-    program(scene, text(folder))
+    run_program(scenario, extras_text(folder))
 
 
-def test_sighup_moves_the_folder(tmp_path: Path) -> None:
-    async def scene(proxy: Proxy, servers: list[SessionServer]) -> None:
+def test_sighup_changes_the_folder(tmp_path: Path) -> None:
+    async def scenario(proxy: Proxy, servers: list[SessionServer]) -> None:
         await proxy.logged("state-start")
-        proxy.write(text(tmp_path / "b"))
+        proxy.write(extras_text(tmp_path / "b"))
         proxy.send(signal.SIGHUP)
         await proxy.logged("state-moved")
         while not (tmp_path / "b" / STATE).exists():
             await asyncio.sleep(0.01)
         (tmp_path / "file").touch()
-        proxy.write(text(tmp_path / "file"))
+        proxy.write(extras_text(tmp_path / "file"))
         proxy.send(signal.SIGHUP)
         await proxy.logged("state-not-moved")
 
-    program(scene, text(tmp_path / "a"))
+    run_program(scenario, extras_text(tmp_path / "a"))
 
 
 def test_commands_show_check_and_compare_files(tmp_path: Path) -> None:
-    async def scene(site: Site) -> None:
+    async def scenario(site: StoreFixture) -> None:
         await site.until(lambda: site.store.save_count >= 3)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
     state, old, bad = tmp_path / STATE, tmp_path / OLD, tmp_path / "bad"
     bad.write_bytes(state.read_bytes()[:-1])
 
--- a/tests/lifecycle/test_control.py
+++ b/tests/lifecycle/test_control.py
@@ -7,7 +7,7 @@
 from martentide.codec.control import MOST_BODY, MOST_HEAD, ControlCall, Refused, Request
 from martentide.lifecycle.calls import IN_SERVICE, OUT_OF_SERVICE, READY
 
-GOOD = b"POST /control/out-of-service HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
+VALID = b"POST /control/out-of-service HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
 
 
 @pytest.mark.parametrize(
@@ -18,7 +18,7 @@
         (b"GET http://a/control/ready HTTP/1.1\r\nHost: a\r\n\r\n", Request(READY)),
         (b"HEAD /control/ready HTTP/1.1\r\nHost: a\r\n\r\n", Request(READY)),
         (b"GET /control/ready HTTP/1.0\r\n\r\n", Request(READY)),
-        (GOOD, Request(OUT_OF_SERVICE)),
+        (VALID, Request(OUT_OF_SERVICE)),
         (b"POST /control/in-service HTTP/1.1\r\nHost: a\r\n\r\n", Request(IN_SERVICE)),
         (
             b"POST /control/in-service HTTP/1.1\r\nHost: a\r\n"
@@ -40,12 +40,12 @@
         ),
     ],
 )
-def test_a_call_and_what_it_amounts_to(sent: bytes, said: Request | int) -> None:
+def test_call_is_parsed_or_refused(sent: bytes, said: Request | int) -> None:
     found = ControlCall().feed(sent)
     assert (found.status if isinstance(found, Refused) else found) == said
 
 
-def test_the_methods_that_a_path_takes_are_named() -> None:
+def test_wrong_method_is_answered_with_the_allowed_ones() -> None:
     call = ControlCall()
     refused = call.feed(b"PUT /control/in-service HTTP/1.1\r\nHost: a\r\n\r\n")
     assert isinstance(refused, Refused)
@@ -53,26 +53,26 @@
     assert answer.startswith(b"HTTP/1.1 405 ") and b"\r\nAllow: POST\r\n" in answer
 
 
-def test_every_split_of_a_good_call_is_the_same_call() -> None:
-    for cut in range(1, len(GOOD)):
+def test_valid_call_split_anywhere_is_parsed_alike() -> None:
+    for cut in range(1, len(VALID)):
         call = ControlCall()
-        assert call.feed(GOOD[:cut]) is None
-        assert call.feed(GOOD[cut:]) == Request(OUT_OF_SERVICE)
+        assert call.feed(VALID[:cut]) is None
+        assert call.feed(VALID[cut:]) == Request(OUT_OF_SERVICE)
     call = ControlCall()
-    said = [call.feed(GOOD[at : at + 1]) for at in range(len(GOOD))]
-    assert said == [None] * (len(GOOD) - 1) + [Request(OUT_OF_SERVICE)]
+    said = [call.feed(VALID[at : at + 1]) for at in range(len(VALID))]
+    assert said == [None] * (len(VALID) - 1) + [Request(OUT_OF_SERVICE)]
 
 
-def test_every_prefix_of_a_good_call_that_ends_there_is_turned_down() -> None:
-    for cut in range(1, len(GOOD)):
+def test_truncated_call_is_refused() -> None:
+    for cut in range(1, len(VALID)):
         call = ControlCall()
-        call.feed(GOOD[:cut])
+        call.feed(VALID[:cut])
         ended = call.feed(b"")
         assert isinstance(ended, Refused) and ended.status == 400
         assert call.answer(ended.status, ended.text).startswith(b"HTTP/1.1 400 ")
 
 
-def test_a_body_in_many_parts_has_its_bound_too() -> None:
+def test_chunked_body_is_limited_too() -> None:
     call = ControlCall()
     call.feed(b"POST /control/in-service HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n")
     chunk = b"100\r\n" + b"x" * 256 + b"\r\n"
@@ -81,7 +81,7 @@
     assert isinstance(said[-1], Refused) and said[-1].status == 413
 
 
-def test_an_answer_closes_the_connection_and_one_to_head_has_no_body() -> None:
+def test_answer_closes_the_connection_and_has_no_body_for_head() -> None:
     call = ControlCall()
     call.feed(b"HEAD /control/ready HTTP/1.1\r\nHost: a\r\n\r\n")
     answer = call.answer(200, "ready")
--- a/tests/lifecycle/test_machine.py
+++ b/tests/lifecycle/test_machine.py
@@ -38,13 +38,13 @@
 )
 
 
-class Orders(RuleBasedStateMachine):
+class ServiceLifecycle(RuleBasedStateMachine):
     """The host is played: it keeps what it was last told, and the timers it was asked to set."""
 
     def __init__(self) -> None:
         super().__init__()
         self.machine = StateMachine()
-        self.leaving = self.refusing = self.stopped = self.accepting = False
+        self.closing_idle = self.refusing = self.stopped = self.accepting = False
         self.timers: list[TimerExpired] = []
         self.calls = 0
 
@@ -53,7 +53,7 @@
         for action in actions:
             match action:
                 case LeaveLinks(on):
-                    self.leaving = on
+                    self.closing_idle = on
                 case RefuseSetUps(on):
                     self.refusing = on
                 case StopListening():
@@ -84,16 +84,16 @@
             assert self.machine.upgrade_peer is not UpgradePeer.PREDECESSOR
 
     @rule()
-    def successor_asks(self) -> None:
+    def successor_requests(self) -> None:
         self.calls += 1
         free = self.machine.listening and self.machine.upgrade_peer is UpgradePeer.NONE
-        said = [
+        replies = [
             one for one in self.feed(SuccessorRequested(self.calls)) if isinstance(one, WelcomeIt | TurnAway)
         ]
         if self.machine.phase is Phase.ENDED:
-            assert not said
+            assert not replies
         else:
-            assert [type(one) for one in said] == [WelcomeIt if free else TurnAway]
+            assert [type(one) for one in replies] == [WelcomeIt if free else TurnAway]
 
     @rule(event=st.sampled_from([SuccessorReady(), SuccessorReturnedListener(), SuccessorGone()]))
     def successor(self, event: SuccessorReady | SuccessorReturnedListener | SuccessorGone) -> None:
@@ -128,7 +128,7 @@
 
     @precondition(lambda self: self.timers)
     @rule(data=st.data())
-    def due(self, data: st.DataObject) -> None:
+    def timer_expires(self, data: st.DataObject) -> None:
         timer = data.draw(st.sampled_from(self.timers))
         self.timers.remove(timer)
         stale = timer.epoch != self.machine.epoch
@@ -136,17 +136,17 @@
         assert not (stale and actions)
 
     @rule()
-    def all_over(self) -> None:
+    def all_calls_ended(self) -> None:
         self.feed(AllCallsEnded())
 
     @invariant()
     def ready_only_in_service(self) -> None:
         assert self.machine.ready == (self.machine.phase is Phase.IN_SERVICE)
         if self.machine.ready:
-            assert self.machine.listening and not (self.leaving or self.refusing or self.stopped)
+            assert self.machine.listening and not (self.closing_idle or self.refusing or self.stopped)
 
     @invariant()
-    def one_of_two_accepts(self) -> None:
+    def one_process_accepts(self) -> None:
         """Nobody's connection waits for good: this process accepts, or the successor does, until the end."""
         if self.machine.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR:
             assert not self.accepting
@@ -154,21 +154,23 @@
             assert self.accepting
 
     @invariant()
-    def a_drain_and_a_stop_end(self) -> None:
+    def drain_and_stop_progress(self) -> None:
         """What is still to come leads on from every phase that must not last."""
         steps = {timer.kind for timer in self.timers if timer.epoch == self.machine.epoch}
         if self.machine.phase is Phase.DRAINING:
-            assert self.leaving or TimerKind.CLOSE_IDLE in steps
+            assert self.closing_idle or TimerKind.CLOSE_IDLE in steps
             assert self.refusing or TimerKind.REFUSE_SET_UPS in steps
         if self.machine.phase is Phase.STOPPING and not self.stopped:
             assert TimerKind.STOP_ACCEPTING in steps
 
 
-Orders.TestCase.settings = settings(max_examples=300, stateful_step_count=40, deadline=None, derandomize=True)
-TestOrders = Orders.TestCase
+ServiceLifecycle.TestCase.settings = settings(
+    max_examples=300, stateful_step_count=40, deadline=None, derandomize=True
+)
+TestServiceLifecycle = ServiceLifecycle.TestCase
 
 
-def test_a_stop_goes_its_way_to_the_end() -> None:
+def test_stop_runs_to_the_end() -> None:
     machine = StateMachine()
     machine.handle(Listening())
     (stop,) = [action.timer for action in machine.handle(Terminate()) if isinstance(action, SetDue)]
@@ -178,7 +180,7 @@
     assert machine.phase is Phase.ENDED
 
 
-def test_out_of_service_while_starting_holds_once_callers_could_be_served() -> None:
+def test_out_of_service_while_starting_stays_in_force_after_the_start() -> None:
     machine = StateMachine()
     machine.handle(OutOfService(1))
     machine.handle(Listening())
@@ -187,14 +189,14 @@
     assert machine.ready
 
 
-def test_told_to_end_beside_a_successor_it_moves_its_connections() -> None:
+def test_terminated_predecessor_moves_its_connections() -> None:
     machine = StateMachine()
     for event in (Listening(), SuccessorRequested(1), SuccessorReady()):
         machine.handle(event)
     assert MoveOut() in machine.handle(Terminate())
 
 
-def test_a_successor_that_takes_while_this_one_stops_gets_the_connections_too() -> None:
+def test_connections_move_to_a_successor_that_is_ready_during_the_stop() -> None:
     machine = StateMachine()
     for event in (Listening(), Terminate(), SuccessorRequested(1)):
         machine.handle(event)
--- a/tests/lifecycle/test_settings.py
+++ b/tests/lifecycle/test_settings.py
@@ -16,17 +16,17 @@
 from tests.net.support import SETTINGS as RAW
 from tests.support import SETTINGS, Bench, finals, sends
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "name": "n0", "listen": "127.0.0.1:0", "seed": "8c", "board": "127.0.0.1:9",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64}, "known": {"rev": 0, "notices": []},
     "settings": RAW,
 }  # fmt: skip
-ABOVE = "a number above 0"
+POSITIVE = "a number above 0"
 
 
 def with_value(path: str, value: str) -> str:
     """The good file with JSON text ``value`` in the place of what stands at ``path``."""
-    raw = copy.deepcopy(GOOD)
+    raw = copy.deepcopy(VALID)
     at: Any = raw["settings"]
     *steps, last = path.split(".")
     for step in steps:
@@ -45,13 +45,13 @@
 @pytest.mark.parametrize(
     ("path", "expected"),
     [
-        ("classes.0.deadline_ms", ABOVE),
-        ("classes.0.aim_ms", ABOVE),
-        ("classes.0.worth", ABOVE),
+        ("classes.0.deadline_ms", POSITIVE),
+        ("classes.0.aim_ms", POSITIVE),
+        ("classes.0.worth", POSITIVE),
         ("limits.max_attempts", "a whole number above 0"),
     ],
 )
-def test_a_figure_that_is_no_number_above_0(tmp_path: Path, path: str, expected: str, value: str) -> None:
+def test_value_that_is_not_a_positive_number(tmp_path: Path, path: str, expected: str, value: str) -> None:
     with pytest.raises(ConfigError) as caught:
         load(tmp_path, with_value(path, value))
     place = path.replace(".0.", "[0].")
@@ -60,27 +60,27 @@
 
 @pytest.mark.parametrize("value", ["NaN", "Infinity", "-Infinity", "1e999"])
 @pytest.mark.parametrize("path", ["classes.0.deadline_ms", "limits.max_attempts", "rules.cold_ms"])
-def test_figures_that_json_does_not_have(tmp_path: Path, path: str, value: str) -> None:
+def test_numbers_that_json_does_not_have(tmp_path: Path, path: str, value: str) -> None:
     with pytest.raises(ConfigError):
         load(tmp_path, with_value(path, value))
 
 
 @pytest.mark.parametrize("value", ["2.5", "1e3", "0.001"])
-def test_other_numbers_are_taken(tmp_path: Path, value: str) -> None:
+def test_other_numbers_are_accepted(tmp_path: Path, value: str) -> None:
     config = load(tmp_path, with_value("classes.0.deadline_ms", value))
     assert config.settings.classes[0].deadline == float(value)
 
 
-def test_a_file_cut_short_at_any_byte_is_turned_down(tmp_path: Path) -> None:
-    whole = json.dumps(GOOD)
+def test_truncated_file_is_rejected(tmp_path: Path) -> None:
+    whole = json.dumps(VALID)
     for cut in range(len(whole)):
         with pytest.raises(ConfigError):
             load(tmp_path, whole[:cut])
     assert load(tmp_path, whole).name == "n0"
 
 
-def test_a_class_named_twice_and_a_list_without_classes(tmp_path: Path) -> None:
-    twice = copy.deepcopy(GOOD)
+def test_duplicate_class_and_empty_class_list(tmp_path: Path) -> None:
+    twice = copy.deepcopy(VALID)
     twice["settings"]["classes"] *= 2
     with pytest.raises(ConfigError, match="found 'voice' a second time"):
         load(tmp_path, json.dumps(twice))
@@ -88,10 +88,10 @@
         load(tmp_path, with_value("classes", "[]"))
 
 
-def test_no_key_may_be_gone_that_the_running_file_had(tmp_path: Path) -> None:
-    running = load(tmp_path, json.dumps({**GOOD, "note": {"more": 1}}))
-    for path in sorted(key_paths({**GOOD, "known": None})):
-        raw = copy.deepcopy(GOOD)
+def test_key_missing_from_a_later_file_is_rejected(tmp_path: Path) -> None:
+    running = load(tmp_path, json.dumps({**VALID, "note": {"more": 1}}))
+    for path in sorted(key_paths({**VALID, "known": None})):
+        raw = copy.deepcopy(VALID)
         raw["note"] = {"more": 1}
         at: Any = raw
         *steps, last = path.replace("[]", "").split(".")
@@ -101,8 +101,8 @@
         with pytest.raises(ConfigError):
             check_keys(load(tmp_path, json.dumps(raw)), running)
     with pytest.raises(ConfigError, match=r"note\.more: missing, the running configuration has it"):
-        check_keys(load(tmp_path, json.dumps({**GOOD, "note": {}})), running)
-    more = copy.deepcopy(GOOD) | {"note": {"more": 2, "new": 3}}
+        check_keys(load(tmp_path, json.dumps({**VALID, "note": {}})), running)
+    more = copy.deepcopy(VALID) | {"note": {"more": 2, "new": 3}}
     more["settings"]["classes"].append({**RAW["classes"][0], "name": "second"})
     more["settings"]["extra"] = {**RAW["extra"], "pools_by_class": [[0], [0]]}
     check_keys(load(tmp_path, json.dumps(more)), running)
@@ -113,14 +113,14 @@
 ONCE = CallClass("once", 1.0, 2000.0, 9000.0, 0.2, Repeat.ONCE_ONLY, None)
 
 
-def other(**changes: Any) -> SettingsChanged:
+def changed_settings(**changes: Any) -> SettingsChanged:
     return SettingsChanged(replace(SETTINGS, **{"revision": 1, **changes}))
 
 
-def test_a_call_keeps_its_class_and_attempts_and_a_new_one_has_the_new() -> None:
+def test_open_call_keeps_its_class_and_attempts_after_a_change() -> None:
     bench = Bench()
     (first,) = sends(bench.offer(left=9000.0))
-    bench.feed(other(classes=(ONCE,), max_attempts=1))
+    bench.feed(changed_settings(classes=(ONCE,), max_attempts=1))
     bench.end(1, first.server, Ending.TIMED_OUT)
     # Its class is gone, and one attempt is all that there is now: not for this call.
     assert [send.ref for send in sends(bench.advance(2000.0))] == [1]
@@ -128,18 +128,18 @@
     assert finals(bench.end(2, second.server, Ending.TIMED_OUT)) == [Fail(2)]
 
 
-def test_a_call_that_may_not_be_repeated_under_its_own_settings_is_not_under_later_ones() -> None:
+def test_call_keeps_its_repeat_rule_after_a_change() -> None:
     bench = Bench()
-    bench.feed(other(classes=(ONCE,)))
+    bench.feed(changed_settings(classes=(ONCE,)))
     (first,) = sends(bench.offer(name="once"))
-    bench.feed(other(classes=(replace(ONCE, repeat=Repeat.HARMLESS),), revision=2))
+    bench.feed(changed_settings(classes=(replace(ONCE, repeat=Repeat.HARMLESS),), revision=2))
     assert finals(bench.end(1, first.server, Ending.TIMED_OUT)) == [Fail(1)]
 
 
-def test_peers_words_in_the_order_of_other_tenants_are_forgotten() -> None:
+def test_peer_messages_are_dropped_when_the_tenants_change() -> None:
     two = (Tenant("a", 1.0), Tenant("b", 1.0))
     bench = Bench(settings=replace(SETTINGS, tenants=two[:1], may_tell_peers=True))
     bench.feed(PeerMessage(1, b"\0\x05"))
-    bench.feed(other(tenants=two, may_tell_peers=True))
+    bench.feed(changed_settings(tenants=two, may_tell_peers=True))
     bench.advance(3000.0)
     assert set(bench.controller.inside_share) == {"a", "b"}
--- a/tests/lifecycle/test_wire.py
+++ b/tests/lifecycle/test_wire.py
@@ -40,7 +40,7 @@
 
 @settings(derandomize=True)
 @given(frames)
-def test_there_and_back(frame: Frame) -> None:
+def test_frames_round_trip(frame: Frame) -> None:
     assert read_frame(write_frame(frame)) == frame
 
 
@@ -53,14 +53,14 @@
         b'["MovedCalls",{"host":"a","standing":[],"owed":[["00"]]}]', b'[["Take"],{}]', b"\xff\xfe",
     ],
 )  # fmt: skip
-def test_what_is_no_frame(raw: bytes) -> None:
+def test_invalid_frames_are_rejected(raw: bytes) -> None:
     with pytest.raises(HandoverError):
         read_frame(raw)
 
 
 @settings(derandomize=True)
 @given(frames, st.data())
-def test_a_frame_that_is_cut_short_is_none(frame: Frame, data: st.DataObject) -> None:
+def test_truncated_frames_are_rejected(frame: Frame, data: st.DataObject) -> None:
     raw = write_frame(frame)
     with pytest.raises(HandoverError):
         read_frame(raw[: data.draw(st.integers(0, len(raw) - 1))])
--- a/tests/net/test_cli.py
+++ b/tests/net/test_cli.py
@@ -40,7 +40,7 @@
     ],
 )
 @pytest.mark.parametrize("command", ["serve", "check-config"])
-def test_a_bad_configuration_is_one_line(
+def test_invalid_configuration_is_reported_in_one_line(
     tmp_path: Path, command: str, text: str | None, message: str
 ) -> None:
     path = tmp_path / "config.json"
@@ -51,5 +51,5 @@
     assert done.stderr.count("\n") == 1 and message in done.stderr
 
 
-def test_no_configuration_named() -> None:
+def test_missing_configuration_path() -> None:
     assert run("serve").stderr == "martentide: PROXY_CONFIG: not set, and no --config given\n"
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -29,7 +29,7 @@
         ),  # it ended sooner than counts
     ],
 )
-def test_a_board_that_told_something_is_dialled_again_at_once(
+def test_reconnect_is_immediate_after_a_healthy_connection(
     monkeypatch: pytest.MonkeyPatch, told: bytes, lasts: float, pauses: list[tuple[float, float]]
 ) -> None:
     """Guards against a drain with a short grace that is told while nobody listens; ``lasts``: in s."""
@@ -42,7 +42,7 @@
 
     monkeypatch.setattr("martentide.net.discovery.random.uniform", uniform)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async def once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             server.close()
             await reader.readexactly(8)
@@ -58,17 +58,17 @@
                 await asyncio.sleep(0.01)
         task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert asked[: len(pauses)] == pauses
 
 
-def test_a_dial_that_finds_no_descriptor_asks_for_room(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shortage_of_descriptors_on_connect_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     met: list[OSError] = []
 
     async def refuse(*_: object) -> None:
         raise OSError(errno.EMFILE, "Too many open files")
 
-    async def play() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(asyncio, "open_connection", refuse)
         board = DiscoveryClient(Address("127.0.0.1", 1), 0, ("east",), 5.0, lambda notice: None, met.append)
         task = asyncio.create_task(board.run())
@@ -77,5 +77,5 @@
                 await asyncio.sleep(0.01)
         task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert [error.errno for error in met[:2]] == [errno.EMFILE] * 2
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -24,7 +24,7 @@
 READY, OUT, IN = "/control/ready", "/control/out-of-service", "/control/in-service"
 
 
-def passes(program: Program) -> bool:
+def health_check_passes(program: Program) -> bool:
     """What the front's test of the program says."""
     front = program.caller()
     front.send(Type.TEST, A, {Code.CAUSE: b"\0"})
@@ -33,17 +33,17 @@
     return passed
 
 
-def test_a_drain_ends_links_as_they_come_to_rest_and_none_that_has_a_call(tmp_path: Path) -> None:
+def test_drain_closes_idle_connections_and_none_with_a_call(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         idle, caller, open_one = program.caller(), program.caller("127.0.0.2"), program.caller("127.0.0.3")
         server = program.servers[0].accept()
-        assert passes(program) and program.call("GET", READY) == 200
+        assert health_check_passes(program) and program.call("GET", READY) == 200
         stand(caller, server)
         open_one.set_up(B)
         server.receive(Type.SET_UP)
         began = time.monotonic()
         assert program.call("POST", OUT) == 200
-        assert program.call("GET", READY) == 503 and not passes(program)
+        assert program.call("GET", READY) == 503 and not health_check_passes(program)
         late = program.caller("127.0.0.4")  # the front sends for a moment more
         stand(late, server, bytes(7) + b"\1")
         assert idle.closed() and time.monotonic() - began < 4.0
@@ -56,7 +56,7 @@
         assert program.call("POST", OUT) == 200  # as it is already
 
 
-def test_in_a_drain_that_has_settled_set_ups_are_refused_at_once(tmp_path: Path) -> None:
+def test_set_ups_late_in_a_drain_are_refused_at_once(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
         stand(caller, server)
@@ -66,18 +66,22 @@
         assert (refused := caller.receive()).type == Type.RELEASE and refused.cause() == 42
 
 
-def test_in_service_ends_a_drain_and_cancels_what_it_had_in_mind(tmp_path: Path) -> None:
+def test_in_service_ends_a_drain_and_cancels_its_later_steps(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.send(Type.TEST, A, {Code.CAUSE: b"\0"})  # no longer one that has brought nothing
         caller.receive(Type.TEST_RESULT)
         program.call("POST", OUT)
-        assert program.call("POST", IN) == 200 and program.call("GET", READY) == 200 and passes(program)
+        assert (
+            program.call("POST", IN) == 200
+            and program.call("GET", READY) == 200
+            and health_check_passes(program)
+        )
         time.sleep(2.2)  # past every step of the drain that was ended
         stand(caller, server)
 
 
-def test_while_stopping_the_operator_is_told_no(tmp_path: Path) -> None:
+def test_operator_calls_are_rejected_while_stopping(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
         stand(caller, server)
@@ -90,7 +94,7 @@
         assert program.process.wait(LIMIT) == 0
 
 
-def test_half_calls_and_silent_ones_neither_delay_nor_displace_whole_ones(tmp_path: Path) -> None:
+def test_incomplete_calls_neither_delay_nor_displace_complete_ones(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         half = []
         for at in range(100):  # more than there are descriptors for
@@ -106,7 +110,7 @@
         assert program.call("GET", READY) == 200
 
 
-def test_a_second_call_behind_the_first_harms_nothing(tmp_path: Path) -> None:
+def test_second_call_on_a_connection_is_ignored(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         sock = socket.create_connection(("127.0.0.1", program.operator), LIMIT)
         sock.sendall(
@@ -119,14 +123,14 @@
         assert program.call("GET", READY) == 200
 
 
-def test_without_an_address_there_is_no_operators_listener(tmp_path: Path) -> None:
+def test_without_an_operator_address_there_is_no_listener(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         stand(caller, server)
         assert not [line for line in program.log if "operator" in line]
 
 
-def retuned(program: Program, **changes: Any) -> str:
+def changed_settings(program: Program, **changes: Any) -> str:
     """The running file with other settings: a second class, and what is given."""
     raw = json.loads(program.config.read_text())
     first = raw["settings"]["classes"][0]
@@ -136,13 +140,13 @@
     return json.dumps(raw)
 
 
-def test_sighup_changes_settings_for_what_comes_and_not_for_what_is_open(tmp_path: Path) -> None:
+def test_sighup_changes_settings_for_new_calls_only(tmp_path: Path) -> None:
     with Program(tmp_path, servers=2) as program:
         caller = program.caller()
         servers = [listener.accept() for listener in program.servers]
         caller.set_up(A, left=9000)
         servers[0].receive(Type.SET_UP)
-        program.reload(retuned(program, max_attempts=1))
+        program.reload(changed_settings(program, max_attempts=1))
         program.logged("reloaded .*revision=1 settings=changed classes=voice,video")
         servers[0].release(A, 41)  # reset under the set-up, which had five attempts when it came
         assert servers[1].receive(Type.SET_UP).call == A
@@ -154,10 +158,10 @@
         assert (failed := caller.receive()).call == B and failed.cause() not in (16, 34, 42, 102)
 
 
-def test_a_bad_file_is_turned_down_whole_and_the_last_good_one_holds(tmp_path: Path) -> None:
+def test_invalid_file_is_rejected_and_the_last_valid_one_stays_in_force(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         board = program.board.accept()
-        good = retuned(program)
+        good = changed_settings(program)
         bad = good.replace(f":{program.board.port}", ":9")
         program.reload(bad.replace('"max_attempts": 5', '"max_attempts": 0'))
         program.logged(
@@ -175,7 +179,7 @@
         stand(program.caller(), program.servers[0].accept())
 
 
-def test_in_a_crowd_that_never_finishes_slow_callers_and_the_operator_are_served(tmp_path: Path) -> None:
+def test_slow_callers_and_the_operator_are_served_among_many_incomplete_set_ups(tmp_path: Path) -> None:
     """Half set-ups, at last on more connections than there are descriptors; one caller writes for 2 s."""
     with Program(tmp_path, operated=True) as program:
         server = program.servers[0].accept()
@@ -208,7 +212,7 @@
         assert not [line for line in program.log if "internal-error" in line or "Too many open" in line]
 
 
-def test_a_burst_of_connects_while_the_program_is_held_up_drops_none(tmp_path: Path) -> None:
+def test_burst_of_operator_connects_while_the_program_is_stopped(tmp_path: Path) -> None:
     """A connect that the system drops is tried again after a second, too late for an operator's answer."""
     with Program(tmp_path, operated=True) as program:
         program.process.send_signal(signal.SIGSTOP)
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -34,7 +34,7 @@
         new.kill()
 
 
-def stand_anew(program: Program, caller: Wire, call: bytes) -> None:
+def set_up_standing_call(program: Program, caller: Wire, call: bytes) -> None:
     """Set a call up over the one server connection that is left."""
     caller.set_up(call)
     while True:
@@ -85,7 +85,7 @@
             assert caller.receive(Type.RELEASE).call == C
 
 
-def test_who_connects_meanwhile_is_accepted_by_one_of_them(tmp_path: Path) -> None:
+def test_connections_during_an_upgrade_are_accepted_by_one_process(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         server = old.servers[0].accept()
         before = old.caller()
@@ -96,7 +96,7 @@
             stand(before, server, B)  # not told to end yet: its own connections go on
 
 
-def test_a_successor_that_dies_before_the_end_gives_all_back(tmp_path: Path) -> None:
+def test_predecessor_resumes_after_its_successor_dies(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
         stand(caller, server, A)
@@ -109,7 +109,7 @@
             assert new.call("GET", "/control/ready") == 200
 
 
-def test_a_successor_told_to_end_gives_the_listener_back(tmp_path: Path) -> None:
+def test_terminated_successor_returns_the_listener(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         server = old.servers[0].accept()
         with upgrade(old) as new:
@@ -119,7 +119,7 @@
             stand(old.caller(), server, A)
 
 
-def test_an_old_process_killed_in_the_hand_over_leaves_no_call_without_an_answer(tmp_path: Path) -> None:
+def test_calls_of_a_predecessor_killed_during_handover_are_answered(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
         caller.set_up(A, left=9000)
@@ -131,10 +131,10 @@
             old.kill()
             assert (failed := caller.receive()).type == Type.RELEASE and failed.cause() not in (16, 34, 42)
             new.logged("step=alone")
-            stand_anew(old, caller, B)
+            set_up_standing_call(old, caller, B)
 
 
-def test_two_upgrades_in_a_row_and_a_third_process_is_turned_away(tmp_path: Path) -> None:
+def test_consecutive_upgrades_and_rejection_of_a_third_process(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as first:
         caller, server = first.caller(), first.servers[0].accept()
         stand(caller, server, A)
@@ -155,10 +155,10 @@
                 second.logged("reason=handed-over")
                 assert second.process.wait(LIMIT) == 0
                 last.logged("step=alone")
-                stand_anew(first, caller, B)
+                set_up_standing_call(first, caller, B)
 
 
-def test_an_upgrade_in_a_drain_ends_in_service(tmp_path: Path) -> None:
+def test_upgrade_during_a_drain_ends_in_service(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
         stand(caller, server, A)
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize("kind", ["stale", "foreign", "folder"])
-def test_what_lies_at_the_meeting_place_does_not_keep_it_from_starting(tmp_path: Path, kind: str) -> None:
+def test_file_at_the_handover_socket_path_does_not_prevent_the_start(tmp_path: Path, kind: str) -> None:
     path = tmp_path / "martentide-127.0.0.1-0.sock"
     if kind == "stale":
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as dead:
@@ -187,14 +187,14 @@
 
 
 @pytest.mark.parametrize("name", ["missing", "x" * 120])
-def test_without_room_for_the_meeting_place_it_starts_as_ever(tmp_path: Path, name: str) -> None:
+def test_start_without_a_usable_handover_socket_path(tmp_path: Path, name: str) -> None:
     if name != "missing":
         (tmp_path / name).mkdir()
     with Program(tmp_path, operated=True, temporary=tmp_path / name) as program:
         stand(program.caller(), program.servers[0].accept())
 
 
-def test_another_version_is_turned_away(tmp_path: Path) -> None:
+def test_another_version_is_rejected(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         (path,) = handover_sockets(tmp_path)
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
@@ -205,8 +205,8 @@
         stand(program.caller(), program.servers[0].accept())
 
 
-def test_both_processes_have_one_budget_of_descriptors() -> None:
-    async def scene() -> None:
+def test_both_processes_share_one_limit_of_descriptors() -> None:
+    async def scenario() -> None:
         callers = Callers(100, lambda item: None)
         callers.beside(lambda left: None, 70)
         assert callers.client_connections.most == 30
@@ -215,11 +215,11 @@
         callers.orphaned()
         assert callers.client_connections.most == 100
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_connection_accepted_in_the_turn_of_the_yield_is_not_reset() -> None:
-    async def scene() -> None:
+def test_connection_accepted_in_the_loop_iteration_of_the_yield_is_not_reset() -> None:
+    async def scenario() -> None:
         offers: list[object] = []
         callers = Callers(100, offers.append)
         callers.bind(Address("127.0.0.1", 0))
@@ -238,11 +238,11 @@
                 assert await loop.sock_recv(caller, 100)
         callers.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_frames_that_nobody_takes_wait_in_the_system_and_come_in_order() -> None:
-    async def scene() -> None:
+def test_unprocessed_frames_stay_in_the_kernel_and_arrive_in_order() -> None:
+    async def scenario() -> None:
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         one, other = Channel(ends[0], "successor"), Channel(ends[1], "predecessor")
         sent = [Left("a", at.to_bytes(8, "big")) for at in range(3 * MAX_RECEIVED_FRAMES)]
@@ -256,4 +256,4 @@
         one.close()
         other.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -25,7 +25,7 @@
 from tests.net.test_gone_clients import GOES, A, B
 from tests.net.test_rules_on_sockets import stand
 
-LEFT = 2000  # ms that the callers of these tests wait
+TIME_LEFT = 2000  # ms that the callers of these tests wait
 PROGRESS = 6
 SMALL_BUFFER = 4096  # bytes in the system for a peer that reads nothing
 
@@ -39,12 +39,12 @@
         new.kill()
 
 
-def told_time(set_up: Message) -> int:
+def time_left_sent(set_up: Message) -> int:
     """The ms that a session server was told the attempt has."""
     return int(set_up.text(Code.TIME_LEFT) or "")
 
 
-def ends_without_answer(caller: Wire, call: bytes) -> None:
+def assert_released(caller: Wire, call: bytes) -> None:
     final = caller.receive(Type.ANSWER, Type.RELEASE)
     assert (final.type, final.call) == (Type.RELEASE, call)
 
@@ -52,26 +52,26 @@
 # ---- the time of an answer ------------------------------------------------------------------------------
 
 
-def test_an_attempt_that_nobody_answers_ends_while_its_caller_waits(tmp_path: Path) -> None:
+def test_unanswered_attempt_ends_before_its_caller_gives_up(tmp_path: Path) -> None:
     """Guards against a final answer that meets its caller's give-up: a request lost at each time-out."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        caller.set_up(A, left=LEFT)
-        assert told_time(server.receive(Type.SET_UP)) <= LEFT - ANSWER_AHEAD
-        ends_without_answer(caller, A)
+        caller.set_up(A, left=TIME_LEFT)
+        assert time_left_sent(server.receive(Type.SET_UP)) <= TIME_LEFT - ANSWER_AHEAD
+        assert_released(caller, A)
 
 
-def test_an_attempt_ends_in_time_in_both_processes_of_an_upgrade(tmp_path: Path) -> None:
+def test_attempts_end_in_time_in_both_processes_of_an_upgrade(tmp_path: Path) -> None:
     """One call is out in the old process as its caller's connection moves, one is offered to the new one."""
     with Program(tmp_path, operated=True) as old:
         moved, server = old.caller(), old.servers[0].accept()
-        moved.set_up(A, left=LEFT)
-        assert told_time(server.receive(Type.SET_UP)) <= LEFT - ANSWER_AHEAD
+        moved.set_up(A, left=TIME_LEFT)
+        assert time_left_sent(server.receive(Type.SET_UP)) <= TIME_LEFT - ANSWER_AHEAD
         with upgrade(old):
             old.terminate()
             old.logged("reason=handed-over")
             fresh = old.servers[0].accept()
-            moved.set_up(B, left=LEFT)
+            moved.set_up(B, left=TIME_LEFT)
             while True:  # the first connection may be the old process's second one, beside its silent one
                 try:
                     fresh.sock.settimeout(0.2)
@@ -79,16 +79,16 @@
                     break
                 except TimeoutError:
                     fresh = old.servers[0].accept()
-            assert set_up.call == B and told_time(set_up) <= LEFT - ANSWER_AHEAD
-            ends_without_answer(moved, A)
-            ends_without_answer(moved, B)
+            assert set_up.call == B and time_left_sent(set_up) <= TIME_LEFT - ANSWER_AHEAD
+            assert_released(moved, A)
+            assert_released(moved, B)
 
 
 # ---- the caller -----------------------------------------------------------------------------------------
 
 
 @GOES
-def test_a_caller_that_leaves_at_the_successor_has_left_its_attempt(
+def test_caller_gone_at_the_successor_cancels_its_attempt(
     tmp_path: Path, goes: Callable[[Wire], None]
 ) -> None:
     with Program(tmp_path, operated=True) as old:
@@ -105,7 +105,7 @@
 
 
 @GOES
-def test_a_caller_that_leaves_in_the_turn_of_the_hand_over_has_left_its_attempt(
+def test_caller_gone_in_the_loop_iteration_of_the_handover_cancels_its_attempt(
     tmp_path: Path, goes: Callable[[Wire], None]
 ) -> None:
     """Its last bytes and SIGTERM come while the old process stands still; either may be taken first."""
@@ -125,13 +125,13 @@
 # ---- one link, by itself --------------------------------------------------------------------------------
 
 
-class Moving:
+class MovingClient:
     """A party with one connection that is to move to a successor, which is a list here."""
 
-    async def __aenter__(self) -> Moving:
-        self.told: list[object] = []
-        self.moved: list[MovedLink] = []
-        self.callers = Callers(16, self.told.append)
+    async def __aenter__(self) -> MovingClient:
+        self.posted: list[object] = []
+        self.moved_frames: list[MovedLink] = []
+        self.callers = Callers(16, self.posted.append)
         accepted: asyncio.Future[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Future()
         self.server = await asyncio.start_server(
             lambda *streams: accepted.set_result(streams), "127.0.0.1", 0
@@ -144,7 +144,7 @@
         await asyncio.get_running_loop().sock_connect(peer, self.server.sockets[0].getsockname())
         self.reader, self.writer = await asyncio.open_connection(sock=peer, limit=1)
         self.callers._party("127.0.0.1").welcome(*await accepted)
-        await self.until(lambda: bool(self.client_connections.open))
+        await self.wait_until(lambda: bool(self.client_connections.open))
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -152,7 +152,7 @@
         self.server.close()
         for link in list(self.client_connections.open):
             link.close(CloseReason.SHUTDOWN)
-        await self.until(lambda: not self.callers.parties)
+        await self.wait_until(lambda: not self.callers.parties)
 
     @property
     def client_connections(self) -> ClientConnections:
@@ -163,12 +163,12 @@
         return next(iter(self.client_connections.open))
 
     def move_out(self) -> None:
-        self.callers.yield_to(lambda frame, _: self.moved.append(frame))  # type: ignore[arg-type]
+        self.callers.yield_to(lambda frame, _: self.moved_frames.append(frame))  # type: ignore[arg-type]
         self.callers.move_out()
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(LIMIT):
-            while not holds():
+            while not condition():
                 await asyncio.sleep(0.001)
 
 
@@ -177,39 +177,39 @@
     answer = write_message(Type.ANSWER, A, {Code.DESCRIPTION: bytes(8000)})
     count = 20
 
-    async def play() -> None:
-        async with Moving() as moving:
-            link = moving.link
+    async def scenario() -> None:
+        async with MovingClient() as client:
+            link = client.link
             for _ in range(count):
                 link.write(answer)
             assert link.blocked
-            moving.move_out()
+            client.move_out()
             await asyncio.sleep(0.05)  # nothing may happen, however long this is below the limit
-            assert not moving.moved and link.alive
+            assert not client.moved_frames and link.alive
             read = bytearray()
             while len(read) < count * len(answer):
-                read += await moving.reader.read(65536)
+                read += await client.reader.read(65536)
             assert len(list(split(read))) == count and not read
-            await moving.until(lambda: bool(moving.moved))
+            await client.wait_until(lambda: bool(client.moved_frames))
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_give_up_on_a_paused_link_stays_in_the_system_for_the_successor() -> None:
-    async def play() -> None:
-        async with Moving() as moving:
-            link = moving.link
+def test_give_up_on_a_paused_connection_stays_in_the_kernel_for_the_successor() -> None:
+    async def scenario() -> None:
+        async with MovingClient() as client:
+            link = client.link
             with socket.socket(fileno=socket.dup(link.descriptor)) as successor:
                 link.pause()
                 give_up = write_release(A, Cause.NORMAL)
-                moving.writer.write(give_up)
-                await moving.until(lambda: link._in_the_system() == len(give_up))
-                moving.move_out()
-                await moving.until(lambda: bool(moving.moved))
-                assert moving.moved[0].begun == b"" and not moving.told
+                client.writer.write(give_up)
+                await client.wait_until(lambda: link._in_the_system() == len(give_up))
+                client.move_out()
+                await client.wait_until(lambda: bool(client.moved_frames))
+                assert client.moved_frames[0].begun == b"" and not client.posted
                 assert successor.recv(1024) == give_up
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 # ---- signals at each step -------------------------------------------------------------------------------
@@ -217,7 +217,7 @@
 STEPS = ("welcomed", "yielded", "moving", "handed-over")
 
 
-def at_step(old: Program, step: str) -> Program:
+def start_successor_at(old: Program, step: str) -> Program:
     """A second process, with the first one at that step of the hand-over or a little later."""
     if step in ("moving", "handed-over"):
         new = old.beside()
@@ -229,7 +229,7 @@
     return process
 
 
-def final_or_end(caller: Wire) -> Message | None:
+def final_answer_or_end(caller: Wire) -> Message | None:
     """The final answer, or None where the connection ended: the caller is not left waiting."""
     try:
         return caller.receive(Type.ANSWER, Type.RELEASE)
@@ -237,7 +237,7 @@
         return None
 
 
-def serves(program: Program, host: str) -> None:
+def assert_serves(program: Program, host: str) -> None:
     """A new connection is served, by whichever process is left."""
     caller = program.caller(host)
     caller.send(Type.TEST, B, {Code.CAUSE: b"\0"})
@@ -247,7 +247,7 @@
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("which", ["old", "new"])
 @pytest.mark.parametrize("how", [signal.SIGTERM, signal.SIGKILL])
-def test_a_signal_at_a_step_of_the_hand_over_leaves_no_caller_waiting(
+def test_signal_at_a_handover_step_leaves_no_caller_waiting(
     tmp_path: Path, step: str, which: str, how: signal.Signals
 ) -> None:
     with Program(tmp_path, operated=True) as old:
@@ -255,7 +255,7 @@
         caller.set_up(A, left=9000)
         server.receive(Type.SET_UP)
         server.send(PROGRESS, A)
-        new = at_step(old, step)
+        new = start_successor_at(old, step)
         try:
             ended, left = (old, new) if which == "old" else (new, old)
             ended.process.send_signal(how)
@@ -263,16 +263,16 @@
                 ended.process.wait()
             else:
                 server.send(Type.ANSWER, A, {Code.DESCRIPTION: b"a"})
-            final = final_or_end(caller)
+            final = final_answer_or_end(caller)
             if how is signal.SIGTERM and which == "old":
                 assert final is not None and final.type == Type.ANSWER
             if step in ("welcomed", "yielded") or which == "old":
-                serves(left, "127.0.0.2")
+                assert_serves(left, "127.0.0.2")
         finally:
             new.kill()
 
 
-def test_a_connection_is_refused_by_nobody_while_signals_cross(tmp_path: Path) -> None:
+def test_connection_made_while_both_processes_are_stopped_is_accepted(tmp_path: Path) -> None:
     """Who connects while both stand still is accepted by one of them, once they go on."""
     with Program(tmp_path, operated=True) as old:
         server = old.servers[0].accept()
--- a/tests/test_paced_start.py
+++ b/tests/test_paced_start.py
@@ -12,7 +12,7 @@
 from martentide.paced_start import CPU_SLICE, PacedImports, predecessor_may_serve
 
 
-def test_imports_pause_for_the_processor_time_that_they_used() -> None:
+def test_imports_pause_for_the_processor_time_used() -> None:
     clock = [0.0]
     pauses: list[float] = []
     pacing = PacedImports(lambda: clock[0], pauses.append)
@@ -22,7 +22,7 @@
     assert pauses == [pytest.approx(CPU_SLICE * 4)]
 
 
-def test_it_begins_and_ends() -> None:
+def test_install_and_uninstall() -> None:
     pacing = PacedImports()
     pacing.install()
     assert sys.meta_path[0] is pacing
@@ -31,7 +31,7 @@
     assert pacing not in sys.meta_path
 
 
-def test_a_handover_socket_is_what_tells_of_a_predecessor(tmp_path: Path) -> None:
+def test_handover_socket_indicates_a_predecessor(tmp_path: Path) -> None:
     assert not predecessor_may_serve({})
     assert not predecessor_may_serve({"TMPDIR": str(tmp_path / "none")})
     environment = {"TMPDIR": str(tmp_path)}
