--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -1,4 +1,4 @@
-"""The store on a real disk: in the process under test, and in the real program."""
+"""The store of learned state on a real disk, in this process and in the real program."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 class IdleServer:
-    """A server's actor that does nothing."""
+    """A server actor that ignores every item."""
 
     def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
         pass
 
 
 class StoreFixture:
-    """A store beside a dispatcher that has ``servers``; ``touch`` makes something worth saving."""
+    """A store and a dispatcher with ``servers``; ``change_state`` makes a change that is to be saved."""
 
     def __init__(self, folder: Path, servers: int = 2) -> None:
         self.dispatcher = Dispatcher(Controller(SETTINGS, 1), lambda listed, dispatcher: IdleServer(), 10)
@@ -60,17 +60,17 @@
 
 def run_scenario(folder: Path, scenario: Callable[[StoreFixture], Awaitable[None]], servers: int = 2) -> None:
     async def run() -> None:
-        site = StoreFixture(folder, servers)
-        await site.store.start()
-        task = asyncio.create_task(site.store.run())
+        fixture = StoreFixture(folder, servers)
+        await fixture.store.start()
+        task = asyncio.create_task(fixture.store.run())
         try:
-            await scenario(site)
+            await scenario(fixture)
         finally:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-            await site.store.stop()
-            if site.store.folder is not None:
-                site.store.folder.close()
+            await fixture.store.stop()
+            if fixture.store.folder is not None:
+                fixture.store.folder.close()
 
     asyncio.run(run())
 
@@ -83,25 +83,25 @@
 def test_changes_are_saved_and_the_last_one_at_shutdown(tmp_path: Path) -> None:
     last = 0.0
 
-    async def scenario(site: StoreFixture) -> None:
+    async def scenario(fixture: StoreFixture) -> None:
         nonlocal last
-        await site.until(lambda: site.store.save_count >= 2)
-        site.change_state()
-        last = site.last_wait
+        await fixture.until(lambda: fixture.store.save_count >= 2)
+        fixture.change_state()
+        last = fixture.last_wait
 
     run_scenario(tmp_path, scenario)
     assert saved_wait(tmp_path) == last and (tmp_path / OLD).exists()
 
 
 def test_unchanged_state_is_not_written_again(tmp_path: Path) -> None:
-    async def scenario(site: StoreFixture) -> None:
-        await site.until(lambda: site.store.save_count >= 1)
+    async def scenario(fixture: StoreFixture) -> None:
+        await fixture.until(lambda: fixture.store.save_count >= 1)
         async with asyncio.timeout(LIMIT):
-            await site.store.idle.wait()
-        before = site.store.snapshots.sequence
-        while site.store.snapshots.sequence < before + 4:
+            await fixture.store.idle.wait()
+        before = fixture.store.snapshots.sequence
+        while fixture.store.snapshots.sequence < before + 4:
             await asyncio.sleep(0.005)
-        assert site.store.save_count <= 2
+        assert fixture.store.save_count <= 2
 
     run_scenario(tmp_path, scenario)
 
@@ -111,20 +111,20 @@
 def test_failed_save_is_retried_and_the_previous_state_stays(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, number: int
 ) -> None:
-    async def scenario(site: StoreFixture) -> None:
-        await site.until(lambda: site.store.save_count >= 1)
+    async def scenario(fixture: StoreFixture) -> None:
+        await fixture.until(lambda: fixture.store.save_count >= 1)
 
         def fail(*_: object, **__: object) -> int:
             raise OSError(number, os.strerror(number))
 
         with monkeypatch.context() as patch:
             patch.setattr(f"martentide.net.learned.os.{call}", fail)
-            await site.until(lambda: site.store.pacing.failures >= 2)
+            await fixture.until(lambda: fixture.store.pacing.failures >= 2)
         good = [name for name in (STATE, OLD) if (tmp_path / name).exists()]
         assert good and read_state((tmp_path / good[0]).read_bytes(), None)
-        done = site.store.save_count
-        await site.until(lambda: site.store.save_count > done)
-        assert site.store.pacing.failures == 0
+        done = fixture.store.save_count
+        await fixture.until(lambda: fixture.store.save_count > done)
+        assert fixture.store.pacing.failures == 0
 
     run_scenario(tmp_path, scenario)
 
@@ -139,16 +139,16 @@
         free.wait(LIMIT)
         real(fd)
 
-    async def scenario(site: StoreFixture) -> None:
-        await site.until(lambda: site.store.save_count >= 1)
+    async def scenario(fixture: StoreFixture) -> None:
+        await fixture.until(lambda: fixture.store.save_count >= 1)
         monkeypatch.setattr("martentide.net.learned.os.fsync", hang)
-        await site.until(lambda: site.store.pacing.hang_said)
-        before = site.last_wait
-        await site.until(lambda: site.last_wait > before + 20)  # the loop goes on
+        await fixture.until(lambda: fixture.store.pacing.hang_said)
+        before = fixture.last_wait
+        await fixture.until(lambda: fixture.last_wait > before + 20)  # the event loop still runs
         free.set()
         monkeypatch.setattr("martentide.net.learned.os.fsync", real)
-        done = site.store.save_count
-        await site.until(lambda: site.store.save_count > done + 1)
+        done = fixture.store.save_count
+        await fixture.until(lambda: fixture.store.save_count > done + 1)
 
     run_scenario(tmp_path, scenario)
 
@@ -164,8 +164,8 @@
     monkeypatch.setattr("martentide.net.learned.os.makedirs", hang)
     monkeypatch.setattr("martentide.net.learned.OPEN_TIMEOUT", 0.05)
 
-    async def scenario(site: StoreFixture) -> None:
-        assert site.store.folder is None
+    async def scenario(fixture: StoreFixture) -> None:
+        assert fixture.store.folder is None
         free.set()
 
     run_scenario(tmp_path, scenario)
@@ -175,19 +175,19 @@
     folder, other = tmp_path / "state", tmp_path / "other"
     other.mkdir()
 
-    async def scenario(site: StoreFixture) -> None:
-        await site.until(lambda: site.store.save_count >= 1)
+    async def scenario(fixture: StoreFixture) -> None:
+        await fixture.until(lambda: fixture.store.save_count >= 1)
         folder.rename(tmp_path / "moved")
         folder.symlink_to(other)
-        await site.until(lambda: site.store.pacing.failures >= 1)
+        await fixture.until(lambda: fixture.store.pacing.failures >= 1)
         assert not any(other.iterdir())
 
     run_scenario(folder, scenario)
 
 
 def test_second_store_on_a_locked_folder_is_off(tmp_path: Path) -> None:
-    async def scenario(site: StoreFixture) -> None:
-        await site.until(lambda: site.store.save_count >= 1)
+    async def scenario(fixture: StoreFixture) -> None:
+        await fixture.until(lambda: fixture.store.save_count >= 1)
         second = StoreFixture(tmp_path)
         assert await second.store.start() is None and second.store.folder is None
 
@@ -198,16 +198,16 @@
     (tmp_path / STATE).touch()
     os.truncate(tmp_path / STATE, 1 << 30)
 
-    async def scenario(site: StoreFixture) -> None:
-        await site.until(lambda: site.store.save_count >= 1)
+    async def scenario(fixture: StoreFixture) -> None:
+        await fixture.until(lambda: fixture.store.save_count >= 1)
 
     run_scenario(tmp_path, scenario)
     assert saved_wait(tmp_path) > 0
 
 
 def test_five_thousand_servers_are_saved(tmp_path: Path) -> None:
-    async def scenario(site: StoreFixture) -> None:
-        await site.until(lambda: site.store.save_count >= 1)
+    async def scenario(fixture: StoreFixture) -> None:
+        await fixture.until(lambda: fixture.store.save_count >= 1)
 
     run_scenario(tmp_path, scenario, servers=5_000)
     assert len(read_state((tmp_path / STATE).read_bytes(), None).servers) == 5_000
@@ -272,8 +272,8 @@
 
 
 def test_commands_show_check_and_compare_files(tmp_path: Path) -> None:
-    async def scenario(site: StoreFixture) -> None:
-        await site.until(lambda: site.store.save_count >= 3)
+    async def scenario(fixture: StoreFixture) -> None:
+        await fixture.until(lambda: fixture.store.save_count >= 3)
 
     run_scenario(tmp_path, scenario)
     state, old, bad = tmp_path / STATE, tmp_path / OLD, tmp_path / "bad"
--- a/tests/lifecycle/test_control.py
+++ b/tests/lifecycle/test_control.py
@@ -1,4 +1,4 @@
-"""The operator's calls as bytes: one table, and a good call cut and split in every way."""
+"""Parsing of operator calls: a table of requests, and a valid call split and truncated at every byte."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "said"),
+    ("sent", "expected"),
     [
         (b"GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n", Request(READY)),
         (b"GET /control/ready?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", Request(READY)),
@@ -40,9 +40,9 @@
         ),
     ],
 )
-def test_call_is_parsed_or_refused(sent: bytes, said: Request | int) -> None:
+def test_call_is_parsed_or_refused(sent: bytes, expected: Request | int) -> None:
     found = ControlCall().feed(sent)
-    assert (found.status if isinstance(found, Refused) else found) == said
+    assert (found.status if isinstance(found, Refused) else found) == expected
 
 
 def test_wrong_method_is_answered_with_the_allowed_ones() -> None:
@@ -59,8 +59,8 @@
         assert call.feed(VALID[:cut]) is None
         assert call.feed(VALID[cut:]) == Request(OUT_OF_SERVICE)
     call = ControlCall()
-    said = [call.feed(VALID[at : at + 1]) for at in range(len(VALID))]
-    assert said == [None] * (len(VALID) - 1) + [Request(OUT_OF_SERVICE)]
+    results = [call.feed(VALID[at : at + 1]) for at in range(len(VALID))]
+    assert results == [None] * (len(VALID) - 1) + [Request(OUT_OF_SERVICE)]
 
 
 def test_truncated_call_is_refused() -> None:
@@ -76,9 +76,9 @@
     call = ControlCall()
     call.feed(b"POST /control/in-service HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n")
     chunk = b"100\r\n" + b"x" * 256 + b"\r\n"
-    said = [call.feed(chunk) for _ in range(MOST_BODY // 256 + 1)]
-    assert said[:-1] == [None] * (MOST_BODY // 256)
-    assert isinstance(said[-1], Refused) and said[-1].status == 413
+    results = [call.feed(chunk) for _ in range(MOST_BODY // 256 + 1)]
+    assert results[:-1] == [None] * (MOST_BODY // 256)
+    assert isinstance(results[-1], Refused) and results[-1].status == 413
 
 
 def test_answer_closes_the_connection_and_has_no_body_for_head() -> None:
--- a/tests/lifecycle/test_settings.py
+++ b/tests/lifecycle/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that a running program may be given: what is turned down, whole and with its place."""
+"""Validation of settings, whose errors name the key, and changes of settings at run time."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def with_value(path: str, value: str) -> str:
-    """The good file with JSON text ``value`` in the place of what stands at ``path``."""
+    """Return the valid file with the JSON text ``value`` at ``path``."""
     raw = copy.deepcopy(VALID)
     at: Any = raw["settings"]
     *steps, last = path.split(".")
@@ -108,7 +108,7 @@
     check_keys(load(tmp_path, json.dumps(more)), running)
 
 
-# ---- the decisions --------------------------------------------------------------------------------------
+# ---- changes at run time --------------------------------------------------------------------------------
 
 ONCE = CallClass("once", 1.0, 2000.0, 9000.0, 0.2, Repeat.ONCE_ONLY, None)
 
@@ -122,7 +122,7 @@
     (first,) = sends(bench.offer(left=9000.0))
     bench.feed(changed_settings(classes=(ONCE,), max_attempts=1))
     bench.end(1, first.server, Ending.TIMED_OUT)
-    # Its class is gone, and one attempt is all that there is now: not for this call.
+    # The class was removed and the limit is now one attempt; neither applies to an open call.
     assert [send.ref for send in sends(bench.advance(2000.0))] == [1]
     (second,) = sends(bench.offer(name="once"))
     assert finals(bench.end(2, second.server, Ending.TIMED_OUT)) == [Fail(2)]
--- a/tests/lifecycle/test_wire.py
+++ b/tests/lifecycle/test_wire.py
@@ -1,4 +1,4 @@
-"""The frames of an upgrade: the way there and back, and what is no frame."""
+"""Encoding and decoding of upgrade frames, and rejection of invalid ones."""
 
 from __future__ import annotations
 
--- a/tests/net/test_cli.py
+++ b/tests/net/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, as a person types it."""
+"""The command line: version, configuration check and errors."""
 
 from __future__ import annotations
 
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list's actor by itself: which pause it takes before it dials again."""
+"""The discovery client: its delays before reconnecting and its report of a shortage of descriptors."""
 
 from __future__ import annotations
 
@@ -13,31 +13,25 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "lasts", "pauses"),
+    ("sent", "min_lifetime", "delays"),
     [
-        (
-            frame(1, 0),
-            0.0,
-            [FAST_RECONNECT_DELAY, RECONNECT_DELAY, RECONNECT_DELAY],
-        ),  # then nobody listens any more
+        # A healthy connection; the later connects fail, since nobody listens.
+        (frame(1, 0), 0.0, [FAST_RECONNECT_DELAY, RECONNECT_DELAY, RECONNECT_DELAY]),
         (b"", 0.0, [RECONNECT_DELAY, RECONNECT_DELAY, RECONNECT_DELAY]),
         (frame(1, 0)[:5], 0.0, [RECONNECT_DELAY, RECONNECT_DELAY, RECONNECT_DELAY]),
-        (
-            frame(1, 0),
-            60.0,
-            [RECONNECT_DELAY, RECONNECT_DELAY, RECONNECT_DELAY],
-        ),  # it ended sooner than counts
+        # A connection that ended before the minimum lifetime.
+        (frame(1, 0), 60.0, [RECONNECT_DELAY, RECONNECT_DELAY, RECONNECT_DELAY]),
     ],
 )
 def test_reconnect_is_immediate_after_a_healthy_connection(
-    monkeypatch: pytest.MonkeyPatch, told: bytes, lasts: float, pauses: list[tuple[float, float]]
+    monkeypatch: pytest.MonkeyPatch, sent: bytes, min_lifetime: float, delays: list[tuple[float, float]]
 ) -> None:
-    """Guards against a drain with a short grace that is told while nobody listens; ``lasts``: in s."""
-    monkeypatch.setattr("martentide.net.discovery.MIN_LIFETIME", lasts)
-    asked: list[tuple[float, float]] = []
+    """Guards against missing a drain with a short grace while disconnected; ``min_lifetime`` is in s."""
+    monkeypatch.setattr("martentide.net.discovery.MIN_LIFETIME", min_lifetime)
+    drawn: list[tuple[float, float]] = []
 
     def uniform(least: float, most: float) -> float:
-        asked.append((least, most))
+        drawn.append((least, most))
         return 0.0
 
     monkeypatch.setattr("martentide.net.discovery.random.uniform", uniform)
@@ -46,36 +40,38 @@
         async def once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             server.close()
             await reader.readexactly(8)
-            writer.write(told)
+            writer.write(sent)
             writer.close()
 
         server = await asyncio.start_server(once, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
-        board = DiscoveryClient(Address(host, port), 0, ("east",), 5.0, lambda notice: None)
-        task = asyncio.create_task(board.run())
+        client = DiscoveryClient(Address(host, port), 0, ("east",), 5.0, lambda notice: None)
+        task = asyncio.create_task(client.run())
         async with asyncio.timeout(10):
-            while len(asked) < len(pauses):
+            while len(drawn) < len(delays):
                 await asyncio.sleep(0.01)
         task.cancel()
 
     asyncio.run(scenario())
-    assert asked[: len(pauses)] == pauses
+    assert drawn[: len(delays)] == delays
 
 
 def test_shortage_of_descriptors_on_connect_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    met: list[OSError] = []
+    reported: list[OSError] = []
 
     async def refuse(*_: object) -> None:
         raise OSError(errno.EMFILE, "Too many open files")
 
     async def scenario() -> None:
         monkeypatch.setattr(asyncio, "open_connection", refuse)
-        board = DiscoveryClient(Address("127.0.0.1", 1), 0, ("east",), 5.0, lambda notice: None, met.append)
-        task = asyncio.create_task(board.run())
+        client = DiscoveryClient(
+            Address("127.0.0.1", 1), 0, ("east",), 5.0, lambda notice: None, reported.append
+        )
+        task = asyncio.create_task(client.run())
         async with asyncio.timeout(10):
-            while len(met) < 2:
+            while len(reported) < 2:
                 await asyncio.sleep(0.01)
         task.cancel()
 
     asyncio.run(scenario())
-    assert [error.errno for error in met[:2]] == [errno.EMFILE] * 2
+    assert [error.errno for error in reported[:2]] == [errno.EMFILE] * 2
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -1,4 +1,4 @@
-"""What the operators' staff do with the started program, on real sockets: one test for each rule."""
+"""Operation of the running program on real sockets: drains, operator calls, reloads, many connections."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def health_check_passes(program: Program) -> bool:
-    """What the front's test of the program says."""
+    """Return the result of a health check like the one that a front makes."""
     front = program.caller()
     front.send(Type.TEST, A, {Code.CAUSE: b"\0"})
     passed = front.receive(Type.TEST_RESULT).cause() == 1
@@ -44,16 +44,16 @@
         began = time.monotonic()
         assert program.call("POST", OUT) == 200
         assert program.call("GET", READY) == 503 and not health_check_passes(program)
-        late = program.caller("127.0.0.4")  # the front sends for a moment more
+        late = program.caller("127.0.0.4")  # the front still sends for a moment
         stand(late, server, bytes(7) + b"\1")
         assert idle.closed() and time.monotonic() - began < 4.0
         server.send(Type.ANSWER, B, {Code.DESCRIPTION: b"x"})
         assert open_one.receive().type == Type.ANSWER
         server.release(B, 16)
         assert open_one.receive().type == Type.RELEASE and open_one.closed()
-        server.release(A, 16)  # only now: the call stood all the time, and its caller hears of its end
+        server.release(A, 16)  # the standing call stayed, and its caller gets its release
         assert caller.receive().type == Type.RELEASE and caller.closed()
-        assert program.call("POST", OUT) == 200  # as it is already
+        assert program.call("POST", OUT) == 200  # repeating the call is allowed
 
 
 def test_set_ups_late_in_a_drain_are_refused_at_once(tmp_path: Path) -> None:
@@ -61,7 +61,7 @@
         caller, server = program.caller(), program.servers[0].accept()
         stand(caller, server)
         program.call("POST", OUT)
-        time.sleep(2.2)  # set-ups taken now would be young at 4 s
+        time.sleep(2.2)  # past the part of a drain in which set-ups are accepted
         caller.set_up(B)
         assert (refused := caller.receive()).type == Type.RELEASE and refused.cause() == 42
 
@@ -69,7 +69,7 @@
 def test_in_service_ends_a_drain_and_cancels_its_later_steps(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        caller.send(Type.TEST, A, {Code.CAUSE: b"\0"})  # no longer one that has brought nothing
+        caller.send(Type.TEST, A, {Code.CAUSE: b"\0"})  # the connection has carried a message
         caller.receive(Type.TEST_RESULT)
         program.call("POST", OUT)
         assert (
@@ -77,7 +77,7 @@
             and program.call("GET", READY) == 200
             and health_check_passes(program)
         )
-        time.sleep(2.2)  # past every step of the drain that was ended
+        time.sleep(2.2)  # past every timer of the ended drain
         stand(caller, server)
 
 
@@ -106,7 +106,7 @@
                 assert program.call("GET", READY) == 200
                 assert time.monotonic() - began < 1.0
         last = Wire(half[-1])
-        assert last.exactly(12) == b"HTTP/1.1 408"  # half a call has its answer too
+        assert last.exactly(12) == b"HTTP/1.1 408"  # an incomplete call gets an answer too
         assert program.call("GET", READY) == 200
 
 
@@ -131,7 +131,7 @@
 
 
 def changed_settings(program: Program, **changes: Any) -> str:
-    """The running file with other settings: a second class, and what is given."""
+    """Return the program's configuration with a second class and the given limits."""
     raw = json.loads(program.config.read_text())
     first = raw["settings"]["classes"][0]
     raw["settings"]["classes"] = [first, {**first, "name": "video", "repeat": "non_idempotent"}]
@@ -148,11 +148,13 @@
         servers[0].receive(Type.SET_UP)
         program.reload(changed_settings(program, max_attempts=1))
         program.logged("reloaded .*revision=1 settings=changed classes=voice,video")
-        servers[0].release(A, 41)  # reset under the set-up, which had five attempts when it came
+        servers[0].release(
+            A, 41
+        )  # fails an attempt of a call that was set up when five attempts were allowed
         assert servers[1].receive(Type.SET_UP).call == A
         servers[1].send(Type.ANSWER, A, {Code.DESCRIPTION: b"x"})
         assert caller.receive().type == Type.ANSWER
-        caller.set_up(B, left=9000, name=b"video")  # of the class that is new, and may not be repeated
+        caller.set_up(B, left=9000, name=b"video")  # of the new class, which may not be retried
         servers[0].receive(Type.SET_UP)
         servers[0].release(B, 41)
         assert (failed := caller.receive()).call == B and failed.cause() not in (16, 34, 42, 102)
@@ -180,7 +182,7 @@
 
 
 def test_slow_callers_and_the_operator_are_served_among_many_incomplete_set_ups(tmp_path: Path) -> None:
-    """Half set-ups, at last on more connections than there are descriptors; one caller writes for 2 s."""
+    """Incomplete set-ups, finally on more connections than descriptors, while one caller writes for 2 s."""
     with Program(tmp_path, operated=True) as program:
         server = program.servers[0].accept()
         whole = write_message(Type.SET_UP, B, SET_UP)
@@ -213,7 +215,7 @@
 
 
 def test_burst_of_operator_connects_while_the_program_is_stopped(tmp_path: Path) -> None:
-    """A connect that the system drops is tried again after a second, too late for an operator's answer."""
+    """Guards against dropped connects: the kernel retries one only after 1 s, too late for the answer."""
     with Program(tmp_path, operated=True) as program:
         program.process.send_signal(signal.SIGSTOP)
         burst = [socket.socket() for _ in range(60)]
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade with two real processes: what it may not cost, and each way in which it may fail."""
+"""Upgrades with two real processes: calls and connections that must survive, and each kind of failure."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 
 def set_up_standing_call(program: Program, caller: Wire, call: bytes) -> None:
-    """Set a call up over the one server connection that is left."""
+    """Set up a call, skipping server connections of processes that have ended."""
     caller.set_up(call)
     while True:
         server = program.servers[0].accept()
         try:
             server.receive(Type.SET_UP)
         except (EOFError, ConnectionResetError):
-            continue  # of a process that has ended
+            continue  # the connection of a process that has ended
         server.send(Type.ANSWER, call, {Code.DESCRIPTION: b"x"})
         assert caller.receive().type == Type.ANSWER
         return
@@ -53,33 +53,33 @@
 
 
 def test_connections_and_calls_outlive_the_process(tmp_path: Path) -> None:
-    """A call that stands, one that is open and half a message, all on connections of the old process."""
+    """Guards against losing a standing call, an open call or a partial message on moved connections."""
     with Program(tmp_path, operated=True) as old:
-        caller, other, half = old.caller(), old.caller("127.0.0.2"), old.caller("127.0.0.3")
+        caller, other, partial = old.caller(), old.caller("127.0.0.2"), old.caller("127.0.0.3")
         server = old.servers[0].accept()
         stand(caller, server, A)
         other.set_up(B)
         server.receive(Type.SET_UP)
-        server.send(PROGRESS, B)  # or another connection would be opened beside a silent one
+        server.send(PROGRESS, B)  # otherwise a second connection is opened beside a silent one
         whole = write_message(Type.TEST, C, {Code.CAUSE: b"\0"})
-        half.sock.sendall(whole[:5])
+        partial.sock.sendall(whole[:5])
         with upgrade(old) as new:
             assert new.port == old.port and new.call("GET", "/control/ready") == 200
             old.terminate()
             old.logged("step=moving")
             for _ in range(3):
                 old.logged("reason=handed-over")
-            half.sock.sendall(whole[5:])
-            assert half.receive().type == Type.TEST_RESULT
-            server.send(Type.ANSWER, B, {Code.DESCRIPTION: b"b"})  # the old process's server connection
+            partial.sock.sendall(whole[5:])
+            assert partial.receive().type == Type.TEST_RESULT
+            server.send(Type.ANSWER, B, {Code.DESCRIPTION: b"b"})  # on the old process's server connection
             assert other.receive().parameters == {Code.DESCRIPTION: b"b"}
             server.release(A, 16)
             assert (over := caller.receive()).type == Type.RELEASE and over.call == A
             fresh = old.servers[0].accept()
-            stand(caller, fresh, C)  # a new call, on the same connection, is the new process's
-            other.release(B, 16)  # one that stands in the old process is ended through the new one
+            stand(caller, fresh, C)  # the new process handles a new call on the same connection
+            other.release(B, 16)  # release of the old process's call through the new process
             assert server.receive(Type.RELEASE).call == B
-            assert old.process.wait(LIMIT) == 0  # it leaves early: all is over
+            assert old.process.wait(LIMIT) == 0  # all calls are over, so it ends early
             new.logged("step=alone")
             fresh.release(C, 16)
             assert caller.receive(Type.RELEASE).call == C
@@ -93,7 +93,7 @@
             fresh = old.servers[0].accept()
             after = new.caller("127.0.0.2")
             stand(after, fresh, A)
-            stand(before, server, B)  # not told to end yet: its own connections go on
+            stand(before, server, B)  # the old process, not told to end yet, keeps its own connections
 
 
 def test_predecessor_resumes_after_its_successor_dies(tmp_path: Path) -> None:
@@ -104,7 +104,7 @@
             new.kill()
             old.logged("step=accepting-again")
         stand(old.caller("127.0.0.2"), server, B)
-        with upgrade(old) as new:  # and the next try finds it
+        with upgrade(old) as new:  # a later successor finds the process again
             old.logged("step=yielded")
             assert new.call("GET", "/control/ready") == 200
 
@@ -227,7 +227,7 @@
         assert callers.server is not None
         port = callers.addresses()[0][1]
         with socket.create_connection(("127.0.0.1", port), LIMIT) as caller:
-            # What the loop does as the listener turns readable, and in the same turn the word to yield.
+            # Run the loop's accept callback and, in the same loop iteration, pause accepting.
             listener = callers.server.sockets[0]
             loop = asyncio.get_running_loop()
             loop._selector.get_key(listener.fileno()).data[0]._run()  # type: ignore[attr-defined]
@@ -251,8 +251,8 @@
         await asyncio.sleep(0.1)
         assert other.received.qsize() == MAX_RECEIVED_FRAMES
         async with asyncio.timeout(LIMIT):
-            heard = [await other.received.get() for _ in sent]
-        assert [item[0] for item in heard if item is not None] == sent
+            frames = [await other.received.get() for _ in sent]
+        assert [item[0] for item in frames if item is not None] == sent
         one.close()
         other.close()
 
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -1,6 +1,6 @@
-"""Two events that cross during an upgrade, and the time in which answers must be out, on real processes.
+"""Concurrent events during an upgrade of real processes, and the time limit of answers.
 
-What each crossing is forced by stands in ``docs/design/crossings.md``.
+``docs/design/crossings.md`` describes how each test forces its events to coincide.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from tests.net.test_gone_clients import GOES, A, B
 from tests.net.test_rules_on_sockets import stand
 
-TIME_LEFT = 2000  # ms that the callers of these tests wait
+TIME_LEFT = 2000  # ms that callers wait for a final answer
 PROGRESS = 6
-SMALL_BUFFER = 4096  # bytes in the system for a peer that reads nothing
+SMALL_BUFFER = 4096  # bytes of the socket buffers towards a peer that does not read
 
 
 @contextmanager
@@ -40,7 +40,7 @@
 
 
 def time_left_sent(set_up: Message) -> int:
-    """The ms that a session server was told the attempt has."""
+    """Return the time in ms that the set-up allows the session server for the attempt."""
     return int(set_up.text(Code.TIME_LEFT) or "")
 
 
@@ -53,7 +53,7 @@
 
 
 def test_unanswered_attempt_ends_before_its_caller_gives_up(tmp_path: Path) -> None:
-    """Guards against a final answer that meets its caller's give-up: a request lost at each time-out."""
+    """Guards against a final answer that crosses the caller's give-up, losing a call at each timeout."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A, left=TIME_LEFT)
@@ -62,7 +62,7 @@
 
 
 def test_attempts_end_in_time_in_both_processes_of_an_upgrade(tmp_path: Path) -> None:
-    """One call is out in the old process as its caller's connection moves, one is offered to the new one."""
+    """One attempt is open in the old process when its caller's connection moves; one starts in the new one."""
     with Program(tmp_path, operated=True) as old:
         moved, server = old.caller(), old.servers[0].accept()
         moved.set_up(A, left=TIME_LEFT)
@@ -72,7 +72,7 @@
             old.logged("reason=handed-over")
             fresh = old.servers[0].accept()
             moved.set_up(B, left=TIME_LEFT)
-            while True:  # the first connection may be the old process's second one, beside its silent one
+            while True:  # the old process may have opened a second connection beside its silent one
                 try:
                     fresh.sock.settimeout(0.2)
                     set_up = fresh.receive(Type.SET_UP)
@@ -108,7 +108,7 @@
 def test_caller_gone_in_the_loop_iteration_of_the_handover_cancels_its_attempt(
     tmp_path: Path, goes: Callable[[Wire], None]
 ) -> None:
-    """Its last bytes and SIGTERM come while the old process stands still; either may be taken first."""
+    """The end of the connection and SIGTERM arrive while the old process is stopped, in either order."""
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
         caller.set_up(A, left=9000)
@@ -122,11 +122,11 @@
             assert old.process.wait(LIMIT) == 0
 
 
-# ---- one link, by itself --------------------------------------------------------------------------------
+# ---- a single connection --------------------------------------------------------------------------------
 
 
 class MovingClient:
-    """A party with one connection that is to move to a successor, which is a list here."""
+    """A client with one connection; frames for the successor are collected in ``moved_frames``."""
 
     async def __aenter__(self) -> MovingClient:
         self.posted: list[object] = []
@@ -173,7 +173,7 @@
 
 
 def test_a_link_with_an_unwritten_answer_moves_once_its_caller_has_read_it() -> None:
-    """Guards against an answer whose rest would come behind the successor's first one, or never."""
+    """Guards against the rest of an answer being lost, or sent after the successor's first message."""
     answer = write_message(Type.ANSWER, A, {Code.DESCRIPTION: bytes(8000)})
     count = 20
 
@@ -184,7 +184,7 @@
                 link.write(answer)
             assert link.blocked
             client.move_out()
-            await asyncio.sleep(0.05)  # nothing may happen, however long this is below the limit
+            await asyncio.sleep(0.05)  # the connection must not move while data is unwritten
             assert not client.moved_frames and link.alive
             read = bytearray()
             while len(read) < count * len(answer):
@@ -218,7 +218,7 @@
 
 
 def start_successor_at(old: Program, step: str) -> Program:
-    """A second process, with the first one at that step of the hand-over or a little later."""
+    """Start a second process and return once the first one has reached that step of the handover."""
     if step in ("moving", "handed-over"):
         new = old.beside()
         old.terminate()
@@ -230,7 +230,7 @@
 
 
 def final_answer_or_end(caller: Wire) -> Message | None:
-    """The final answer, or None where the connection ended: the caller is not left waiting."""
+    """Return the final answer, or None if the connection ended instead; the caller must not wait longer."""
     try:
         return caller.receive(Type.ANSWER, Type.RELEASE)
     except (EOFError, ConnectionResetError):
@@ -238,7 +238,7 @@
 
 
 def assert_serves(program: Program, host: str) -> None:
-    """A new connection is served, by whichever process is left."""
+    """Assert that the remaining process serves a new connection."""
     caller = program.caller(host)
     caller.send(Type.TEST, B, {Code.CAUSE: b"\0"})
     assert caller.receive().type == Type.TEST_RESULT
@@ -273,7 +273,7 @@
 
 
 def test_connection_made_while_both_processes_are_stopped_is_accepted(tmp_path: Path) -> None:
-    """Who connects while both stand still is accepted by one of them, once they go on."""
+    """A connection made while both processes are stopped is accepted by one of them afterwards."""
     with Program(tmp_path, operated=True) as old:
         server = old.servers[0].accept()
         stand(old.caller(), server, A)
--- a/tests/test_paced_start.py
+++ b/tests/test_paced_start.py
@@ -1,4 +1,4 @@
-"""The start beside a process in service: its imports pause as long as they ran, and only there."""
+"""Throttled imports of a process that starts beside one in service."""
 
 from __future__ import annotations
 
