--- a/martentide/lifecycle/machine.py
+++ b/martentide/lifecycle/machine.py
@@ -1,4 +1,4 @@
-"""State machine of the service: starting, in service, draining, stopping and ended, with upgrades beside.
+"""State machine of the service: starting, in service, draining, stopping and ended, including upgrades.
 
 Times are seconds. The host feeds one event at a time and carries out the returned actions in their order. A
 timer belongs to the epoch in which it was set, and timers of earlier epochs are ignored, so that a drain that
