--- a/martentide/handover/wire.py
+++ b/martentide/handover/wire.py
@@ -94,7 +94,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Said:
-    """A message from the old process to a caller whose connection it has handed over."""
+    """A message from the old process to a caller whose connection it has handed over.
+
+    ``stands`` is set if the message is an answer, after which the call is a standing call.
+    """
 
     host: str
     call: bytes
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -194,6 +194,7 @@
         """Open the folder and restore the saved state into the controller.
 
         Returns None if the folder can't be opened within OPEN_TIMEOUT; the proxy then runs without the store.
+        Never raises.
         """
         opened = await self._open_folder(self.path)
         if isinstance(opened, str):
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -62,7 +62,7 @@
 
 
 def test_attempts_end_in_time_in_both_processes_of_an_upgrade(tmp_path: Path) -> None:
-    """One attempt is open in the old process when its caller's connection moves; one starts in the new one."""
+    """An attempt is open in the old process as its caller's connection moves; one starts in the new one."""
     with Program(tmp_path, operated=True) as old:
         moved, server = old.caller(), old.servers[0].accept()
         moved.set_up(A, left=TIME_LEFT)
