--- a/martentide/handover/wire.py
+++ b/martentide/handover/wire.py
@@ -1,7 +1,7 @@
-"""The frames between the old and the new process of an upgrade, as JSON; descriptors travel beside them.
+"""JSON frames between the old and the new process of an upgrade; descriptors are passed alongside.
 
-A frame is ``[KIND, {field: value}]``. Bytes are hex. Another version is turned away before anything is handed
-over, so a frame that can't be read is a fault and ends the channel.
+A frame is ``[KIND, {field: value}]``, with bytes in hexadecimal. A process of another version is rejected in
+the handshake, so a frame that can't be decoded is an error and closes the channel.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from typing import Any
 
 VERSION = 1
-MOST_FRAME = 128 * 1024  # bytes
-MOST_RECORDS = 1000  # calls named in one frame
+MAX_FRAME_BYTES = 128 * 1024
+MOST_RECORDS = 1000  # calls listed in one frame
 
 
 class HandoverError(ValueError):
-    """A frame that the other process should not have sent."""
+    """A frame that can't be decoded."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,39 +31,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """The listening socket comes beside this; ``links``: callers' connections that the old process holds."""
+    """The old process accepts the request; the listening socket is passed alongside.
+
+    ``links`` is the number of callers' connections that the old process holds.
+    """
 
     links: int
 
 
 @dataclass(frozen=True, slots=True)
 class TurnedAway:
+    """The old process rejects the request, with a reason for people."""
+
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Take:
-    """The new process is ready to accept."""
+    """The new process is ready to accept connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """The old process accepts no more; the new one may."""
+    """The old process has stopped accepting connections; the new one may start."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveBack:
-    """The new process is to end, and accepts no more; the old one may again."""
+    """The new process was told to end and has stopped accepting connections; the old one may resume."""
 
 
 @dataclass(frozen=True, slots=True)
 class Moving:
-    """The old process was told to end: what it may still send is the new one's now."""
+    """The old process was told to end; its share of the traffic to cold servers goes to the new process."""
 
 
 @dataclass(frozen=True, slots=True)
 class MovedCalls:
-    """Calls of a party without a link, all of which stand, and releases that it is owed, by call."""
+    """Standing calls of a client without a connection, and its undelivered releases as (call, message)."""
 
     host: str
     standing: tuple[bytes, ...]
@@ -72,10 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MovedLink:
-    """A caller's connection, whose descriptor comes beside this, and the calls on it.
+    """A caller's connection, whose descriptor is passed alongside, and the calls on it.
 
-    ``begun``: what was read of a message that is not whole. ``mute``: nothing on it was answered yet.
-    ``stood``: calls that have stood on it so far.
+    ``begun`` holds the bytes read of an incomplete message. ``mute`` is set if nothing on the connection has
+    been answered yet. ``stood`` counts the calls on it that have become standing calls.
     """
 
     host: str
@@ -89,7 +94,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Said:
-    """What the old process has to say to a caller whose connection it has handed over."""
+    """A message from the old process to a caller whose connection it has handed over.
+
+    ``stands`` is set if the message is an answer, after which the call is a standing call.
+    """
 
     host: str
     call: bytes
@@ -99,31 +107,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Left:
-    """A caller gave a call up or ended it, or is gone; the call is the old process's."""
+    """A caller gave up or ended a call that the old process handles, or the caller is gone."""
 
     host: str
     call: bytes
 
 
 Frame = Hello | Welcome | TurnedAway | Take | Taken | GiveBack | Moving | MovedCalls | MovedLink | Said | Left
-KINDS: dict[str, type[Any]] = {
+FRAME_TYPES: dict[str, type[Any]] = {
     kind.__name__: kind
     for kind in (Hello, Welcome, TurnedAway, Take, Taken, GiveBack, Moving, MovedCalls, MovedLink, Said, Left)
 }
 
 
-def _plain(value: Any) -> Any:
+def _to_json(value: Any) -> Any:
     if isinstance(value, bytes):
         return value.hex()
-    return [_plain(one) for one in value] if isinstance(value, tuple) else value
+    return [_to_json(one) for one in value] if isinstance(value, tuple) else value
 
 
 def write_frame(frame: Frame) -> bytes:
-    values = {field.name: _plain(getattr(frame, field.name)) for field in fields(frame)}
+    """Encode a frame."""
+    values = {field.name: _to_json(getattr(frame, field.name)) for field in fields(frame)}
     return json.dumps([type(frame).__name__, values], separators=(",", ":")).encode("ascii")
 
 
-def _exactly(kind: type[Any]) -> Callable[[Any], Any]:
+def _require_type(kind: type[Any]) -> Callable[[Any], Any]:
     def read(value: Any) -> Any:
         if type(value) is not kind:
             raise ValueError(f"expected {kind.__name__}, found {value!r:.40}")
@@ -132,33 +141,35 @@
     return read
 
 
-def _calls(value: Any) -> tuple[bytes, ...]:
-    return tuple(bytes.fromhex(one) for one in _exactly(list)(value))
+def _read_calls(value: Any) -> tuple[bytes, ...]:
+    return tuple(bytes.fromhex(one) for one in _require_type(list)(value))
 
 
-def _pairs(value: Any) -> tuple[tuple[bytes, bytes], ...]:
-    return tuple((bytes.fromhex(call), bytes.fromhex(message)) for call, message in _exactly(list)(value))
+def _read_call_messages(value: Any) -> tuple[tuple[bytes, bytes], ...]:
+    return tuple(
+        (bytes.fromhex(call), bytes.fromhex(message)) for call, message in _require_type(list)(value)
+    )
 
 
-READ: dict[str, Callable[[Any], Any]] = {
-    "int": _exactly(int),
-    "str": _exactly(str),
-    "bool": _exactly(bool),
-    "bytes": lambda value: bytes.fromhex(_exactly(str)(value)),
-    "tuple[bytes, ...]": _calls,
-    "tuple[tuple[bytes, bytes], ...]": _pairs,
+FIELD_READERS: dict[str, Callable[[Any], Any]] = {
+    "int": _require_type(int),
+    "str": _require_type(str),
+    "bool": _require_type(bool),
+    "bytes": lambda value: bytes.fromhex(_require_type(str)(value)),
+    "tuple[bytes, ...]": _read_calls,
+    "tuple[tuple[bytes, bytes], ...]": _read_call_messages,
 }
 
 
 def read_frame(raw: bytes) -> Frame:
-    """The frame; raises HandoverError."""
+    """Decode a frame. Raises HandoverError."""
     try:
         name, values = json.loads(raw)
-        kind = KINDS[name]
+        kind = FRAME_TYPES[name]
         expected = {field.name: str(field.type) for field in fields(kind)}
         if values.keys() != expected.keys():
             raise ValueError(f"expected the fields {', '.join(expected) or 'none'}")
-        frame: Frame = kind(**{name: READ[what](values[name]) for name, what in expected.items()})
+        frame: Frame = kind(**{name: FIELD_READERS[what](values[name]) for name, what in expected.items()})
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise HandoverError(f"a frame of another kind: {error}") from None
+        raise HandoverError(f"invalid frame: {error}") from None
     return frame
--- a/martentide/lifecycle/machine.py
+++ b/martentide/lifecycle/machine.py
@@ -1,8 +1,8 @@
-"""Starting, in service, draining, stopping: what each event means, and what is to be done about it.
+"""State machine of the service: starting, in service, draining, stopping and ended, including upgrades.
 
-Times are seconds. The host feeds one event at a time and carries the actions out in their order. A timer
-belongs to the epoch it was set in; one of an earlier epoch is passed over, so that a drain that was ended, or
-gave way to the end of the program, can't act any more.
+Times are seconds. The host feeds one event at a time and carries out the returned actions in their order. A
+timer belongs to the epoch in which it was set, and timers of earlier epochs are ignored, so that a drain that
+was ended or replaced by a stop has no further effect.
 """
 
 from __future__ import annotations
@@ -10,14 +10,18 @@
 from dataclasses import dataclass
 from enum import Enum
 
-LEAVE_AFTER = 0.4  # s of a drain in which links stay: the front sends more for 0.2 s after the first no
-SETTLE_AFTER = 1.9  # s of a drain in which set-ups are taken: none may be younger than 2 s at 4 s
-LATE_ARRIVALS = 0.9  # s after SIGTERM in which set-ups still come
-MOVING = 1.2  # s after SIGTERM in which callers' connections go to the successor
-LAST_WORDS = 0.05  # s for the last answers to leave the mailboxes
+# s of a drain before idle connections close. The front sends calls for 0.2 s more after the first failed
+# health check of this proxy.
+CLOSE_IDLE_DELAY = 0.4
+REFUSE_DELAY = 1.9  # s of a drain in which set-ups are accepted; at 4 s none may be younger than 2 s
+LATE_ARRIVAL_PERIOD = 0.9  # s after SIGTERM in which set-ups still arrive
+MOVE_PERIOD = 1.2  # s after SIGTERM in which callers' connections move to the successor
+FLUSH_PERIOD = 0.05  # s for the last answers to leave the mailboxes
 
 
 class Phase(Enum):
+    """Phase of the service's life cycle."""
+
     STARTING = "starting"
     IN_SERVICE = "in-service"
     DRAINING = "draining"
@@ -25,67 +29,67 @@
     ENDED = "ended"
 
 
-class Beside(Enum):
-    """Who else serves the same address, in an upgrade."""
+class UpgradePeer(Enum):
+    """The other process that serves the same address during an upgrade."""
 
-    NOBODY = "nobody"
-    PREDECESSOR = "predecessor"  # it was here first, and has calls still
-    SUCCESSOR = "successor"  # it was welcomed, and has not taken yet
-    TAKEN = "taken"  # the successor accepts, and this process no more
+    NONE = "nobody"
+    PREDECESSOR = "predecessor"  # it handed over the listening socket and still has calls
+    SUCCESSOR = "successor"  # it has the listening socket but does not accept yet
+    ACCEPTING_SUCCESSOR = "taken"  # the successor accepts connections and this process does not
 
 
 # ---- events ---------------------------------------------------------------------------------------------
 
 
-class Step(Enum):
-    """What a timer stands for."""
+class TimerKind(Enum):
+    """What happens when a timer expires."""
 
-    LEAVE = "leave"
-    SETTLE = "settle"
-    LATE_OVER = "late-over"
-    LAST_WORDS = "last-words"
+    CLOSE_IDLE = "leave"
+    REFUSE_SET_UPS = "settle"
+    STOP_ACCEPTING = "late-over"
+    END = "last-words"
 
 
 @dataclass(frozen=True, slots=True)
 class Listening:
-    """Callers can be served from now on."""
+    """The callers' listener is open."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutOfService:
-    """The operator sends callers away; ``call`` numbers the call, for its answer."""
+    """The operator starts a drain; ``call`` identifies the call for its answer."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class InService:
-    """The operator ends a drain."""
+    """The operator ends a drain; ``call`` identifies the call for its answer."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class Terminate:
-    """SIGTERM or SIGINT."""
+    """SIGTERM or SIGINT was received."""
 
 
 @dataclass(frozen=True, slots=True)
-class HangUp:
-    """SIGHUP."""
+class ReloadRequested:
+    """SIGHUP was received."""
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
-    """A timer came due."""
+class TimerExpired:
+    """A timer set in ``epoch`` has expired."""
 
     epoch: int
-    step: Step
+    kind: TimerKind
 
 
 @dataclass(frozen=True, slots=True)
-class AllOver:
-    """Every call is answered and none stands."""
+class AllCallsEnded:
+    """Every call is answered and no standing call is left."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,29 +99,29 @@
 
 @dataclass(frozen=True, slots=True)
 class PredecessorGone:
-    """It has ended."""
+    """The predecessor has ended."""
 
 
 @dataclass(frozen=True, slots=True)
-class SuccessorAsks:
-    """A second process wants to take over; ``ask`` numbers its channel."""
+class SuccessorRequested:
+    """A second process asks to take over; ``request`` identifies its channel."""
 
-    ask: int
+    request: int
 
 
 @dataclass(frozen=True, slots=True)
-class SuccessorTakes:
-    """It is ready to accept."""
+class SuccessorReady:
+    """The successor is ready to accept connections."""
 
 
 @dataclass(frozen=True, slots=True)
-class SuccessorGivesBack:
-    """It is to end, and accepts no more."""
+class SuccessorReturnedListener:
+    """The successor was told to end and no longer accepts connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorGone:
-    """It has ended."""
+    """The successor has ended."""
 
 
 Event = (
@@ -125,14 +129,14 @@
     | OutOfService
     | InService
     | Terminate
-    | HangUp
-    | Due
-    | AllOver
+    | ReloadRequested
+    | TimerExpired
+    | AllCallsEnded
     | PredecessorFound
     | PredecessorGone
-    | SuccessorAsks
-    | SuccessorTakes
-    | SuccessorGivesBack
+    | SuccessorRequested
+    | SuccessorReady
+    | SuccessorReturnedListener
     | SuccessorGone
 )
 
@@ -142,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The answer to the operator's call of that number; ``status`` as in HTTP."""
+    """Answer the operator's call of that number with an HTTP status and a text."""
 
     call: int
     status: int
@@ -151,47 +155,49 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveLinks:
-    """Callers' links are closed as they come to rest (or, ``on`` false, are kept again)."""
+    """Close callers' connections as soon as they are idle, or stop doing so if ``enabled`` is false."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseSetUps:
-    """New set-ups are refused (or taken again)."""
+    """Refuse new set-ups, or accept them again if ``enabled`` is false."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StopListening:
-    """No further connection of callers is accepted."""
+    """Stop accepting callers' connections for good."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetDue:
-    due: Due
+    """Feed ``timer`` back as an event after ``delay`` seconds."""
+
+    timer: TimerExpired
     delay: float
 
 
 @dataclass(frozen=True, slots=True)
 class TellWhenOver:
-    """AllOver is to come once every call is answered and none stands."""
+    """Send AllCallsEnded once every call is answered and no standing call is left."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reload:
-    """Read the configuration anew."""
+    """Reload the configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseFronts:
-    """Further fronts are told on their streams that the program ends."""
+    """Announce the stop to the fronts that use this process as external processor, on their open streams."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """A log line: the phase has changed, and by what."""
+    """Log a change of phase and its cause."""
 
     phase: Phase
     by: str
@@ -199,50 +205,52 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenMeeting:
-    """Be found by a successor from now on."""
+    """Open the handover socket, so that a successor can find this process."""
 
 
 @dataclass(frozen=True, slots=True)
 class WelcomeIt:
-    """Hand the listening socket to the process that asks."""
+    """Hand the listening socket to the process that asked."""
 
-    ask: int
+    request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TurnAway:
-    ask: int
+    """Reject the process that asked to take over, with a reason for people."""
+
+    request: int
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Yield:
-    """Accept no more, and tell the successor that it may."""
+    """Stop accepting connections and tell the successor to start."""
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptAgain:
-    """The successor is no more: accept on the same socket again."""
+    """Resume accepting on the same socket, because the successor has ended or is ending."""
 
 
 @dataclass(frozen=True, slots=True)
 class MoveOut:
-    """Callers' connections go to the successor."""
+    """Move callers' connections to the successor."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveBackIt:
-    """Tell the predecessor that it may accept again."""
+    """Tell the predecessor to resume accepting."""
 
 
 @dataclass(frozen=True, slots=True)
 class LetGoOfSuccessor:
-    """Calls whose connections the successor had are its callers' no more."""
+    """Treat the callers whose connections had moved to the successor as gone."""
 
 
 @dataclass(frozen=True, slots=True)
 class LetGoOfPredecessor:
-    """What the predecessor left unanswered fails; its share of descriptors is free."""
+    """Fail the calls that the predecessor left unanswered and use its share of descriptors."""
 
 
 Action = (
@@ -267,30 +275,30 @@
 )
 
 
-class Machine:
-    """The one state of the service."""
+class StateMachine:
+    """The state of the service; ``handle`` maps each event to actions."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
-        self.beside = Beside.NOBODY
+        self.upgrade_peer = UpgradePeer.NONE
         self.listening = False
         self.epoch = 0
         self.actions: list[Action] = []
 
     @property
     def ready(self) -> bool:
-        """Whether callers are to be sent here."""
+        """Return whether the readiness check should pass."""
         return self.phase is Phase.IN_SERVICE
 
     def handle(self, event: Event) -> list[Action]:
-        """What to do about one event; after ENDED nothing."""
+        """Return the actions for one event; after ENDED there are none."""
         self.actions = []
         match event:
             case _ if self.phase is Phase.ENDED:
                 pass
             case Listening():
                 self.listening = True
-                self._do(OpenMeeting())
+                self._emit(OpenMeeting())
                 if self.phase is Phase.STARTING:
                     self._enter(Phase.IN_SERVICE, "start")
             case OutOfService(call):
@@ -299,110 +307,113 @@
                 self._in_service(call)
             case Terminate():
                 self._terminate()
-            case HangUp():
-                self._do(Reload())
-            case Due(epoch, step) if epoch == self.epoch:
-                self._due(step)
-            case AllOver() if self.phase is Phase.STOPPING:
-                self._set(Step.LAST_WORDS, LAST_WORDS)
+            case ReloadRequested():
+                self._emit(Reload())
+            case TimerExpired(epoch, kind) if epoch == self.epoch:
+                self._timer_expired(kind)
+            case AllCallsEnded() if self.phase is Phase.STOPPING:
+                self._set_timer(TimerKind.END, FLUSH_PERIOD)
             case _:
-                self._upgrade(event)
+                self._handle_upgrade(event)
         return self.actions
 
-    def _do(self, *actions: Action) -> None:
+    def _emit(self, *actions: Action) -> None:
         self.actions.extend(actions)
 
     def _enter(self, phase: Phase, by: str) -> None:
         self.phase = phase
         self.epoch += 1
-        self._do(Tell(phase, by))
+        self._emit(Tell(phase, by))
 
-    def _set(self, step: Step, delay: float) -> None:
-        self._do(SetDue(Due(self.epoch, step), delay))
+    def _set_timer(self, kind: TimerKind, delay: float) -> None:
+        self._emit(SetDue(TimerExpired(self.epoch, kind), delay))
 
     def _out_of_service(self, call: int) -> None:
         if self.phase is Phase.STOPPING:
-            self._do(Answer(call, 409, "stopping"))
+            self._emit(Answer(call, 409, "stopping"))
             return
         if self.phase is Phase.DRAINING:
-            self._do(Answer(call, 200, "out of service already"))
+            self._emit(Answer(call, 200, "out of service already"))
             return
         self._enter(Phase.DRAINING, "operator")
-        self._set(Step.LEAVE, LEAVE_AFTER)
-        self._set(Step.SETTLE, SETTLE_AFTER)
-        self._do(Answer(call, 200, "out of service"))
+        self._set_timer(TimerKind.CLOSE_IDLE, CLOSE_IDLE_DELAY)
+        self._set_timer(TimerKind.REFUSE_SET_UPS, REFUSE_DELAY)
+        self._emit(Answer(call, 200, "out of service"))
 
     def _in_service(self, call: int) -> None:
         if self.phase is Phase.STOPPING:
-            self._do(Answer(call, 409, "stopping"))
+            self._emit(Answer(call, 409, "stopping"))
             return
         if self.phase is not Phase.DRAINING:
-            self._do(Answer(call, 200, "in service already" if self.ready else "starting"))
+            self._emit(Answer(call, 200, "in service already" if self.ready else "starting"))
             return
         self._enter(Phase.IN_SERVICE if self.listening else Phase.STARTING, "operator")
-        self._do(LeaveLinks(False), RefuseSetUps(False), Answer(call, 200, "in service"))
+        self._emit(LeaveLinks(False), RefuseSetUps(False), Answer(call, 200, "in service"))
 
-    def _upgrade(self, event: Event) -> None:
+    def _handle_upgrade(self, event: Event) -> None:
         match event:
             case PredecessorFound():
-                self.beside = Beside.PREDECESSOR
-            case PredecessorGone() if self.beside is Beside.PREDECESSOR:
-                self.beside = Beside.NOBODY
-                self._do(LetGoOfPredecessor())
-            case SuccessorAsks(ask):
-                self._successor_asks(ask)
-            case SuccessorTakes() if self.beside is Beside.SUCCESSOR:
-                self._successor_takes()
-            case SuccessorGivesBack() if self.beside is Beside.TAKEN:
-                self._successor_leaves(Beside.SUCCESSOR)
-            case SuccessorGone() if self.beside in (Beside.SUCCESSOR, Beside.TAKEN):
-                self._successor_leaves(Beside.NOBODY)
-
-    def _successor_asks(self, ask: int) -> None:
+                self.upgrade_peer = UpgradePeer.PREDECESSOR
+            case PredecessorGone() if self.upgrade_peer is UpgradePeer.PREDECESSOR:
+                self.upgrade_peer = UpgradePeer.NONE
+                self._emit(LetGoOfPredecessor())
+            case SuccessorRequested(request):
+                self._successor_requested(request)
+            case SuccessorReady() if self.upgrade_peer is UpgradePeer.SUCCESSOR:
+                self._successor_ready()
+            case SuccessorReturnedListener() if self.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR:
+                self._successor_leaves(UpgradePeer.SUCCESSOR)
+            case SuccessorGone() if self.upgrade_peer in (
+                UpgradePeer.SUCCESSOR,
+                UpgradePeer.ACCEPTING_SUCCESSOR,
+            ):
+                self._successor_leaves(UpgradePeer.NONE)
+
+    def _successor_requested(self, request: int) -> None:
         if not self.listening:
-            self._do(TurnAway(ask, self.phase.value))
-        elif self.beside is not Beside.NOBODY:
-            self._do(TurnAway(ask, f"another upgrade is under way: {self.beside.value}"))
+            self._emit(TurnAway(request, self.phase.value))
+        elif self.upgrade_peer is not UpgradePeer.NONE:
+            self._emit(TurnAway(request, f"another upgrade is under way: {self.upgrade_peer.value}"))
         else:
-            self.beside = Beside.SUCCESSOR
-            self._do(WelcomeIt(ask))
+            self.upgrade_peer = UpgradePeer.SUCCESSOR
+            self._emit(WelcomeIt(request))
 
-    def _successor_takes(self) -> None:
-        """Also while stopping: who still connects is the successor's then, and is not cut off by the end."""
-        self.beside = Beside.TAKEN
-        self._do(Yield())
+    def _successor_ready(self) -> None:
+        """Yield the listener, also while stopping, so that callers who connect late are served."""
+        self.upgrade_peer = UpgradePeer.ACCEPTING_SUCCESSOR
+        self._emit(Yield())
         if self.phase is Phase.STOPPING:
-            self._do(MoveOut())
+            self._emit(MoveOut())
 
-    def _successor_leaves(self, beside: Beside) -> None:
-        taken, self.beside = self.beside is Beside.TAKEN, beside
-        if beside is Beside.NOBODY:
-            self._do(LetGoOfSuccessor())
-        if self.phase is not Phase.STOPPING and (taken or beside is Beside.NOBODY):
-            self._do(AcceptAgain(), OpenMeeting())
+    def _successor_leaves(self, upgrade_peer: UpgradePeer) -> None:
+        was_accepting, self.upgrade_peer = self.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR, upgrade_peer
+        if upgrade_peer is UpgradePeer.NONE:
+            self._emit(LetGoOfSuccessor())
+        if self.phase is not Phase.STOPPING and (was_accepting or upgrade_peer is UpgradePeer.NONE):
+            self._emit(AcceptAgain(), OpenMeeting())
 
     def _terminate(self) -> None:
         if self.phase is Phase.STOPPING:
             return
         self._enter(Phase.STOPPING, "signal")
-        self._do(CloseFronts())
-        if self.beside is Beside.TAKEN:
-            self._do(MoveOut())
-            self._set(Step.LATE_OVER, MOVING)
+        self._emit(CloseFronts())
+        if self.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR:
+            self._emit(MoveOut())
+            self._set_timer(TimerKind.STOP_ACCEPTING, MOVE_PERIOD)
             return
-        # Callers do not know yet: what still comes on new and open connections is served like any other call.
-        self._set(Step.LATE_OVER, LATE_ARRIVALS if self.listening else 0.0)
-
-    def _due(self, step: Step) -> None:
-        match step:
-            case Step.LEAVE:
-                self._do(LeaveLinks(True))
-            case Step.SETTLE:
-                self._do(RefuseSetUps(True))
-            case Step.LATE_OVER:
-                if self.beside is Beside.PREDECESSOR:
-                    self._do(GiveBackIt())
+        # Callers have not learned of the stop yet, so set-ups on new and open connections are still served.
+        self._set_timer(TimerKind.STOP_ACCEPTING, LATE_ARRIVAL_PERIOD if self.listening else 0.0)
+
+    def _timer_expired(self, kind: TimerKind) -> None:
+        match kind:
+            case TimerKind.CLOSE_IDLE:
+                self._emit(LeaveLinks(True))
+            case TimerKind.REFUSE_SET_UPS:
+                self._emit(RefuseSetUps(True))
+            case TimerKind.STOP_ACCEPTING:
+                if self.upgrade_peer is UpgradePeer.PREDECESSOR:
+                    self._emit(GiveBackIt())
                 self.listening = False
-                self._do(StopListening(), RefuseSetUps(True), TellWhenOver())
-            case Step.LAST_WORDS:
+                self._emit(StopListening(), RefuseSetUps(True), TellWhenOver())
+            case TimerKind.END:
                 self._enter(Phase.ENDED, "all-over")
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -1,7 +1,7 @@
-"""The store of learned state on a real disk: an actor with a mailbox, and one thread for its file work.
+"""Saves learned state to disk and restores it at the start.
 
-A disk that takes seconds, or never answers, delays no call: the thread alone waits for it. Imported only
-where the extras file turns it on.
+The store is an actor with a mailbox; a worker thread does the file operations, so a slow or hanging disk
+delays no call. The module is imported only if the extras file enables the store.
 """
 
 from __future__ import annotations
@@ -30,55 +30,64 @@
 from martentide.net.dispatcher import Dispatcher
 from martentide.net.links import unix_ms
 
-LOCK = "lock"
-REACH_LIMIT = 2.0  # s for a folder to be opened, locked and read
-LAST_SAVE = 1.0  # s for the save at the end; a disk that takes longer keeps the state before
+LOCK_FILE = "lock"
+OPEN_TIMEOUT = 2.0  # s to open, lock and read a folder
+FINAL_SAVE_TIMEOUT = 1.0  # s for the save at shutdown; after a timeout the previous state remains on disk
 
 
 class DiskFolder:
-    """A folder held open: files are named within it, whatever its path comes to mean later."""
+    """A locked folder. Files are accessed relative to its descriptor, even if the path is replaced later."""
 
     def __init__(self, path: str) -> None:
-        """Open and lock it. Raises OSError; EAGAIN where another proxy has it."""
+        """Create, open and lock the folder. Raises OSError, with EAGAIN if another proxy holds the lock."""
         self.path = path
         os.makedirs(path, mode=0o700, exist_ok=True)
         self.fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_NOFOLLOW)
         self.lock = -1
         try:
             flags = os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC
-            self.lock = os.open(LOCK, flags, 0o600, dir_fd=self.fd)
+            self.lock = os.open(LOCK_FILE, flags, 0o600, dir_fd=self.fd)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             self.close()
             raise
 
     def close(self) -> None:
+        """Release the lock and close the descriptors."""
         for fd in (self.lock, self.fd):
             if fd >= 0:
                 os.close(fd)
         self.lock = self.fd = -1
 
-    def _same(self) -> None:
-        """Guards against a folder that was replaced, by a symlink above all: nothing is written elsewhere,
-        and nothing where the next start would not look."""
+    def _check_not_replaced(self) -> None:
+        """Raise ESTALE if the path no longer names the opened folder.
+
+        A replacement, above all by a symlink, must not redirect writes, and nothing may be written to a
+        folder that the next start would not read.
+        """
         here = os.stat(self.path, follow_symlinks=False)
-        held = os.fstat(self.fd)
-        if (here.st_dev, here.st_ino) != (held.st_dev, held.st_ino):
+        opened = os.fstat(self.fd)
+        if (here.st_dev, here.st_ino) != (opened.st_dev, opened.st_ino):
             raise OSError(errno.ESTALE, "the folder was replaced by another")
 
-    def read(self, name: str, most: int) -> bytes | None:
+    def read(self, name: str, max_bytes: int) -> bytes | None:
+        """Return the content of a file of at most ``most`` bytes, or None if it doesn't exist.
+
+        Raises OSError, with EFBIG for a larger file.
+        """
         try:
             fd = os.open(name, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK, dir_fd=self.fd)
         except FileNotFoundError:
             return None
         with open(fd, "rb") as file:
             size = os.fstat(fd).st_size
-            if size > most:
-                raise OSError(errno.EFBIG, f"{size} bytes, expected {most} at most")
-            return file.read(most)
+            if size > max_bytes:
+                raise OSError(errno.EFBIG, f"{size} bytes, expected {max_bytes} at most")
+            return file.read(max_bytes)
 
     def write(self, name: str, data: bytes) -> None:
-        self._same()
+        """Create or overwrite a file. Raises OSError, with ESTALE if the folder was replaced."""
+        self._check_not_replaced()
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW
         fd = os.open(name, flags, 0o600, dir_fd=self.fd)
         with open(fd, "wb", buffering=0) as file:
@@ -87,6 +96,7 @@
                 view = view[file.write(view) :]
 
     def sync(self, name: str) -> None:
+        """Flush a file to disk. Raises OSError."""
         fd = os.open(name, os.O_RDONLY | os.O_NOFOLLOW, dir_fd=self.fd)
         try:
             os.fsync(fd)
@@ -94,9 +104,11 @@
             os.close(fd)
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file, replacing any file of the new name. Raises OSError."""
         os.rename(old, new, src_dir_fd=self.fd, dst_dir_fd=self.fd)
 
     def exists(self, name: str) -> bool:
+        """Return whether the folder has an entry of this name, without following symlinks."""
         try:
             os.stat(name, dir_fd=self.fd, follow_symlinks=False)
         except FileNotFoundError:
@@ -104,85 +116,94 @@
         return True
 
     def sync_folder(self) -> None:
+        """Flush the directory entries to disk. Raises OSError."""
         os.fsync(self.fd)
 
 
-class Worker:
-    """One thread for file work. A daemon: a disk that hangs must not keep the program from its end."""
+class FileWorker:
+    """One thread for file operations; a daemon thread, because a hanging disk must not block the exit."""
 
     def __init__(self) -> None:
-        self.work: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
+        self.jobs: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._run, name="learned-state", daemon=True)
         self.thread.start()
 
     def _run(self) -> None:
-        while (job := self.work.get()) is not None:
+        while (job := self.jobs.get()) is not None:
             job()
 
-    def put(self, job: Callable[[], None]) -> None:
-        self.work.put(job)
+    def submit(self, job: Callable[[], None]) -> None:
+        """Queue a job behind those already submitted."""
+        self.jobs.put(job)
 
-    def end(self) -> None:
-        self.work.put(None)
+    def stop(self) -> None:
+        """End the thread after the jobs already submitted."""
+        self.jobs.put(None)
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """Time to look whether to save."""
+class CheckDue:
+    """Requests a check whether a save is due."""
 
 
 @dataclass(frozen=True, slots=True)
-class Saved:
+class SaveFinished:
+    """A save has ended; ``size`` is in bytes, ``error`` is empty on success."""
+
     folder: DiskFolder
     size: int
     error: str
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
-    """SIGHUP named another folder."""
+class FolderChanged:
+    """A reload has set a folder and a pace of saves."""
 
     folder: str
     pace: Pace
 
 
 class Store:
-    """The actor. ``start`` reads what is there before the program serves; then it saves until its end."""
+    """The actor that restores learned state in ``start``, before the proxy serves, and then saves changes."""
 
     def __init__(
         self, folder: str, pace: Pace, settings: Settings, dispatcher: Dispatcher, seed: int
     ) -> None:
-        self.path, self.dispatcher, self.dice = folder, dispatcher, random.Random(seed)
-        self.print = fingerprint(settings)
+        self.path, self.dispatcher, self.rng = folder, dispatcher, random.Random(seed)
+        self.settings_fingerprint = fingerprint(settings)
         self.pacing = Pacing(pace)
         self.loop = asyncio.get_running_loop()
-        self.mailbox: asyncio.Queue[Look | Saved | Moved] = asyncio.Queue()
-        self.worker = Worker()
+        self.mailbox: asyncio.Queue[CheckDue | SaveFinished | FolderChanged] = asyncio.Queue()
+        self.worker = FileWorker()
         self.folder: DiskFolder | None = None
         self.snapshots = Snapshots()
         self.hints: Hints | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.last: Learned | None = None
+        self.last_snapshot: Learned | None = None
         self.idle = asyncio.Event()
         self.idle.set()
-        self.saves = 0
+        self.save_count = 0
 
-    def settle(self, settings: Settings) -> None:
-        """Other settings hold: what is saved from now on was learned under them."""
-        self.print = fingerprint(settings)
+    def change_settings(self, settings: Settings) -> None:
+        """Set the settings whose fingerprint is saved with the state that is learned from now on."""
+        self.settings_fingerprint = fingerprint(settings)
 
     # ---- start --------------------------------------------------------------------------------------------
 
     async def start(self) -> Decision | None:
-        """Open the folder and take up what is there; None where it can't be had in time. Never raises."""
-        reached = await self._reach(self.path)
-        if isinstance(reached, str):
-            LOG.warning("state-off", folder=self.path, detail=repr(reached))
+        """Open the folder and restore the saved state into the controller.
+
+        Returns None if the folder can't be opened within OPEN_TIMEOUT; the proxy then runs without the store.
+        Never raises.
+        """
+        opened = await self._open_folder(self.path)
+        if isinstance(opened, str):
+            LOG.warning("state-off", folder=self.path, detail=repr(opened))
             return None
-        self.folder, files = reached
-        now, begun = unix_ms(), time.perf_counter()
-        decision = decide(files, self.print, now)
-        load_ms = round((time.perf_counter() - begun) * 1000.0, 2)
+        self.folder, files = opened
+        now, load_started = unix_ms(), time.perf_counter()
+        decision = decide(files, self.settings_fingerprint, now)
+        load_ms = round((time.perf_counter() - load_started) * 1000.0, 2)
         for name, why in decision.refused:
             LOG.warning("state-refused", file=name, detail=repr(why))
         self.snapshots.sequence = decision.sequence
@@ -190,7 +211,7 @@
             log_event("state-start", start=decision.start.value, load_ms=load_ms)
             return decision
         controller = self.dispatcher.controller
-        counts, self.hints = restore(controller, decision.state, now, self.dice)
+        counts, self.hints = restore(controller, decision.state, now, self.rng)
         log_event(
             "state-start",
             start=decision.start.value,
@@ -205,164 +226,167 @@
             cold=counts.cold,
             redials=counts.redials,
         )
-        self.dispatcher.event_observers.append(self._heard)
+        self.dispatcher.event_observers.append(self._on_event)
         return decision
 
     def _list_changed(self, _: object) -> None:
         self.pacing.ask()
-        self.mailbox.put_nowait(Look())
+        self.mailbox.put_nowait(CheckDue())
+
+    async def _open_folder(self, path: str) -> tuple[DiskFolder, list[Found]] | str:
+        """Open, lock and read a folder; return the reason as text if that fails.
 
-    async def _reach(self, path: str) -> tuple[DiskFolder, list[Found]] | str:
-        """Open, lock and read a folder, in a thread of its own: a disk that hangs must not keep the program
-        from its start, nor hold it up at SIGHUP. A text says why it can't be had."""
+        This runs in a thread of its own, so that a hanging disk blocks neither the start nor a reload.
+        """
         answer: asyncio.Future[tuple[DiskFolder, list[Found]] | str] = self.loop.create_future()
 
-        def done(found: tuple[DiskFolder, list[Found]] | str) -> None:
+        def deliver(found: tuple[DiskFolder, list[Found]] | str) -> None:
             if not answer.done():
                 answer.set_result(found)
             elif not isinstance(found, str):
-                found[0].close()  # too late: the program goes on without
+                found[0].close()  # timed out: the proxy already continues without this folder
 
-        def reach() -> None:
+        def open_and_load() -> None:
             try:
                 folder = DiskFolder(path)
                 found: tuple[DiskFolder, list[Found]] | str = (folder, load(folder))
             except OSError as error:
                 busy = error.errno == errno.EAGAIN
-                found = "another proxy has it" if busy else error.strerror or str(error)
-            with contextlib.suppress(RuntimeError):  # the program has ended
-                self.loop.call_soon_threadsafe(done, found)
+                found = "locked by another proxy" if busy else error.strerror or str(error)
+            with contextlib.suppress(RuntimeError):  # the event loop is closed
+                self.loop.call_soon_threadsafe(deliver, found)
 
-        threading.Thread(target=reach, name="learned-state-open", daemon=True).start()
+        threading.Thread(target=open_and_load, name="learned-state-open", daemon=True).start()
         try:
-            async with asyncio.timeout(REACH_LIMIT):
+            async with asyncio.timeout(OPEN_TIMEOUT):
                 return await answer
         except TimeoutError:
-            return f"no answer within {REACH_LIMIT:.0f} s"
+            return f"no answer within {OPEN_TIMEOUT:.0f} s"
 
-    def _heard(self, now: float, event: Event) -> None:
+    def _on_event(self, now: float, event: Event) -> None:
         assert self.hints is not None
         self.hints.heard(now, event, self.dispatcher.controller)
         if self.hints.over:
-            self.dispatcher.event_observers.remove(self._heard)
+            self.dispatcher.event_observers.remove(self._on_event)
 
     # ---- saving -------------------------------------------------------------------------------------------
 
-    def move(self, folder: str, pace: Pace) -> None:
-        """SIGHUP: save there, at that pace, from now on."""
-        self.mailbox.put_nowait(Moved(folder, pace))
+    def change_folder(self, folder: str, pace: Pace) -> None:
+        """Save to ``folder`` at ``pace`` from now on; called on a reload."""
+        self.mailbox.put_nowait(FolderChanged(folder, pace))
 
     async def run(self) -> None:
+        """Save changes at the configured pace until cancelled."""
         self.dispatcher.list_observers.append(self._list_changed)
-        self._look_at(unix_ms())
+        self._schedule_check(unix_ms())
         while True:
             item = await self.mailbox.get()
             now = unix_ms()
             match item:
-                case Saved():
-                    self._saved(item, now)
-                case Moved():
-                    await self._moved(item)
-                case Look():
+                case SaveFinished():
+                    self._on_save_finished(item, now)
+                case FolderChanged():
+                    await self._on_folder_changed(item)
+                case CheckDue():
                     pass
             if self.pacing.hangs(now):
                 LOG.warning("state-save-hangs", folder=self.path)
             if self.folder is not None and self.pacing.may_begin(now):
-                await self._begin(now)
-            self._look_at(unix_ms())
+                await self._begin_save(now)
+            self._schedule_check(unix_ms())
 
-    def _look_at(self, now: float) -> None:
+    def _schedule_check(self, now: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
         delay = max(0.01, (self.pacing.due(now) - now) / 1000.0)
-        self.timer = self.loop.call_later(delay, self.mailbox.put_nowait, Look())
+        self.timer = self.loop.call_later(delay, self.mailbox.put_nowait, CheckDue())
 
-    async def _begin(self, now: float) -> None:
-        """Take a snapshot, slice by slice, and hand it to the thread."""
-        whole: Learned | None = None
+    async def _begin_save(self, now: float) -> None:
+        """Take a snapshot, yielding to the event loop after each slice, and submit it to the worker."""
+        snapshot: Learned | None = None
         slices = self.snapshots.slices(self.dispatcher.controller, now)
-        while whole is None:
-            whole = next(slices)
+        while snapshot is None:
+            snapshot = next(slices)
             await asyncio.sleep(0)
         if (
-            self.last is not None
-            and self.last.servers == whole.servers
-            and self.last.redials == whole.redials
+            self.last_snapshot is not None
+            and self.last_snapshot.servers == snapshot.servers
+            and self.last_snapshot.redials == snapshot.redials
         ):
-            self.pacing.begin(now)  # nothing changed: the file there says the same
+            self.pacing.begin(now)  # nothing changed since the last save
             self.pacing.done(now, 0)
             return
         self.pacing.begin(now)
         self.idle.clear()
-        self.last = whole
+        self.last_snapshot = snapshot
         folder = self.folder
         assert folder is not None
-        self.worker.put(lambda: self._save(folder, whole))
+        self.worker.submit(lambda: self._save_in_thread(folder, snapshot))
 
-    def _save(self, folder: DiskFolder, whole: Learned) -> None:
-        """In the thread."""
-        size, said = 0, ""
+    def _save_in_thread(self, folder: DiskFolder, snapshot: Learned) -> None:
+        """Encode and save a snapshot; runs in the worker thread."""
+        size, error_text = 0, ""
         try:
-            data = write_state(whole, self.print)
+            data = write_state(snapshot, self.settings_fingerprint)
             size = len(data)
             save(folder, data)
         except OSError as error:
-            said = error.strerror or str(error)
+            error_text = error.strerror or str(error)
         except StateError as error:
-            said = str(error)
-        with contextlib.suppress(RuntimeError):  # the program has ended
-            self.loop.call_soon_threadsafe(self.mailbox.put_nowait, Saved(folder, size, said))
+            error_text = str(error)
+        with contextlib.suppress(RuntimeError):  # the event loop is closed
+            self.loop.call_soon_threadsafe(self.mailbox.put_nowait, SaveFinished(folder, size, error_text))
 
-    def _saved(self, item: Saved, now: float) -> None:
+    def _on_save_finished(self, item: SaveFinished, now: float) -> None:
         if item.folder is not self.folder:
-            return  # of the folder before SIGHUP moved it: its save says nothing of the one here
+            return  # a save in the previous folder says nothing about the current one
         self.idle.set()
         if not item.error:
-            self.saves += 1
+            self.save_count += 1
             if self.pacing.failures:
                 log_event("state-saved-again", folder=self.path, bytes=item.size)
             self.pacing.done(now, item.size)
             return
-        self.last = None
+        self.last_snapshot = None
         wait = self.pacing.failed(now)
         LOG.warning("state-not-saved", folder=self.path, detail=repr(item.error), again_in_s=wait / 1000.0)
 
-    async def _moved(self, item: Moved) -> None:
-        """To another folder, if that can be had; else the old one stays."""
+    async def _on_folder_changed(self, item: FolderChanged) -> None:
+        """Switch to another folder if it can be opened; otherwise keep the current one."""
         self.pacing.pace = item.pace
         if item.folder == self.path:
             return
-        reached = await self._reach(item.folder)
-        if isinstance(reached, str):
-            LOG.warning("state-not-moved", folder=item.folder, detail=repr(reached))
+        opened = await self._open_folder(item.folder)
+        if isinstance(opened, str):
+            LOG.warning("state-not-moved", folder=item.folder, detail=repr(opened))
             return
-        old, (self.folder, files) = self.folder, reached
+        old, (self.folder, files) = self.folder, opened
         self.path = item.folder
         if old is not None:
-            self.worker.put(old.close)  # behind a save that may be under way there
-        sequence = decide(files, self.print, unix_ms()).sequence
+            self.worker.submit(old.close)  # queued behind a save that may still be running
+        sequence = decide(files, self.settings_fingerprint, unix_ms()).sequence
         self.snapshots.sequence = max(self.snapshots.sequence, sequence)
-        self.last, self.pacing = None, Pacing(item.pace)
+        self.last_snapshot, self.pacing = None, Pacing(item.pace)
         self.idle.set()
         log_event("state-moved", folder=self.path)
 
     async def stop(self) -> None:
-        """One last save, if the disk takes it within LAST_SAVE; after ``run`` was cancelled."""
+        """Save once more within FINAL_SAVE_TIMEOUT and stop the worker; call after ``run`` was cancelled."""
         if self.timer is not None:
             self.timer.cancel()
         if self.folder is None:
             return
         try:
-            async with asyncio.timeout(LAST_SAVE):
-                await self._await_saved()
-                await self._begin(unix_ms())
-                await self._await_saved()
+            async with asyncio.timeout(FINAL_SAVE_TIMEOUT):
+                await self._wait_for_save()
+                await self._begin_save(unix_ms())
+                await self._wait_for_save()
         except TimeoutError:
             LOG.warning("state-save-hangs", folder=self.path)
-        self.worker.end()
+        self.worker.stop()
 
-    async def _await_saved(self) -> None:
+    async def _wait_for_save(self) -> None:
         while not self.idle.is_set():
             item = await self.mailbox.get()
-            if isinstance(item, Saved):
-                self._saved(item, unix_ms())
+            if isinstance(item, SaveFinished):
+                self._on_save_finished(item, unix_ms())
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -1,4 +1,4 @@
-"""What the operators' staff do with the started program, on real sockets: one test for each rule."""
+"""Operation of the running program on real sockets: drains, operator calls, reloads, many connections."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 READY, OUT, IN = "/control/ready", "/control/out-of-service", "/control/in-service"
 
 
-def passes(program: Program) -> bool:
-    """What the front's test of the program says."""
+def health_check_passes(program: Program) -> bool:
+    """Return the result of a health check like the one that a front makes."""
     front = program.caller()
     front.send(Type.TEST, A, {Code.CAUSE: b"\0"})
     passed = front.receive(Type.TEST_RESULT).cause() == 1
@@ -33,51 +33,55 @@
     return passed
 
 
-def test_a_drain_ends_links_as_they_come_to_rest_and_none_that_has_a_call(tmp_path: Path) -> None:
+def test_drain_closes_idle_connections_and_none_with_a_call(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         idle, caller, open_one = program.caller(), program.caller("127.0.0.2"), program.caller("127.0.0.3")
         server = program.servers[0].accept()
-        assert passes(program) and program.call("GET", READY) == 200
+        assert health_check_passes(program) and program.call("GET", READY) == 200
         stand(caller, server)
         open_one.set_up(B)
         server.receive(Type.SET_UP)
         began = time.monotonic()
         assert program.call("POST", OUT) == 200
-        assert program.call("GET", READY) == 503 and not passes(program)
-        late = program.caller("127.0.0.4")  # the front sends for a moment more
+        assert program.call("GET", READY) == 503 and not health_check_passes(program)
+        late = program.caller("127.0.0.4")  # the front still sends for a moment
         stand(late, server, bytes(7) + b"\1")
         assert idle.closed() and time.monotonic() - began < 4.0
         server.send(Type.ANSWER, B, {Code.DESCRIPTION: b"x"})
         assert open_one.receive().type == Type.ANSWER
         server.release(B, 16)
         assert open_one.receive().type == Type.RELEASE and open_one.closed()
-        server.release(A, 16)  # only now: the call stood all the time, and its caller hears of its end
+        server.release(A, 16)  # the standing call stayed, and its caller gets its release
         assert caller.receive().type == Type.RELEASE and caller.closed()
-        assert program.call("POST", OUT) == 200  # as it is already
+        assert program.call("POST", OUT) == 200  # repeating the call is allowed
 
 
-def test_in_a_drain_that_has_settled_set_ups_are_refused_at_once(tmp_path: Path) -> None:
+def test_set_ups_late_in_a_drain_are_refused_at_once(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
         stand(caller, server)
         program.call("POST", OUT)
-        time.sleep(2.2)  # set-ups taken now would be young at 4 s
+        time.sleep(2.2)  # past the part of a drain in which set-ups are accepted
         caller.set_up(B)
         assert (refused := caller.receive()).type == Type.RELEASE and refused.cause() == 42
 
 
-def test_in_service_ends_a_drain_and_cancels_what_it_had_in_mind(tmp_path: Path) -> None:
+def test_in_service_ends_a_drain_and_cancels_its_later_steps(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        caller.send(Type.TEST, A, {Code.CAUSE: b"\0"})  # no longer one that has brought nothing
+        caller.send(Type.TEST, A, {Code.CAUSE: b"\0"})  # the connection has carried a message
         caller.receive(Type.TEST_RESULT)
         program.call("POST", OUT)
-        assert program.call("POST", IN) == 200 and program.call("GET", READY) == 200 and passes(program)
-        time.sleep(2.2)  # past every step of the drain that was ended
+        assert (
+            program.call("POST", IN) == 200
+            and program.call("GET", READY) == 200
+            and health_check_passes(program)
+        )
+        time.sleep(2.2)  # past every timer of the ended drain
         stand(caller, server)
 
 
-def test_while_stopping_the_operator_is_told_no(tmp_path: Path) -> None:
+def test_operator_calls_are_rejected_while_stopping(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
         stand(caller, server)
@@ -90,7 +94,7 @@
         assert program.process.wait(LIMIT) == 0
 
 
-def test_half_calls_and_silent_ones_neither_delay_nor_displace_whole_ones(tmp_path: Path) -> None:
+def test_incomplete_calls_neither_delay_nor_displace_complete_ones(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         half = []
         for at in range(100):  # more than there are descriptors for
@@ -102,11 +106,11 @@
                 assert program.call("GET", READY) == 200
                 assert time.monotonic() - began < 1.0
         last = Wire(half[-1])
-        assert last.exactly(12) == b"HTTP/1.1 408"  # half a call has its answer too
+        assert last.exactly(12) == b"HTTP/1.1 408"  # an incomplete call gets an answer too
         assert program.call("GET", READY) == 200
 
 
-def test_a_second_call_behind_the_first_harms_nothing(tmp_path: Path) -> None:
+def test_second_call_on_a_connection_is_ignored(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         sock = socket.create_connection(("127.0.0.1", program.operator), LIMIT)
         sock.sendall(
@@ -119,15 +123,15 @@
         assert program.call("GET", READY) == 200
 
 
-def test_without_an_address_there_is_no_operators_listener(tmp_path: Path) -> None:
+def test_without_an_operator_address_there_is_no_listener(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         stand(caller, server)
         assert not [line for line in program.log if "operator" in line]
 
 
-def retuned(program: Program, **changes: Any) -> str:
-    """The running file with other settings: a second class, and what is given."""
+def changed_settings(program: Program, **changes: Any) -> str:
+    """Return the program's configuration with a second class and the given limits."""
     raw = json.loads(program.config.read_text())
     first = raw["settings"]["classes"][0]
     raw["settings"]["classes"] = [first, {**first, "name": "video", "repeat": "non_idempotent"}]
@@ -136,28 +140,30 @@
     return json.dumps(raw)
 
 
-def test_sighup_changes_settings_for_what_comes_and_not_for_what_is_open(tmp_path: Path) -> None:
+def test_sighup_changes_settings_for_new_calls_only(tmp_path: Path) -> None:
     with Program(tmp_path, servers=2) as program:
         caller = program.caller()
         servers = [listener.accept() for listener in program.servers]
         caller.set_up(A, left=9000)
         servers[0].receive(Type.SET_UP)
-        program.reload(retuned(program, max_attempts=1))
+        program.reload(changed_settings(program, max_attempts=1))
         program.logged("reloaded .*revision=1 settings=changed classes=voice,video")
-        servers[0].release(A, 41)  # reset under the set-up, which had five attempts when it came
+        servers[0].release(
+            A, 41
+        )  # fails an attempt of a call that was set up when five attempts were allowed
         assert servers[1].receive(Type.SET_UP).call == A
         servers[1].send(Type.ANSWER, A, {Code.DESCRIPTION: b"x"})
         assert caller.receive().type == Type.ANSWER
-        caller.set_up(B, left=9000, name=b"video")  # of the class that is new, and may not be repeated
+        caller.set_up(B, left=9000, name=b"video")  # of the new class, which may not be retried
         servers[0].receive(Type.SET_UP)
         servers[0].release(B, 41)
         assert (failed := caller.receive()).call == B and failed.cause() not in (16, 34, 42, 102)
 
 
-def test_a_bad_file_is_turned_down_whole_and_the_last_good_one_holds(tmp_path: Path) -> None:
+def test_invalid_file_is_rejected_and_the_last_valid_one_stays_in_force(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         board = program.board.accept()
-        good = retuned(program)
+        good = changed_settings(program)
         bad = good.replace(f":{program.board.port}", ":9")
         program.reload(bad.replace('"max_attempts": 5', '"max_attempts": 0'))
         program.logged(
@@ -175,8 +181,8 @@
         stand(program.caller(), program.servers[0].accept())
 
 
-def test_in_a_crowd_that_never_finishes_slow_callers_and_the_operator_are_served(tmp_path: Path) -> None:
-    """Half set-ups, at last on more connections than there are descriptors; one caller writes for 2 s."""
+def test_slow_callers_and_the_operator_are_served_among_many_incomplete_set_ups(tmp_path: Path) -> None:
+    """Incomplete set-ups, finally on more connections than descriptors, while one caller writes for 2 s."""
     with Program(tmp_path, operated=True) as program:
         server = program.servers[0].accept()
         whole = write_message(Type.SET_UP, B, SET_UP)
@@ -208,8 +214,8 @@
         assert not [line for line in program.log if "internal-error" in line or "Too many open" in line]
 
 
-def test_a_burst_of_connects_while_the_program_is_held_up_drops_none(tmp_path: Path) -> None:
-    """A connect that the system drops is tried again after a second, too late for an operator's answer."""
+def test_burst_of_operator_connects_while_the_program_is_stopped(tmp_path: Path) -> None:
+    """Guards against dropped connects: the kernel retries one only after 1 s, too late for the answer."""
     with Program(tmp_path, operated=True) as program:
         program.process.send_signal(signal.SIGSTOP)
         burst = [socket.socket() for _ in range(60)]
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade with two real processes: what it may not cost, and each way in which it may fail."""
+"""Upgrades with two real processes: calls and connections that must survive, and each kind of failure."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from martentide.handover.wire import Hello, Left, write_frame
 from martentide.net.callers import LEAST_DOOR, Callers
 from martentide.net.config import Address
-from martentide.net.handover import MOST_HEARD, Channel
+from martentide.net.handover import MAX_RECEIVED_FRAMES, Channel
 from tests.net.support import LIMIT, ROOT, Program, Wire
 from tests.net.test_rules_on_sockets import A, B, stand
 
@@ -34,58 +34,58 @@
         new.kill()
 
 
-def stand_anew(program: Program, caller: Wire, call: bytes) -> None:
-    """Set a call up over the one server connection that is left."""
+def set_up_standing_call(program: Program, caller: Wire, call: bytes) -> None:
+    """Set up a call, skipping server connections of processes that have ended."""
     caller.set_up(call)
     while True:
         server = program.servers[0].accept()
         try:
             server.receive(Type.SET_UP)
         except (EOFError, ConnectionResetError):
-            continue  # of a process that has ended
+            continue  # the connection of a process that has ended
         server.send(Type.ANSWER, call, {Code.DESCRIPTION: b"x"})
         assert caller.receive().type == Type.ANSWER
         return
 
 
-def meeting(folder: Path) -> list[Path]:
+def handover_sockets(folder: Path) -> list[Path]:
     return [path for path in folder.iterdir() if stat.S_ISSOCK(path.stat().st_mode)]
 
 
 def test_connections_and_calls_outlive_the_process(tmp_path: Path) -> None:
-    """A call that stands, one that is open and half a message, all on connections of the old process."""
+    """Guards against losing a standing call, an open call or a partial message on moved connections."""
     with Program(tmp_path, operated=True) as old:
-        caller, other, half = old.caller(), old.caller("127.0.0.2"), old.caller("127.0.0.3")
+        caller, other, partial = old.caller(), old.caller("127.0.0.2"), old.caller("127.0.0.3")
         server = old.servers[0].accept()
         stand(caller, server, A)
         other.set_up(B)
         server.receive(Type.SET_UP)
-        server.send(PROGRESS, B)  # or another connection would be opened beside a silent one
+        server.send(PROGRESS, B)  # otherwise a second connection is opened beside a silent one
         whole = write_message(Type.TEST, C, {Code.CAUSE: b"\0"})
-        half.sock.sendall(whole[:5])
+        partial.sock.sendall(whole[:5])
         with upgrade(old) as new:
             assert new.port == old.port and new.call("GET", "/control/ready") == 200
             old.terminate()
             old.logged("step=moving")
             for _ in range(3):
                 old.logged("reason=handed-over")
-            half.sock.sendall(whole[5:])
-            assert half.receive().type == Type.TEST_RESULT
-            server.send(Type.ANSWER, B, {Code.DESCRIPTION: b"b"})  # the old process's server connection
+            partial.sock.sendall(whole[5:])
+            assert partial.receive().type == Type.TEST_RESULT
+            server.send(Type.ANSWER, B, {Code.DESCRIPTION: b"b"})  # on the old process's server connection
             assert other.receive().parameters == {Code.DESCRIPTION: b"b"}
             server.release(A, 16)
             assert (over := caller.receive()).type == Type.RELEASE and over.call == A
             fresh = old.servers[0].accept()
-            stand(caller, fresh, C)  # a new call, on the same connection, is the new process's
-            other.release(B, 16)  # one that stands in the old process is ended through the new one
+            stand(caller, fresh, C)  # the new process handles a new call on the same connection
+            other.release(B, 16)  # release of the old process's call through the new process
             assert server.receive(Type.RELEASE).call == B
-            assert old.process.wait(LIMIT) == 0  # it leaves early: all is over
+            assert old.process.wait(LIMIT) == 0  # all calls are over, so it ends early
             new.logged("step=alone")
             fresh.release(C, 16)
             assert caller.receive(Type.RELEASE).call == C
 
 
-def test_who_connects_meanwhile_is_accepted_by_one_of_them(tmp_path: Path) -> None:
+def test_connections_during_an_upgrade_are_accepted_by_one_process(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         server = old.servers[0].accept()
         before = old.caller()
@@ -93,10 +93,10 @@
             fresh = old.servers[0].accept()
             after = new.caller("127.0.0.2")
             stand(after, fresh, A)
-            stand(before, server, B)  # not told to end yet: its own connections go on
+            stand(before, server, B)  # the old process, not told to end yet, keeps its own connections
 
 
-def test_a_successor_that_dies_before_the_end_gives_all_back(tmp_path: Path) -> None:
+def test_predecessor_resumes_after_its_successor_dies(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
         stand(caller, server, A)
@@ -104,12 +104,12 @@
             new.kill()
             old.logged("step=accepting-again")
         stand(old.caller("127.0.0.2"), server, B)
-        with upgrade(old) as new:  # and the next try finds it
+        with upgrade(old) as new:  # a later successor finds the process again
             old.logged("step=yielded")
             assert new.call("GET", "/control/ready") == 200
 
 
-def test_a_successor_told_to_end_gives_the_listener_back(tmp_path: Path) -> None:
+def test_terminated_successor_returns_the_listener(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         server = old.servers[0].accept()
         with upgrade(old) as new:
@@ -119,7 +119,7 @@
             stand(old.caller(), server, A)
 
 
-def test_an_old_process_killed_in_the_hand_over_leaves_no_call_without_an_answer(tmp_path: Path) -> None:
+def test_calls_of_a_predecessor_killed_during_handover_are_answered(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
         caller.set_up(A, left=9000)
@@ -131,10 +131,10 @@
             old.kill()
             assert (failed := caller.receive()).type == Type.RELEASE and failed.cause() not in (16, 34, 42)
             new.logged("step=alone")
-            stand_anew(old, caller, B)
+            set_up_standing_call(old, caller, B)
 
 
-def test_two_upgrades_in_a_row_and_a_third_process_is_turned_away(tmp_path: Path) -> None:
+def test_consecutive_upgrades_and_rejection_of_a_third_process(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as first:
         caller, server = first.caller(), first.servers[0].accept()
         stand(caller, server, A)
@@ -155,10 +155,10 @@
                 second.logged("reason=handed-over")
                 assert second.process.wait(LIMIT) == 0
                 last.logged("step=alone")
-                stand_anew(first, caller, B)
+                set_up_standing_call(first, caller, B)
 
 
-def test_an_upgrade_in_a_drain_ends_in_service(tmp_path: Path) -> None:
+def test_upgrade_during_a_drain_ends_in_service(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
         stand(caller, server, A)
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize("kind", ["stale", "foreign", "folder"])
-def test_what_lies_at_the_meeting_place_does_not_keep_it_from_starting(tmp_path: Path, kind: str) -> None:
+def test_file_at_the_handover_socket_path_does_not_prevent_the_start(tmp_path: Path, kind: str) -> None:
     path = tmp_path / "martentide-127.0.0.1-0.sock"
     if kind == "stale":
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as dead:
@@ -187,16 +187,16 @@
 
 
 @pytest.mark.parametrize("name", ["missing", "x" * 120])
-def test_without_room_for_the_meeting_place_it_starts_as_ever(tmp_path: Path, name: str) -> None:
+def test_start_without_a_usable_handover_socket_path(tmp_path: Path, name: str) -> None:
     if name != "missing":
         (tmp_path / name).mkdir()
     with Program(tmp_path, operated=True, temporary=tmp_path / name) as program:
         stand(program.caller(), program.servers[0].accept())
 
 
-def test_another_version_is_turned_away(tmp_path: Path) -> None:
+def test_another_version_is_rejected(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
-        (path,) = meeting(tmp_path)
+        (path,) = handover_sockets(tmp_path)
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
             stranger.settimeout(LIMIT)
             stranger.connect(str(path))
@@ -205,8 +205,8 @@
         stand(program.caller(), program.servers[0].accept())
 
 
-def test_both_processes_have_one_budget_of_descriptors() -> None:
-    async def scene() -> None:
+def test_both_processes_share_one_limit_of_descriptors() -> None:
+    async def scenario() -> None:
         callers = Callers(100, lambda item: None)
         callers.beside(lambda left: None, 70)
         assert callers.client_connections.most == 30
@@ -215,11 +215,11 @@
         callers.orphaned()
         assert callers.client_connections.most == 100
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_connection_accepted_in_the_turn_of_the_yield_is_not_reset() -> None:
-    async def scene() -> None:
+def test_connection_accepted_in_the_loop_iteration_of_the_yield_is_not_reset() -> None:
+    async def scenario() -> None:
         offers: list[object] = []
         callers = Callers(100, offers.append)
         callers.bind(Address("127.0.0.1", 0))
@@ -227,7 +227,7 @@
         assert callers.server is not None
         port = callers.addresses()[0][1]
         with socket.create_connection(("127.0.0.1", port), LIMIT) as caller:
-            # What the loop does as the listener turns readable, and in the same turn the word to yield.
+            # Run the loop's accept callback and, in the same loop iteration, pause accepting.
             listener = callers.server.sockets[0]
             loop = asyncio.get_running_loop()
             loop._selector.get_key(listener.fileno()).data[0]._run()  # type: ignore[attr-defined]
@@ -238,22 +238,22 @@
                 assert await loop.sock_recv(caller, 100)
         callers.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_frames_that_nobody_takes_wait_in_the_system_and_come_in_order() -> None:
-    async def scene() -> None:
+def test_unprocessed_frames_stay_in_the_kernel_and_arrive_in_order() -> None:
+    async def scenario() -> None:
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         one, other = Channel(ends[0], "successor"), Channel(ends[1], "predecessor")
-        sent = [Left("a", at.to_bytes(8, "big")) for at in range(3 * MOST_HEARD)]
+        sent = [Left("a", at.to_bytes(8, "big")) for at in range(3 * MAX_RECEIVED_FRAMES)]
         for frame in sent:
             one.send(frame)
         await asyncio.sleep(0.1)
-        assert other.heard.qsize() == MOST_HEARD
+        assert other.received.qsize() == MAX_RECEIVED_FRAMES
         async with asyncio.timeout(LIMIT):
-            heard = [await other.heard.get() for _ in sent]
-        assert [item[0] for item in heard if item is not None] == sent
+            frames = [await other.received.get() for _ in sent]
+        assert [item[0] for item in frames if item is not None] == sent
         one.close()
         other.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
