--- a/martentide/attempt_messages.py
+++ b/martentide/attempt_messages.py
@@ -17,17 +17,17 @@
 class Presence(Enum):
     """Whether who offered a call still waits for it, as far as can be told without waiting."""
 
-    HERE = "here"
+    PRESENT = "here"
     LEFT = "left"  # its connection is over, though that may not have been read yet
-    UNHEARD = "unheard"  # it has said something that was not taken yet; a give-up may be in it
+    UNPROCESSED_INPUT = "unheard"  # it has said something that was not taken yet; a give-up may be in it
 
 
 class Client(Protocol):
     """The connection on which a call was offered, as whoever is about to begin an attempt may ask it."""
 
-    def look(self) -> Presence: ...
+    def check_presence(self) -> Presence: ...
 
-    def when_heard(self, then: Callable[[], None]) -> None:
+    def when_processed(self, callback: Callable[[], None]) -> None:
         """Call ``then`` once what the client has said by now was taken, and any give-up in it passed on. It
         is not called where the connection ends before: the call is given up then."""
 
--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -16,30 +16,30 @@
 from martentide.codec.messages import MOST_BYTES, Cause, Code, Message, Type, write_message, write_release
 from martentide.handover.wire import MOST_RECORDS, Left, MovedCalls, MovedLink, Said
 from martentide.net.call_trace import CALL_TRACE, CallStep
-from martentide.net.client_connections import ClientConnections, Send
+from martentide.net.client_connections import ClientConnections, SendFrame
 from martentide.net.close_reason import LOG, CloseReason, log_event
 from martentide.net.config import Address
 from martentide.net.dispatcher import GiveUp, Offer, ReleaseIn, time_for_answer
 from martentide.net.links import Link, LinkEnded, Received
 from martentide.net.listeners import bound
 
-MOST_OWED = 20_000  # releases kept for a party without a connection
-ACCEPTED_AT_A_TIME = 32  # connections that are accepted before the client connections look at them, at most
+MAX_PENDING_RELEASES = 20_000  # releases kept for a party without a connection
+ACCEPT_BATCH = 32  # connections that are accepted before the client connections look at them, at most
 # And at most one in so many of the callers' descriptors: the client connections hear of them three turns
 # later.
-ACCEPTED_OF = 12
-FREED_AT_A_TIME = 4  # idle connections that are closed when the system has no descriptor left
-LEAST_DOOR = 8  # descriptors that callers have at least, beside a predecessor's connections
-ACCEPTED_BY = 0.1  # s for what was accepted to reach its party, before the listener is closed
-MOVE_LIMIT = 1.0  # s in which a link must be ready to go to the successor
-MOVE_AGAIN = 0.005  # s until the next look at one that is not
-WAITING = 1024  # connections that wait in the system to be accepted
-FIRST_WINDOW = 64  # set-ups that may be open on a link, besides one for each that has stood
-OWED_FOR = 30.0  # s such a release is kept
+ACCEPT_BATCH_DIVISOR = 12
+CLOSED_PER_SHORTAGE = 4  # idle connections that are closed when the system has no descriptor left
+MIN_CALLER_CONNECTIONS = 8  # descriptors that callers have at least, beside a predecessor's connections
+ACCEPT_GRACE = 0.1  # s for what was accepted to reach its party, before the listener is closed
+MOVE_TIMEOUT = 1.0  # s in which a link must be ready to go to the successor
+MOVE_POLL_INTERVAL = 0.005  # s until the next look at one that is not
+LISTEN_BACKLOG = 1024  # connections that wait in the system to be accepted
+INITIAL_WINDOW = 64  # set-ups that may be open on a link, besides one for each that has stood
+PENDING_RELEASE_EXPIRY = 30.0  # s such a release is kept
 
 
 @dataclass(slots=True)
-class Record:
+class CallRecord:
     """A call of this party: the link its set-up came on, and whether it has been answered.
 
     ``foreign``: it is the predecessor's, which hears what its caller says of it. ``moved``: its caller's
@@ -48,7 +48,7 @@
 
     link: Link | None
     stands: bool = False
-    foreign: bool = False
+    predecessor_owned: bool = False
     moved: bool = False
 
 
@@ -67,7 +67,7 @@
     call: bytes
     message: bytes
     stands: bool = False
-    foreign: bool = False
+    from_predecessor: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
 @dataclass(frozen=True, slots=True)
 class MoveLink:
     link: Link
-    until: float  # loop time
+    deadline: float  # loop time
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,22 +126,27 @@
 )
 
 
-class Party:
+class CallingHost:
     """The actor of one calling party; ``tell`` is the dispatcher's mailbox."""
 
     def __init__(
         self,
         host: str,
-        tell: Callable[[Offer | GiveUp | ReleaseIn], None],
-        leave: Callable[[str], None],
+        notify_dispatcher: Callable[[Offer | GiveUp | ReleaseIn], None],
+        unregister: Callable[[str], None],
         client_connections: ClientConnections,
     ) -> None:
-        self.host, self.tell, self.leave, self.client_connections = host, tell, leave, client_connections
+        self.host, self.notify_dispatcher, self.unregister, self.client_connections = (
+            host,
+            notify_dispatcher,
+            unregister,
+            client_connections,
+        )
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
         self.links: dict[Link, int] = {}  # and how many calls stood that came on it
-        self.records: dict[bytes, Record] = {}
-        self.owed: dict[bytes, bytes] = {}
+        self.records: dict[bytes, CallRecord] = {}
+        self.pending_releases: dict[bytes, bytes] = {}
         self.task = self.loop.create_task(self._run(), name=f"party {host}")
 
     def post(self, item: Item) -> None:
@@ -151,26 +156,26 @@
         while True:
             item = await self.mailbox.get()
             try:
-                self._take(item)
+                self._handle(item)
             except Exception:
                 LOG.exception("internal-error", party=self.host, item=type(item).__name__)
                 if isinstance(item, Received):
                     item.link.close(CloseReason.INTERNAL)
             if isinstance(item, Received):
-                item.link.taken()
-            self.client_connections.calls(self.host, bool(self.records or self.owed))
-            if not (self.links or self.records or self.owed) and self.mailbox.empty():
-                self.leave(
+                item.link.message_processed()
+            self.client_connections.set_has_calls(self.host, bool(self.records or self.pending_releases))
+            if not (self.links or self.records or self.pending_releases) and self.mailbox.empty():
+                self.unregister(
                     self.host
                 )  # nothing is known of the party any more: its next connection starts anew
                 return
 
-    def _take(self, item: Item) -> None:
+    def _handle(self, item: Item) -> None:
         match item:
             case Received():
                 self._received(item)
             case Say():
-                self._say(item)
+                self._deliver(item)
             case Opened(link):
                 self._opened(link)
             case LinkEnded(link):
@@ -184,47 +189,55 @@
             case LeftHere(call):
                 record = self.records.pop(call, None)
                 if record is not None:
-                    self.tell(ReleaseIn(call) if record.stands else GiveUp(call))
+                    self.notify_dispatcher(ReleaseIn(call) if record.stands else GiveUp(call))
             case Orphaned():
-                self._orphaned()
+                self._predecessor_gone()
             case Deserted():
-                self._deserted()
+                self._successor_gone()
             case NoLongerOwed(call):
-                if self.owed.pop(call, None) is not None:
+                if self.pending_releases.pop(call, None) is not None:
                     log_event("release-not-delivered", party=self.host, call=call.hex())
 
     # ---- links ------------------------------------------------------------------------------------------
 
-    def welcome(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def add_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         port = (writer.get_extra_info("peername") or (self.host, 0))[1]
         link = Link(
-            "caller", f"{self.host}:{port}", (reader, writer), self.post, self.client_connections.stall
+            "caller",
+            f"{self.host}:{port}",
+            (reader, writer),
+            self.post,
+            self.client_connections.message_timeout,
         )
         self.post(Opened(link))
-        self.client_connections.arrived(link, self.host)
+        self.client_connections.add(link, self.host)
 
-    def take_over(self, frame: MovedLink, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def adopt_connection(
+        self, frame: MovedLink, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """A link of the predecessor's, with what it had read of a message."""
         peer = f"{self.host}:{frame.port}"
-        link = Link("caller", peer, (reader, writer), self.post, self.client_connections.stall, frame.begun)
+        link = Link(
+            "caller", peer, (reader, writer), self.post, self.client_connections.message_timeout, frame.begun
+        )
         self.post(MoveIn(frame, link))
-        self.client_connections.arrived(link, self.host)
+        self.client_connections.add(link, self.host)
 
     def _opened(self, link: Link) -> None:
         self.links[link] = 0
-        for release in self.owed.values():
+        for release in self.pending_releases.values():
             link.write(release)
-        self.owed.clear()
+        self.pending_releases.clear()
 
     def _link_ended(self, link: Link) -> None:
         del self.links[link]
-        self.client_connections.left(link)
+        self.client_connections.remove(link)
         for call, record in [(call, record) for call, record in self.records.items() if record.link is link]:
             if record.stands:
                 record.link = None
             else:
                 del self.records[call]
-                self._end(call, record)
+                self._notify_owner(call, record)
 
     # ---- what callers say -------------------------------------------------------------------------------
 
@@ -239,14 +252,14 @@
                 if record is None and self.client_connections.predecessor is not None:
                     self.client_connections.predecessor(Left(self.host, message.call))  # it may stand there
                 if record is not None:
-                    self._over(record)
-                    self._end(message.call, record)
+                    self._uncount_standing(record)
+                    self._notify_owner(message.call, record)
                     if not record.stands and record.link is not None:
-                        self.client_connections.ended(record.link, answered=False)
+                        self.client_connections.set_up_ended(record.link, answered=False)
                     elif record.stands:
-                        self.client_connections.of_use(link)
+                        self.client_connections.mark_answered(link)
             case Type.TEST:
-                self.client_connections.of_use(link)
+                self.client_connections.mark_answered(link)
                 passed = b"\x01" if self.client_connections.ready() else b"\0"
                 link.write(write_message(Type.TEST_RESULT, message.call, {Code.CAUSE: passed}))
 
@@ -254,7 +267,7 @@
         known = self.records.get(message.call)
         if known is not None and known.link is not None and not known.link.alive and not known.stands:
             # Sent once more, since its connection was closed as it came: that end is yet to be taken here.
-            self._end(message.call, known)
+            self._notify_owner(message.call, known)
         elif known is not None:
             # Guards against one answer for two set-ups, or two for one: which is whose could not be told.
             log_event("duplicate-call", party=self.host, call=message.call.hex())
@@ -288,26 +301,26 @@
             CALL_TRACE.step(message.call, CallStep.WRITTEN, stands=False, peer=link.peer)
             link.write(write_release(message.call, Cause.CONGESTION))
             return
-        if self.client_connections.open.get(link, 0) >= FIRST_WINDOW + self.links[link]:
+        if self.client_connections.open.get(link, 0) >= INITIAL_WINDOW + self.links[link]:
             # Guards against hundreds of set-ups at once from one that has brought none that stood: a caller's
             # window grows with what it has set up.
             link.write(write_release(message.call, Cause.CONGESTION))
             return
-        self.records[message.call] = Record(link)
-        self.client_connections.opened(link)
-        self.tell(offer)
+        self.records[message.call] = CallRecord(link)
+        self.client_connections.set_up_opened(link)
+        self.notify_dispatcher(offer)
 
-    def _end(self, call: bytes, record: Record) -> None:
+    def _notify_owner(self, call: bytes, record: CallRecord) -> None:
         """The caller gave the call up, or ended it: its owner hears of it."""
-        CALL_TRACE.step(call, CallStep.CALLER_LEFT, stands=record.stands, foreign=record.foreign)
-        if not record.foreign:
-            self.tell(ReleaseIn(call) if record.stands else GiveUp(call))
+        CALL_TRACE.step(call, CallStep.CALLER_LEFT, stands=record.stands, foreign=record.predecessor_owned)
+        if not record.predecessor_owned:
+            self.notify_dispatcher(ReleaseIn(call) if record.stands else GiveUp(call))
         elif self.client_connections.predecessor is not None:
             self.client_connections.predecessor(Left(self.host, call))
 
-    def _over(self, record: Record) -> None:
+    def _uncount_standing(self, record: CallRecord) -> None:
         if record.stands and record.link is not None:
-            self.client_connections.stands(record.link, -1)
+            self.client_connections.change_standing(record.link, -1)
 
     # ---- what the dispatcher says -----------------------------------------------------------------------
 
@@ -324,10 +337,12 @@
     def release(self, call: bytes, cut: bool) -> None:
         self.post(Say(call, write_release(call, Cause.TEMPORARY_FAILURE if cut else Cause.NORMAL)))
 
-    def _say(self, item: Say) -> None:
+    def _deliver(self, item: Say) -> None:
         record = self.records.get(item.call)
-        if record is None and item.foreign and not item.stands:
-            record = Record(None, stands=True, foreign=True)  # its caller came back after its link had ended
+        if record is None and item.from_predecessor and not item.stands:
+            record = CallRecord(
+                None, stands=True, predecessor_owned=True
+            )  # its caller came back after its link had ended
             self.records[item.call] = record
         if record is None:
             return  # the caller has left; the dispatcher is being told
@@ -343,17 +358,17 @@
             # Guards against a call that stands for nobody: its link ended as the answer was on its way.
             CALL_TRACE.step(item.call, CallStep.NO_CONNECTION, stands=item.stands)
             del self.records[item.call]
-            self._end(item.call, record)
+            self._notify_owner(item.call, record)
             return
         if not record.stands and record.link is not None:
-            self.client_connections.ended(record.link, answered=True)
+            self.client_connections.set_up_ended(record.link, answered=True)
         if item.stands and link is not None:
             record.stands = True
             self.links[link] += 1
-            self.client_connections.stands(link, 1)
+            self.client_connections.change_standing(link, 1)
         else:
             del self.records[item.call]
-            self._over(record)
+            self._uncount_standing(record)
         if link is None and record.stands and not item.stands:
             link = next((link for link in reversed(self.links) if link.alive), None)
         step = CallStep.NO_CONNECTION if link is None else CallStep.WRITTEN
@@ -364,18 +379,18 @@
             record.stands
             and not item.stands
             and self.client_connections.successor is not None
-            and not record.foreign
+            and not record.predecessor_owned
         ):
             self.client_connections.successor(
                 Said(self.host, item.call, item.message, False), None
             )  # it may come there
         elif record.stands and not item.stands:
-            self._owe(item.call, item.message)
+            self._keep_release(item.call, item.message)
 
-    def _owe(self, call: bytes, message: bytes) -> None:
-        if len(self.owed) < MOST_OWED:
-            self.owed[call] = message
-            self.loop.call_later(OWED_FOR, self.post, NoLongerOwed(call))
+    def _keep_release(self, call: bytes, message: bytes) -> None:
+        if len(self.pending_releases) < MAX_PENDING_RELEASES:
+            self.pending_releases[call] = message
+            self.loop.call_later(PENDING_RELEASE_EXPIRY, self.post, NoLongerOwed(call))
 
     # ---- upgrade ----------------------------------------------------------------------------------------
 
@@ -385,8 +400,8 @@
             return
         linkless = {call: record for call, record in self.records.items() if record.link is None}
         standing = [call for call, record in linkless.items() if record.stands and not record.moved]
-        owed = list(self.owed.items())
-        self.owed.clear()
+        owed = list(self.pending_releases.items())
+        self.pending_releases.clear()
         for at in range(0, max(len(standing), len(owed)), MOST_RECORDS):
             part = slice(at, at + MOST_RECORDS)
             self.client_connections.successor(
@@ -394,7 +409,7 @@
             )
         for call in standing:
             self.records[call].moved = True
-        until = self.loop.time() + MOVE_LIMIT
+        until = self.loop.time() + MOVE_TIMEOUT
         for link in list(self.links):
             self._move_link(MoveLink(link, until))
 
@@ -406,8 +421,8 @@
         link.pause()
         if not link.movable:
             # Messages that were read are taken here first; a peer that takes no bytes can't go along.
-            if self.loop.time() < item.until:
-                self.loop.call_later(MOVE_AGAIN, self.post, item)
+            if self.loop.time() < item.deadline:
+                self.loop.call_later(MOVE_POLL_INTERVAL, self.post, item)
             else:
                 link.close(CloseReason.BLOCKED)
             return
@@ -416,7 +431,7 @@
         frame = MovedLink(
             host=self.host,
             port=int(link.peer.rpartition(":")[2]),
-            begun=bytes(link.begun),
+            begun=bytes(link.partial_message),
             mute=link in self.client_connections.mute,
             stood=self.links[link],
             open=tuple(calls[0]),
@@ -433,40 +448,44 @@
     def _move_in(self, frame: MovedLink | MovedCalls, link: Link | None) -> None:
         """Take over what the predecessor handed over; its calls stay its own."""
         for call in frame.standing:
-            self.records[call] = Record(link, stands=True, foreign=True)
+            self.records[call] = CallRecord(link, stands=True, predecessor_owned=True)
         if isinstance(frame, MovedCalls):
             for call, message in frame.owed:
                 if (alive := next((one for one in reversed(self.links) if one.alive), None)) is not None:
                     alive.write(message)
                 else:
-                    self._owe(call, message)
+                    self._keep_release(call, message)
             return
         assert link is not None
         self.links[link] = frame.stood
         for call in frame.open:
             CALL_TRACE.step(call, CallStep.MOVED_IN, peer=link.peer)
-            self.records[call] = Record(link, foreign=True)
-            self.client_connections.opened(link)
-        self.client_connections.stands(link, len(frame.standing))
+            self.records[call] = CallRecord(link, predecessor_owned=True)
+            self.client_connections.set_up_opened(link)
+        self.client_connections.change_standing(link, len(frame.standing))
         if not frame.mute:
-            self.client_connections.of_use(link)
+            self.client_connections.mark_answered(link)
 
-    def _deserted(self) -> None:
+    def _successor_gone(self) -> None:
         """Calls that stand have no connection until their callers come back; the others are given up."""
         for call, record in [(call, record) for call, record in self.records.items() if record.moved]:
             record.moved = False
             if not record.stands:
                 del self.records[call]
-                self._end(call, record)
+                self._notify_owner(call, record)
 
-    def _orphaned(self) -> None:
+    def _predecessor_gone(self) -> None:
         """Guards against calls that nobody answers, once the process that had them is gone."""
-        for call, record in [(call, record) for call, record in self.records.items() if record.foreign]:
+        for call, record in [
+            (call, record) for call, record in self.records.items() if record.predecessor_owned
+        ]:
             if record.stands:
                 del self.records[call]
-                self._over(record)
+                self._uncount_standing(record)
             else:
-                self._say(Say(call, write_release(call, Cause.RESOURCE_UNAVAILABLE), foreign=True))
+                self._deliver(
+                    Say(call, write_release(call, Cause.RESOURCE_UNAVAILABLE), from_predecessor=True)
+                )
 
 
 def read_milliseconds(text: str | None) -> float:
@@ -478,9 +497,15 @@
 class Callers:
     """The listener: hands each connection to its party's actor."""
 
-    def __init__(self, most: int, tell: Callable[[Offer | GiveUp | ReleaseIn], None]) -> None:
-        self.client_connections, self.tell, self.most = ClientConnections(most), tell, most
-        self.parties: dict[str, Party] = {}
+    def __init__(
+        self, max_connections: int, notify_dispatcher: Callable[[Offer | GiveUp | ReleaseIn], None]
+    ) -> None:
+        self.client_connections, self.notify_dispatcher, self.max_connections = (
+            ClientConnections(max_connections),
+            notify_dispatcher,
+            max_connections,
+        )
+        self.calling_hosts: dict[str, CallingHost] = {}
         self.socket: socket.socket | None = None
         self.server: asyncio.Server | None = None
         self.moving = False  # whether all parties go to the successor
@@ -499,29 +524,31 @@
         self.server = await asyncio.start_server(
             self._accept,
             sock=self.socket.dup(),
-            backlog=max(1, min(ACCEPTED_AT_A_TIME, self.most // ACCEPTED_OF)),
+            backlog=max(1, min(ACCEPT_BATCH, self.max_connections // ACCEPT_BATCH_DIVISOR)),
             limit=MOST_BYTES,
         )
-        self.socket.listen(WAITING)
+        self.socket.listen(LISTEN_BACKLOG)
 
     def addresses(self) -> list[tuple[str, int]]:
         return [self.socket.getsockname()[:2]] if self.socket is not None else []
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         host = (writer.get_extra_info("peername") or ("unknown", 0))[0]
-        party = self._party(host)
-        party.welcome(reader, writer)
+        party = self._calling_host(host)
+        party.add_connection(reader, writer)
         if self.moving:
             party.post(MoveOut())
 
     def make_room(self) -> int:
         """Close a few connections that are cheapest to lose; how many were."""
-        return self.client_connections.free(FREED_AT_A_TIME)
+        return self.client_connections.close_idle(CLOSED_PER_SHORTAGE)
 
-    def _party(self, host: str) -> Party:
-        if host not in self.parties:
-            self.parties[host] = Party(host, self.tell, self.parties.__delitem__, self.client_connections)
-        return self.parties[host]
+    def _calling_host(self, host: str) -> CallingHost:
+        if host not in self.calling_hosts:
+            self.calling_hosts[host] = CallingHost(
+                host, self.notify_dispatcher, self.calling_hosts.__delitem__, self.client_connections
+            )
+        return self.calling_hosts[host]
 
     def pause(self) -> None:
         """Accept no more; who connects waits in the queue of the socket, which is kept.
@@ -533,7 +560,7 @@
             loop = asyncio.get_running_loop()
             for sock in self.server.sockets:
                 loop.remove_reader(sock.fileno())
-            loop.call_later(ACCEPTED_BY, self.server.close)
+            loop.call_later(ACCEPT_GRACE, self.server.close)
             self.server = None
 
     def close(self) -> None:
@@ -548,43 +575,45 @@
     def move_out(self) -> None:
         """Hand all parties over; MovedLink comes for each link as soon as it can go."""
         self.moving = True
-        for party in list(self.parties.values()):
+        for party in list(self.calling_hosts.values()):
             party.post(MoveOut())
 
     async def move_in(self, frame: MovedLink | MovedCalls, descriptor: int | None) -> None:
         """Take up what the predecessor handed over."""
         if isinstance(frame, MovedCalls):
-            self._party(frame.host).post(MoveIn(frame, None))
+            self._calling_host(frame.host).post(MoveIn(frame, None))
             return
         if descriptor is None:
             return
-        self.client_connections.most = min(self.most, self.client_connections.most + 1)
+        self.client_connections.max_connections = min(
+            self.max_connections, self.client_connections.max_connections + 1
+        )
         reader, writer = await asyncio.open_connection(
             sock=socket.socket(fileno=descriptor), limit=MOST_BYTES
         )
-        self._party(frame.host).take_over(frame, reader, writer)
+        self._calling_host(frame.host).adopt_connection(frame, reader, writer)
 
     def said(self, frame: Said) -> None:
         """The predecessor has something to say to a caller."""
-        if frame.host in self.parties or not frame.stands:
-            say = Say(frame.call, frame.message, frame.stands, foreign=True)
-            self._party(frame.host).post(say)
+        if frame.host in self.calling_hosts or not frame.stands:
+            say = Say(frame.call, frame.message, frame.stands, from_predecessor=True)
+            self._calling_host(frame.host).post(say)
         elif self.client_connections.predecessor is not None:
             self.client_connections.predecessor(Left(frame.host, frame.call))
 
     def left(self, frame: Left) -> None:
         """The successor tells what a caller said of a call of this process."""
-        if frame.host in self.parties:
-            self.parties[frame.host].post(LeftHere(frame.call))
+        if frame.host in self.calling_hosts:
+            self.calling_hosts[frame.host].post(LeftHere(frame.call))
 
     def beside(self, predecessor: Callable[[Left], None], links: int) -> None:
         """A predecessor is there, with so many links: both together have one budget of descriptors."""
-        self.client_connections.predecessor, self.client_connections.most = (
+        self.client_connections.predecessor, self.client_connections.max_connections = (
             predecessor,
-            max(LEAST_DOOR, self.most - links),
+            max(MIN_CALLER_CONNECTIONS, self.max_connections - links),
         )
 
-    def yield_to(self, successor: Send) -> None:
+    def yield_to(self, successor: SendFrame) -> None:
         """The successor accepts from now on, this process no more."""
         self.pause()
         self.client_connections.successor = successor
@@ -592,11 +621,14 @@
     def successor_gone(self) -> None:
         """Connections that it had are over."""
         self.client_connections.successor, self.moving = None, False
-        for party in list(self.parties.values()):
+        for party in list(self.calling_hosts.values()):
             party.post(Deserted())
 
     def orphaned(self) -> None:
         """The predecessor is gone."""
-        self.client_connections.predecessor, self.client_connections.most = None, self.most
-        for party in list(self.parties.values()):
+        self.client_connections.predecessor, self.client_connections.max_connections = (
+            None,
+            self.max_connections,
+        )
+        for party in list(self.calling_hosts.values()):
             party.post(Orphaned())
--- a/martentide/net/descriptors.py
+++ b/martentide/net/descriptors.py
@@ -14,28 +14,28 @@
 from martentide.net.close_reason import log_event
 
 CALLERS_SHARE = 0.5  # callers hold a third at most, old connections may overlap new ones
-OWN = 16  # standard streams, event loop, listeners, the board, files: what the process needs for itself
-LEAST_CALLERS = 8
-MOST_OPERATOR_CALLS = 24
-SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-TOLD_AGAIN = 1.0  # s between two log lines about a shortage
+RESERVED = 16  # standard streams, event loop, listeners, the board, files: what the process needs for itself
+MIN_CALLERS = 8
+MAX_OPERATOR_CALLS = 24
+SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+LOG_INTERVAL = 1.0  # s between two log lines about a shortage
 
 
-def most(told: int) -> int:
+def most(configured: int) -> int:
     """The process's limit: what the configuration tells, or the system's where that is less."""
     system = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    return told if system == resource.RLIM_INFINITY else min(told, system)
+    return configured if system == resource.RLIM_INFINITY else min(configured, system)
 
 
 def for_operator(limit: int) -> int:
     """Calls of the operator that may be open at once."""
-    return min(MOST_OPERATOR_CALLS, limit // 8)
+    return min(MAX_OPERATOR_CALLS, limit // 8)
 
 
 def for_callers(limit: int, servers: int, operated: bool) -> int:
     """Connections of callers: half of all, less where the rest would not do for everything else."""
-    rest = limit - OWN - servers - (for_operator(limit) if operated else 0)
-    return max(LEAST_CALLERS, min(int(limit * CALLERS_SHARE), rest))
+    rest = limit - RESERVED - servers - (for_operator(limit) if operated else 0)
+    return max(MIN_CALLERS, min(int(limit * CALLERS_SHARE), rest))
 
 
 class Shortage:
@@ -48,19 +48,19 @@
     def __init__(self, make_room: Callable[[], int]) -> None:
         self.make_room = make_room
         self.loop = asyncio.get_running_loop()
-        self.told_at: float | None = None
-        self.times = 0
+        self.logged_at: float | None = None
+        self.occurrences = 0
 
     def met(self, error: BaseException | None) -> bool:
         """Whether the error is one; if so, room is made."""
-        if not isinstance(error, OSError) or error.errno not in SHORT:
+        if not isinstance(error, OSError) or error.errno not in SHORTAGE_ERRNOS:
             return False
-        self.times += 1
+        self.occurrences += 1
         closed = self.make_room()
         now = self.loop.time()
-        if self.told_at is None or now - self.told_at >= TOLD_AGAIN:
-            log_event("descriptors-short", times=self.times, closed=closed, detail=repr(str(error)))
-            self.told_at, self.times = now, 0
+        if self.logged_at is None or now - self.logged_at >= LOG_INTERVAL:
+            log_event("descriptors-short", times=self.occurrences, closed=closed, detail=repr(str(error)))
+            self.logged_at, self.occurrences = now, 0
         return True
 
     def handle(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/martentide/net/dispatcher.py
+++ b/martentide/net/dispatcher.py
@@ -52,16 +52,16 @@
 if TYPE_CHECKING:
     from martentide.agreement.overlay import InForce
 
-MOST_STANDING = 50_000  # calls that stand at once, before new ones are refused
-REMEMBERED_IDS = 4096  # ids answered lately: one that comes again is no new call
-AT_A_TIME = 64  # items taken before the rest of the program has its turn
-CLOCK_JUMP = (
+MAX_STANDING_CALLS = 50_000  # calls that stand at once, before new ones are refused
+MAX_REMEMBERED_IDS = 4096  # ids answered lately: one that comes again is no new call
+ITEMS_PER_TURN = 64  # items taken before the rest of the program has its turn
+CLOCK_JUMP_THRESHOLD = (
     1_000.0  # ms by which the wall clock may differ from the steady one without being taken for a jump
 )
-OVERDUE = 10.0  # ms after the time for its answer in which the decisions should have answered a call
-ANSWER_AHEAD = 40.0  # ms before its caller's time is up at which a call has its final answer, at the latest
-ANSWER_AHEAD_SHARE = 0.25  # of the time left, where that is less: a short call still gets its attempt
-LEAST_AHEAD = 10.0  # ms, however short the call: a timer, a turn of the loop and the way back take some
+OVERDUE_MARGIN = 10.0  # ms after the time for its answer in which the decisions should have answered a call
+ANSWER_MARGIN = 40.0  # ms before its caller's time is up at which a call has its final answer, at the latest
+ANSWER_MARGIN_SHARE = 0.25  # of the time left, where that is less: a short call still gets its attempt
+MIN_ANSWER_MARGIN = 10.0  # ms, however short the call: a timer, a turn of the loop and the way back take some
 
 
 # ---- the front's side -----------------------------------------------------------------------------------
@@ -172,10 +172,10 @@
 class Call:
     offer: Offer
     ref: int
-    overdue: asyncio.TimerHandle
+    overdue_timer: asyncio.TimerHandle
     attempts: int = 0
-    out: int | None = None  # number of the attempt that is out
-    at: Carrier | None = None
+    current_attempt: int | None = None  # number of the attempt that is out
+    current_carrier: Carrier | None = None
     stands: bool = False
     closed: bool = False  # nothing is owed to the caller any more
 
@@ -187,7 +187,7 @@
     the decisions are told of. Its time-out, the answer's way back, and what the set-up lay unread while the
     process was busy come on top, and callers on sockets allow no time beyond what they told.
     """
-    return time_left - max(LEAST_AHEAD, min(ANSWER_AHEAD, ANSWER_AHEAD_SHARE * time_left))
+    return time_left - max(MIN_ANSWER_MARGIN, min(ANSWER_MARGIN, ANSWER_MARGIN_SHARE * time_left))
 
 
 class WaitingCaller:
@@ -200,15 +200,15 @@
     def __init__(self, dispatcher: Dispatcher, call: Call) -> None:
         self.dispatcher, self.call = dispatcher, call
 
-    def look(self) -> Presence:
+    def check_presence(self) -> Presence:
         offer = self.call.offer
-        if self.call.closed or self.dispatcher.leaving[offer.call]:
+        if self.call.closed or self.dispatcher.pending_departures[offer.call]:
             return Presence.LEFT
-        return Presence.HERE if offer.client is None else offer.client.look()
+        return Presence.PRESENT if offer.client is None else offer.client.check_presence()
 
-    def when_heard(self, then: Callable[[], None]) -> None:
+    def when_processed(self, then: Callable[[], None]) -> None:
         if self.call.offer.client is not None:
-            self.call.offer.client.when_heard(then)
+            self.call.offer.client.when_processed(then)
 
 
 class Dispatcher:
@@ -220,14 +220,16 @@
         self.controller, self.start_server, self.max_open = controller, start_server, max_open
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
         self.loop = asyncio.get_running_loop()
-        self.now = self.steady_at = 0.0  # as of the last look at the clocks, Unix and monotonic
+        self.now = self.monotonic_at = 0.0  # as of the last look at the clocks, Unix and monotonic
         self.asking: bytes | None = None  # the call whose question the decisions are being asked
         self.refs = itertools.count(1)
         self.calls: dict[int, Call] = {}
         self.by_id: dict[bytes, Call] = {}
-        self.leaving: Counter[bytes] = Counter()  # calls whose end by the caller waits in the mailbox
+        self.pending_departures: Counter[bytes] = (
+            Counter()
+        )  # calls whose end by the caller waits in the mailbox
         self.open_calls = 0  # offered and neither answered nor standing
-        self.answered: OrderedDict[bytes, int] = OrderedDict()  # and the caller
+        self.recently_answered: OrderedDict[bytes, int] = OrderedDict()  # and the caller
         self.listed: dict[str, Listed] = {}
         self.servers: dict[str, ServerActor] = {}
         self.list_observers: list[Callable[[tuple[Listed, ...]], None]] = []
@@ -247,16 +249,16 @@
 
     def post(self, item: Item) -> None:
         if isinstance(item, GiveUp | ReleaseIn):
-            self.leaving[item.call] += 1
+            self.pending_departures[item.call] += 1
         self.mailbox.put_nowait(item)
 
     async def run(self) -> None:
         for taken in itertools.count():
-            if taken % AT_A_TIME == 0:
+            if taken % ITEMS_PER_TURN == 0:
                 await asyncio.sleep(0)  # a full mailbox must not keep timers and links from their turn
             item = await self.mailbox.get()
             try:
-                self._take(item)
+                self._handle(item)
             except Exception:
                 # Guards against an error in the decisions: the call it hit is answered, the rest goes on.
                 LOG.exception("internal-error", item=type(item).__name__)
@@ -267,16 +269,16 @@
             else:
                 self.idle.set()
 
-    def _take(self, item: Item) -> None:
+    def _handle(self, item: Item) -> None:
         if self.before_each_item is not None:
             self.before_each_item()
         match item:
             case Offer():
                 self._offer(item)
             case GiveUp(call_id) | ReleaseIn(call_id):
-                self._left(call_id)
+                self._caller_left(call_id)
             case ClientLeft(ref):
-                self._found_gone(ref)
+                self._client_gone(ref)
             case Heard():
                 if (server := self.servers.get(item.server)) is not None:
                     server.post(item)
@@ -293,7 +295,7 @@
                 for server in self.servers.values():
                     server.post(item)
                 self.local_settings = settings
-                self._feed(SettingsChanged(self._under(settings)))
+                self._feed(SettingsChanged(self._effective_settings(settings)))
             case _:
                 self._feed(item)
 
@@ -304,24 +306,24 @@
     def apply_agreed_rules(self, in_force: InForce) -> None:
         """From now on, at once: what is offered is decided under it; calls offered before keep their
         terms."""
-        settings = self._under(self.local_settings)
+        settings = self._effective_settings(self.local_settings)
         self.agreed_rules = in_force
-        if (under := self._under(self.local_settings)) != settings:
+        if (under := self._effective_settings(self.local_settings)) != settings:
             self._feed(SettingsChanged(under))
         self.refresh_listed_states()
 
     def refresh_listed_states(self) -> None:
         """Tell the decisions of servers that are another way than what they hold, by what is in force."""
         held = self.controller.servers
-        entries = self._entries(tuple(listed.entry for listed in self.listed.values()))
+        entries = self._effective_entries(tuple(listed.entry for listed in self.listed.values()))
         changed = tuple(one for one in entries if one.name in held and held[one.name].entry != one)
         if changed:
             self._feed(ServerList(ListKind.CHANGES, changed))
 
-    def _under(self, settings: Settings) -> Settings:
+    def _effective_settings(self, settings: Settings) -> Settings:
         return settings if self.agreed_rules is None else self.agreed_rules.settings(settings)
 
-    def _entries(self, entries: tuple[ServerEntry, ...]) -> tuple[ServerEntry, ...]:
+    def _effective_entries(self, entries: tuple[ServerEntry, ...]) -> tuple[ServerEntry, ...]:
         if self.agreed_rules is None:
             return entries
         from martentide.agreement.overlay import ANSWERED
@@ -335,9 +337,9 @@
         one; where it jumped, time goes on at the steady pace: neither backwards, nor still until the old
         time is reached again."""
         steady_at, wall = self.loop.time() * 1000.0, unix_ms()
-        steady = self.now + steady_at - self.steady_at
-        self.steady_at = steady_at
-        jumped = self.now > 0.0 and abs(wall - steady) > CLOCK_JUMP
+        steady = self.now + steady_at - self.monotonic_at
+        self.monotonic_at = steady_at
+        jumped = self.now > 0.0 and abs(wall - steady) > CLOCK_JUMP_THRESHOLD
         self.now = max(self.now, steady if jumped else wall)
         return self.now
 
@@ -350,28 +352,34 @@
             actions = self.controller.actions
             LOG.debug("decide", now=self.now, heard=event, actions=actions)
             for action in actions:
-                self._act(action)
+                self._perform(action)
         for follower in tuple(self.event_observers):
             follower(self.now, event)
 
     # ---- what the decisions ask -------------------------------------------------------------------------
 
-    def _act(self, action: Action) -> None:
+    def _perform(self, action: Action) -> None:
         match action:
             case SendSetUp():
                 self._send(action)
             case Refuse() | Fail():
                 call = self.calls.get(action.ref)
                 if call is not None and not call.closed:
-                    self._close(call, answered=True)
+                    self._close_call(call, answered=True)
                     if isinstance(action, Refuse):
                         call.offer.caller.refuse(call.offer.call, action.hold_off)
                     else:
                         call.offer.caller.fail(call.offer.call)
             case CancelAttempt():
                 call = self.calls.get(action.ref)
-                if call is not None and call.out == action.attempt and call.at is not None:
-                    call.at.post(Withdraw(action.ref, action.attempt, call.offer.call, hang_up=False))
+                if (
+                    call is not None
+                    and call.current_attempt == action.attempt
+                    and call.current_carrier is not None
+                ):
+                    call.current_carrier.post(
+                        Withdraw(action.ref, action.attempt, call.offer.call, hang_up=False)
+                    )
             case SetTimer():
                 self.loop.call_later(max(0.0, action.delay) / 1000.0, self.post, TimerDue(action.token))
             case Probe():
@@ -387,15 +395,15 @@
 
     def _send(self, action: SendSetUp) -> None:
         call = self.calls.get(action.ref)
-        if call is None or call.closed or call.out is not None:
+        if call is None or call.closed or call.current_attempt is not None:
             raise RuntimeError(f"set-up of call {action.ref}, which is closed or has an attempt out")
         attempt, call.attempts = call.attempts, call.attempts + 1
         offer = call.offer
-        call.out, call.at = attempt, offer.carrier or self.servers.get(action.server)
-        if call.at is None:
+        call.current_attempt, call.current_carrier = attempt, offer.carrier or self.servers.get(action.server)
+        if call.current_carrier is None:
             self.post(Ended(call.ref, attempt, action.server, Ending.NOT_SENT, False, 0.0, None))
             return
-        call.at.post(
+        call.current_carrier.post(
             Order(
                 ref=call.ref,
                 attempt=attempt,
@@ -413,7 +421,7 @@
 
     def _offer(self, offer: Offer) -> None:
         known = self.by_id.get(offer.call)
-        if known is not None or self.answered.get(offer.call) == id(offer.caller):
+        if known is not None or self.recently_answered.get(offer.call) == id(offer.caller):
             # Guards against two calls under one id: it is in use, or this caller had its answer lately. It is
             # not another caller's fault to come by it later. The answer of an open call stays the only one.
             log_event("duplicate-call", call=offer.call.hex())
@@ -421,7 +429,7 @@
                 offer.caller.refuse(offer.call, 0.0)
             return
         standing = len(self.by_id) - self.open_calls
-        if self.closing or self.open_calls >= self.max_open or standing >= MOST_STANDING:
+        if self.closing or self.open_calls >= self.max_open or standing >= MAX_STANDING_CALLS:
             offer.caller.refuse(offer.call, 0.0)
             return
         name = offer.call_class.decode("utf-8", "replace")
@@ -434,30 +442,30 @@
             offer.caller.refuse(offer.call, 0.0)
             return
         ref = next(self.refs)
-        timer = self.loop.call_later((left + OVERDUE) / 1000.0, self.post, Overdue(ref))
+        timer = self.loop.call_later((left + OVERDUE_MARGIN) / 1000.0, self.post, Overdue(ref))
         call = self.calls[ref] = self.by_id[offer.call] = Call(offer, ref, timer)
         self.open_calls += 1
         number = offer.number.decode("utf-8", "replace") or None
         self.asking = offer.call
         self._feed(SetUpOffered(call.ref, name, None, number, left, offer.first_choice, False, False))
 
-    def _left(self, call_id: bytes) -> None:
-        self.leaving[call_id] -= 1
-        if not self.leaving[call_id]:
-            del self.leaving[call_id]
-        self._caller_leaves(call_id)
+    def _caller_left(self, call_id: bytes) -> None:
+        self.pending_departures[call_id] -= 1
+        if not self.pending_departures[call_id]:
+            del self.pending_departures[call_id]
+        self._end_by_caller(call_id)
 
-    def _found_gone(self, ref: int) -> None:
+    def _client_gone(self, ref: int) -> None:
         if (call := self.calls.get(ref)) is not None and not call.closed:
-            self._caller_leaves(call.offer.call)
+            self._end_by_caller(call.offer.call)
 
-    def _caller_leaves(self, call_id: bytes) -> None:
+    def _end_by_caller(self, call_id: bytes) -> None:
         call = self.by_id.get(call_id)
         if call is None or call.closed:
             return
-        self._close(call)
-        if call.out is not None and call.at is not None:
-            call.at.post(Withdraw(call.ref, call.out, call_id, hang_up=True))
+        self._close_call(call)
+        if call.current_attempt is not None and call.current_carrier is not None:
+            call.current_carrier.post(Withdraw(call.ref, call.current_attempt, call_id, hang_up=True))
         if not call.stands:
             self._feed(CallerGone(call.ref))
 
@@ -467,20 +475,20 @@
         if call is None or call.closed or call.stands:
             return
         log_event("overdue", call=call.offer.call.hex(), attempts=call.attempts)
-        self._caller_leaves(call.offer.call)
+        self._end_by_caller(call.offer.call)
         call.offer.caller.fail(call.offer.call)
 
-    def _close(self, call: Call, answered: bool = False) -> None:
+    def _close_call(self, call: Call, answered: bool = False) -> None:
         """The caller has its final answer or has left; the entry stays while an attempt is out."""
         call.closed = True
         self.open_calls -= not call.stands
-        call.overdue.cancel()
+        call.overdue_timer.cancel()
         self.by_id.pop(call.offer.call, None)
         if answered:  # one that was given up may come again, over a new connection, and is owed an answer
-            self.answered[call.offer.call] = id(call.offer.caller)
-        if len(self.answered) > REMEMBERED_IDS:
-            self.answered.popitem(last=False)
-        if call.out is None:
+            self.recently_answered[call.offer.call] = id(call.offer.caller)
+        if len(self.recently_answered) > MAX_REMEMBERED_IDS:
+            self.recently_answered.popitem(last=False)
+        if call.current_attempt is None:
             self.calls.pop(call.ref, None)
 
     def _settle_after_error(self, item: Item) -> None:
@@ -490,30 +498,30 @@
         if call is None or call.closed or call.stands:
             return
         self.controller.calls.pop(call.ref, None)
-        self._close(call, answered=True)
-        if call.out is not None and call.at is not None:
-            call.at.post(Withdraw(call.ref, call.out, call.offer.call, hang_up=True))
+        self._close_call(call, answered=True)
+        if call.current_attempt is not None and call.current_carrier is not None:
+            call.current_carrier.post(Withdraw(call.ref, call.current_attempt, call.offer.call, hang_up=True))
         call.offer.caller.fail(call.offer.call)
 
     # ---- what session servers say -----------------------------------------------------------------------
 
     def _stood(self, item: Stood) -> None:
         call = self.calls.get(item.ref)
-        if call is None or call.closed or call.stands or call.out != item.attempt:
+        if call is None or call.closed or call.stands or call.current_attempt != item.attempt:
             return  # the caller left meanwhile: the withdrawal on its way to the server ends the call there
         call.stands = True
         self.open_calls -= 1
-        call.overdue.cancel()
+        call.overdue_timer.cancel()
         call.offer.caller.answer(call.offer.call, item.description)
         self._feed(Stands(item.ref, item.attempt, item.server, item.lag))
 
     def _ended(self, item: Ended) -> None:
         call = self.calls.get(item.ref)
-        if call is None or call.out != item.attempt:
+        if call is None or call.current_attempt != item.attempt:
             raise RuntimeError(f"the end of attempt {item.attempt} of call {item.ref}, which is not out")
-        call.out = call.at = None
+        call.current_attempt = call.current_carrier = None
         if call.stands and not call.closed:
-            self._close(call, answered=True)
+            self._close_call(call, answered=True)
             call.offer.caller.release(call.offer.call, item.ending is not Ending.DELIVERED)
         settled = call.closed
         if settled:
@@ -543,7 +551,7 @@
         if notice.whole:
             for name, listed in self.listed.items():
                 if name not in told:
-                    changed[name] = gone(listed)
+                    changed[name] = marked_gone(listed)
         for name, listed in changed.items():
             log_event("server-listed", server=name, state=listed.entry.state.value, number=notice.number)
             if listed.entry.state is ServerState.GONE:
@@ -560,10 +568,12 @@
         for watcher in self.list_observers:
             watcher(tuple(changed.values()))
         kind = kind or (ListKind.WHOLE if notice.whole else ListKind.CHANGES)
-        self._feed(ServerList(kind, self._entries(tuple(listed.entry for listed in notice.servers))))
+        self._feed(
+            ServerList(kind, self._effective_entries(tuple(listed.entry for listed in notice.servers)))
+        )
 
 
-def gone(listed: Listed) -> Listed:
+def marked_gone(listed: Listed) -> Listed:
     """The same server, gone: a whole list that leaves it out says so."""
     entry = listed.entry
     left = type(entry)(entry.name, entry.place, entry.zone, ServerState.GONE, entry.started, entry.size)
--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -8,7 +8,7 @@
 
 from martentide.attempt_messages import Presence
 from martentide.codec.messages import Type, write_message
-from martentide.net.links import UNREAD, Link, LinkEnded, Received
+from martentide.net.links import MAX_UNPROCESSED, Link, LinkEnded, Received
 
 TEST = write_message(Type.TEST, b"\xa1" * 8)
 
@@ -40,33 +40,35 @@
 
     def take(self, messages: int) -> None:
         for _ in range(messages):
-            self.link.taken()
+            self.link.message_processed()
 
 
 def test_an_end_behind_bytes_of_a_link_that_reads_no_more_is_seen() -> None:
     async def play() -> None:
         async with Peer() as peer:
-            peer.writer.write(TEST * (2 * UNREAD))
-            await peer.until_read(UNREAD)
-            assert peer.link.look() is Presence.UNHEARD
+            peer.writer.write(TEST * (2 * MAX_UNPROCESSED))
+            await peer.until_read(MAX_UNPROCESSED)
+            assert peer.link.check_presence() is Presence.UNPROCESSED_INPUT
             peer.writer.close()
             await peer.writer.wait_closed()
-            assert peer.link.look() is Presence.LEFT
-            assert len(peer.came) == UNREAD  # its credit is spent, and it has read nothing of the end
+            assert peer.link.check_presence() is Presence.LEFT
+            assert (
+                len(peer.came) == MAX_UNPROCESSED
+            )  # its credit is spent, and it has read nothing of the end
 
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("more", [0, 1, 2 * UNREAD])
+@pytest.mark.parametrize("more", [0, 1, 2 * MAX_UNPROCESSED])
 def test_who_waits_hears_once_what_lay_there_was_taken_whatever_comes_meanwhile(more: int) -> None:
     async def play() -> None:
         async with Peer() as peer:
             told: list[int] = []
             peer.writer.write(TEST * 3)
             await peer.until_read(3)
-            peer.link.when_heard(lambda: told.append(len(peer.came)))
+            peer.link.when_processed(lambda: told.append(len(peer.came)))
             peer.writer.write(TEST * more)
-            await peer.until_read(min(3 + more, UNREAD))
+            await peer.until_read(min(3 + more, MAX_UNPROCESSED))
             peer.take(2)
             assert not told
             peer.take(1)
@@ -82,8 +84,8 @@
             peer.writer.write(TEST + TEST[:5])
             await peer.until_read(1)
             peer.take(1)
-            peer.link.when_heard(lambda: told.append(True))
-            peer.link._tell_listeners()
-            assert told and peer.link.look() is Presence.HERE
+            peer.link.when_processed(lambda: told.append(True))
+            peer.link._notify_processed()
+            assert told and peer.link.check_presence() is Presence.PRESENT
 
     asyncio.run(play())
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -15,7 +15,7 @@
 
 from martentide.codec.messages import Code, Type, write_message
 from martentide.handover.wire import Hello, Left, write_frame
-from martentide.net.callers import LEAST_DOOR, Callers
+from martentide.net.callers import MIN_CALLER_CONNECTIONS, Callers
 from martentide.net.config import Address
 from martentide.net.handover import MOST_HEARD, Channel
 from tests.net.support import LIMIT, ROOT, Program, Wire
@@ -209,11 +209,11 @@
     async def scene() -> None:
         callers = Callers(100, lambda item: None)
         callers.beside(lambda left: None, 70)
-        assert callers.client_connections.most == 30
+        assert callers.client_connections.max_connections == 30
         callers.beside(lambda left: None, 99)
-        assert callers.client_connections.most == LEAST_DOOR
+        assert callers.client_connections.max_connections == MIN_CALLER_CONNECTIONS
         callers.orphaned()
-        assert callers.client_connections.most == 100
+        assert callers.client_connections.max_connections == 100
 
     asyncio.run(scene())
 
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -19,7 +19,7 @@
 from martentide.net.callers import Callers
 from martentide.net.client_connections import ClientConnections
 from martentide.net.close_reason import CloseReason
-from martentide.net.dispatcher import ANSWER_AHEAD
+from martentide.net.dispatcher import ANSWER_MARGIN
 from martentide.net.links import Link
 from tests.net.support import LIMIT, Program, Wire
 from tests.net.test_gone_clients import GOES, A, B
@@ -57,7 +57,7 @@
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A, left=LEFT)
-        assert told_time(server.receive(Type.SET_UP)) <= LEFT - ANSWER_AHEAD
+        assert told_time(server.receive(Type.SET_UP)) <= LEFT - ANSWER_MARGIN
         ends_without_answer(caller, A)
 
 
@@ -66,7 +66,7 @@
     with Program(tmp_path, operated=True) as old:
         moved, server = old.caller(), old.servers[0].accept()
         moved.set_up(A, left=LEFT)
-        assert told_time(server.receive(Type.SET_UP)) <= LEFT - ANSWER_AHEAD
+        assert told_time(server.receive(Type.SET_UP)) <= LEFT - ANSWER_MARGIN
         with upgrade(old):
             old.terminate()
             old.logged("reason=handed-over")
@@ -79,7 +79,7 @@
                     break
                 except TimeoutError:
                     fresh = old.servers[0].accept()
-            assert set_up.call == B and told_time(set_up) <= LEFT - ANSWER_AHEAD
+            assert set_up.call == B and told_time(set_up) <= LEFT - ANSWER_MARGIN
             ends_without_answer(moved, A)
             ends_without_answer(moved, B)
 
@@ -143,7 +143,7 @@
         peer.setblocking(False)
         await asyncio.get_running_loop().sock_connect(peer, self.server.sockets[0].getsockname())
         self.reader, self.writer = await asyncio.open_connection(sock=peer, limit=1)
-        self.callers._party("127.0.0.1").welcome(*await accepted)
+        self.callers._calling_host("127.0.0.1").add_connection(*await accepted)
         await self.until(lambda: bool(self.client_connections.open))
         return self
 
@@ -152,7 +152,7 @@
         self.server.close()
         for link in list(self.client_connections.open):
             link.close(CloseReason.SHUTDOWN)
-        await self.until(lambda: not self.callers.parties)
+        await self.until(lambda: not self.callers.calling_hosts)
 
     @property
     def client_connections(self) -> ClientConnections:
@@ -203,7 +203,7 @@
                 link.pause()
                 give_up = write_release(A, Cause.NORMAL)
                 moving.writer.write(give_up)
-                await moving.until(lambda: link._in_the_system() == len(give_up))
+                await moving.until(lambda: link._kernel_buffered_bytes() == len(give_up))
                 moving.move_out()
                 await moving.until(lambda: bool(moving.moved))
                 assert moving.moved[0].begun == b"" and not moving.told
