--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -1,7 +1,8 @@
-"""The front for today's protocol: the listener, and one actor for each party that calls.
+"""The callers' side of the signalling protocol: the listener, and one actor for each calling host.
 
-A party is a machine that callers' connections come from. A call that stands belongs to the party, not to one
-of its connections. The actor hears its links and the dispatcher through its mailbox.
+A calling host is a machine that callers' connections come from, identified by its IP address. A standing call
+belongs to the host, not to one of its connections. The actor receives everything from its connections and
+from the dispatcher through its mailbox.
 """
 
 from __future__ import annotations
@@ -23,27 +24,27 @@
 from martentide.net.links import Link, LinkEnded, Received
 from martentide.net.listeners import bound
 
-MAX_PENDING_RELEASES = 20_000  # releases kept for a party without a connection
-ACCEPT_BATCH = 32  # connections that are accepted before the client connections look at them, at most
-# And at most one in so many of the callers' descriptors: the client connections hear of them three turns
-# later.
+MAX_PENDING_RELEASES = 20_000  # releases kept for a calling host that has no connection
+ACCEPT_BATCH = 32  # maximum number of connections accepted in one turn of the event loop
+# A batch is at most this fraction (1/n) of the callers' descriptors, because ``ClientConnections`` learns of
+# accepted connections only three turns of the event loop later.
 ACCEPT_BATCH_DIVISOR = 12
-CLOSED_PER_SHORTAGE = 4  # idle connections that are closed when the system has no descriptor left
-MIN_CALLER_CONNECTIONS = 8  # descriptors that callers have at least, beside a predecessor's connections
-ACCEPT_GRACE = 0.1  # s for what was accepted to reach its party, before the listener is closed
-MOVE_TIMEOUT = 1.0  # s in which a link must be ready to go to the successor
-MOVE_POLL_INTERVAL = 0.005  # s until the next look at one that is not
-LISTEN_BACKLOG = 1024  # connections that wait in the system to be accepted
-INITIAL_WINDOW = 64  # set-ups that may be open on a link, besides one for each that has stood
-PENDING_RELEASE_EXPIRY = 30.0  # s such a release is kept
+CLOSED_PER_SHORTAGE = 4  # idle connections closed when the system has no descriptor left
+MIN_CALLER_CONNECTIONS = 8  # descriptors reserved for callers while a predecessor still holds connections
+ACCEPT_GRACE = 0.1  # s for accepted connections to reach their calling host before the listener is closed
+MOVE_TIMEOUT = 1.0  # s within which a connection must become ready to move to the successor
+MOVE_POLL_INTERVAL = 0.005  # s between checks whether a connection is ready to move
+LISTEN_BACKLOG = 1024  # connections that may wait in the kernel to be accepted
+INITIAL_WINDOW = 64  # open set-ups allowed on a connection, plus one for each of its calls that was answered
+PENDING_RELEASE_EXPIRY = 30.0  # s that a pending release is kept
 
 
 @dataclass(slots=True)
 class CallRecord:
-    """A call of this party: the link its set-up came on, and whether it has been answered.
+    """A call of this host: the connection on which its set-up arrived, and whether it has been answered.
 
-    ``foreign``: it is the predecessor's, which hears what its caller says of it. ``moved``: its caller's
-    connection is the successor's by now, which passes on what is said of it.
+    ``predecessor_owned``: the predecessor owns the call and is notified of its caller's messages about it.
+    ``moved``: the caller's connection has moved to the successor, which forwards messages about the call.
     """
 
     link: Link | None
@@ -54,14 +55,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Opened:
+    """A caller's connection was accepted."""
+
     link: Link
 
 
 @dataclass(frozen=True, slots=True)
 class Say:
-    """What the dispatcher tells about a call: ``message`` for the caller, ``stands`` if it is an answer.
+    """An outgoing message for the caller of a call; ``stands`` if it is an answer, otherwise it is final.
 
-    ``foreign``: the predecessor says so.
+    ``from_predecessor``: the message comes from the predecessor instead of this process's dispatcher.
     """
 
     call: bytes
@@ -72,23 +75,27 @@
 
 @dataclass(frozen=True, slots=True)
 class NoLongerOwed:
+    """A pending release has expired undelivered."""
+
     call: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class MoveOut:
-    """The successor takes this party over."""
+    """Move this host's calls and connections to the successor."""
 
 
 @dataclass(frozen=True, slots=True)
 class MoveLink:
+    """Move one connection to the successor once it is ready; close it if it isn't by ``deadline``."""
+
     link: Link
     deadline: float  # loop time
 
 
 @dataclass(frozen=True, slots=True)
 class MoveIn:
-    """Calls of the predecessor: on a link that it handed over, or on none; releases that it owed."""
+    """Calls taken over from the predecessor, on a connection or on none, and its pending releases."""
 
     frame: MovedLink | MovedCalls
     link: Link | None
@@ -96,19 +103,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LeftHere:
-    """The successor tells that the caller gave up or ended the call, or is gone."""
+    """The successor reports that the caller gave up or released the call, or is gone."""
 
     call: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Orphaned:
-    """The predecessor is gone; its calls that had no answer fail, and nothing more is known of the others."""
+    """The predecessor is gone; its unanswered calls fail, and its standing calls are forgotten."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deserted:
-    """The successor is gone, and with it the connections that it had taken over."""
+    """The successor is gone, and with it the connections that moved to it."""
 
 
 Item = (
@@ -127,7 +134,7 @@
 
 
 class CallingHost:
-    """The actor of one calling party; ``tell`` is the dispatcher's mailbox."""
+    """The actor of one calling host; implements ``Caller``. ``notify_dispatcher`` posts to the dispatcher's mailbox."""
 
     def __init__(
         self,
@@ -144,12 +151,13 @@
         )
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
-        self.links: dict[Link, int] = {}  # and how many calls stood that came on it
+        self.links: dict[Link, int] = {}  # value: number of calls set up on the connection that were answered
         self.records: dict[bytes, CallRecord] = {}
-        self.pending_releases: dict[bytes, bytes] = {}
+        self.pending_releases: dict[bytes, bytes] = {}  # release messages to write on the next connection
         self.task = self.loop.create_task(self._run(), name=f"party {host}")
 
     def post(self, item: Item) -> None:
+        """Put an item into the actor's mailbox."""
         self.mailbox.put_nowait(item)
 
     async def _run(self) -> None:
@@ -165,9 +173,8 @@
                 item.link.message_processed()
             self.client_connections.set_has_calls(self.host, bool(self.records or self.pending_releases))
             if not (self.links or self.records or self.pending_releases) and self.mailbox.empty():
-                self.unregister(
-                    self.host
-                )  # nothing is known of the party any more: its next connection starts anew
+                # No state is left for the host; its next connection creates a new actor.
+                self.unregister(self.host)
                 return
 
     def _handle(self, item: Item) -> None:
@@ -198,9 +205,10 @@
                 if self.pending_releases.pop(call, None) is not None:
                     log_event("release-not-delivered", party=self.host, call=call.hex())
 
-    # ---- links ------------------------------------------------------------------------------------------
+    # ---- connections ------------------------------------------------------------------------------------
 
     def add_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Add a connection that was just accepted."""
         port = (writer.get_extra_info("peername") or (self.host, 0))[1]
         link = Link(
             "caller",
@@ -215,7 +223,7 @@
     def adopt_connection(
         self, frame: MovedLink, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """A link of the predecessor's, with what it had read of a message."""
+        """Adopt a connection of the predecessor, with the part of a message that it had already read."""
         peer = f"{self.host}:{frame.port}"
         link = Link(
             "caller", peer, (reader, writer), self.post, self.client_connections.message_timeout, frame.begun
@@ -239,7 +247,7 @@
                 del self.records[call]
                 self._notify_owner(call, record)
 
-    # ---- what callers say -------------------------------------------------------------------------------
+    # ---- messages from callers --------------------------------------------------------------------------
 
     def _received(self, item: Received) -> None:
         link, message = item.link, item.message
@@ -250,7 +258,8 @@
                 link.write(write_message(Type.RELEASE_HEARD, message.call))
                 record = self.records.pop(message.call, None)
                 if record is None and self.client_connections.predecessor is not None:
-                    self.client_connections.predecessor(Left(self.host, message.call))  # it may stand there
+                    # The call may stand at the predecessor.
+                    self.client_connections.predecessor(Left(self.host, message.call))
                 if record is not None:
                     self._uncount_standing(record)
                     self._notify_owner(message.call, record)
@@ -266,10 +275,11 @@
     def _set_up(self, link: Link, message: Message, at: float) -> None:
         known = self.records.get(message.call)
         if known is not None and known.link is not None and not known.link.alive and not known.stands:
-            # Sent once more, since its connection was closed as it came: that end is yet to be taken here.
+            # The caller sent the set-up again because its connection was closed; the LinkEnded of that
+            # connection still waits in the mailbox.
             self._notify_owner(message.call, known)
         elif known is not None:
-            # Guards against one answer for two set-ups, or two for one: which is whose could not be told.
+            # With one id for two set-ups, their answers could not be told apart.
             log_event("duplicate-call", party=self.host, call=message.call.hex())
             link.close(CloseReason.DUPLICATE_ID)
             return
@@ -279,7 +289,8 @@
         CALL_TRACE.step(message.call, CallStep.RECEIVED, peer=link.peer, at=at, time_left=time_left)
         try:
             if not any(message.call):
-                raise CodecError("no id")  # servers can't read it and close, whatever else is open there
+                # Servers reject an all-zero id by closing the connection, with all other set-ups on it.
+                raise CodecError("call id is all zeros")
             offer = Offer(
                 caller=self,
                 call=message.call,
@@ -292,18 +303,18 @@
                 client=link,
             )
         except (KeyError, CodecError) as error:
-            # The message is whole, so the connection stays; the call can't be set up and gets its answer.
+            # The message is well framed, so the connection stays open; only this call is rejected.
             log_event("bad-set-up", party=self.host, call=message.call.hex(), detail=repr(str(error)))
             link.write(write_release(message.call, Cause.INVALID_CONTENTS))
             return
         if time_for_answer(offer.time_left) <= 0.0:
-            # At once: on its way through the mailboxes its time would be over.
+            # Refuse here: the time left would expire while the call passes through the mailboxes.
             CALL_TRACE.step(message.call, CallStep.WRITTEN, stands=False, peer=link.peer)
             link.write(write_release(message.call, Cause.CONGESTION))
             return
         if self.client_connections.open.get(link, 0) >= INITIAL_WINDOW + self.links[link]:
-            # Guards against hundreds of set-ups at once from one that has brought none that stood: a caller's
-            # window grows with what it has set up.
+            # Prevents a new connection from opening hundreds of set-ups at once: the window grows with the
+            # number of calls that were answered on it.
             link.write(write_release(message.call, Cause.CONGESTION))
             return
         self.records[message.call] = CallRecord(link)
@@ -311,7 +322,7 @@
         self.notify_dispatcher(offer)
 
     def _notify_owner(self, call: bytes, record: CallRecord) -> None:
-        """The caller gave the call up, or ended it: its owner hears of it."""
+        """Notify the owner of the call, dispatcher or predecessor, that the caller gave it up or ended it."""
         CALL_TRACE.step(call, CallStep.CALLER_LEFT, stands=record.stands, foreign=record.predecessor_owned)
         if not record.predecessor_owned:
             self.notify_dispatcher(ReleaseIn(call) if record.stands else GiveUp(call))
@@ -322,30 +333,33 @@
         if record.stands and record.link is not None:
             self.client_connections.change_standing(record.link, -1)
 
-    # ---- what the dispatcher says -----------------------------------------------------------------------
+    # ---- messages from the dispatcher -------------------------------------------------------------------
 
     def answer(self, call: bytes, description: bytes) -> None:
+        """Send the answer with the server's description: the call stands."""
         message = write_message(Type.ANSWER, call, {Code.DESCRIPTION: description})
         self.post(Say(call, message, stands=True))
 
     def refuse(self, call: bytes, hold_off: float) -> None:
+        """Refuse the call with cause congestion; the caller should wait ``hold_off`` ms before a redial."""
         self.post(Say(call, write_release(call, Cause.CONGESTION, hold_off)))
 
     def fail(self, call: bytes) -> None:
+        """Fail the call with cause resource unavailable."""
         self.post(Say(call, write_release(call, Cause.RESOURCE_UNAVAILABLE)))
 
     def release(self, call: bytes, cut: bool) -> None:
+        """Release a standing call; ``cut``: it was lost with its server instead of ended normally."""
         self.post(Say(call, write_release(call, Cause.TEMPORARY_FAILURE if cut else Cause.NORMAL)))
 
     def _deliver(self, item: Say) -> None:
         record = self.records.get(item.call)
         if record is None and item.from_predecessor and not item.stands:
-            record = CallRecord(
-                None, stands=True, predecessor_owned=True
-            )  # its caller came back after its link had ended
+            # The caller reconnected after the connection of its call had closed.
+            record = CallRecord(None, stands=True, predecessor_owned=True)
             self.records[item.call] = record
         if record is None:
-            return  # the caller has left; the dispatcher is being told
+            return  # the caller has left, and the dispatcher has been notified or is about to be
         if record.moved and self.client_connections.successor is not None:
             CALL_TRACE.step(item.call, CallStep.PASSED_ON, stands=item.stands)
             self.client_connections.successor(Said(self.host, item.call, item.message, item.stands), None)
@@ -355,7 +369,8 @@
             return
         link = record.link if record.link is not None and record.link.alive else None
         if item.stands and link is None:
-            # Guards against a call that stands for nobody: its link ended as the answer was on its way.
+            # The connection closed while the answer was in the mailbox: without a caller the call must not
+            # stand.
             CALL_TRACE.step(item.call, CallStep.NO_CONNECTION, stands=item.stands)
             del self.records[item.call]
             self._notify_owner(item.call, record)
@@ -381,9 +396,8 @@
             and self.client_connections.successor is not None
             and not record.predecessor_owned
         ):
-            self.client_connections.successor(
-                Said(self.host, item.call, item.message, False), None
-            )  # it may come there
+            # The caller may reconnect at the successor.
+            self.client_connections.successor(Said(self.host, item.call, item.message, False), None)
         elif record.stands and not item.stands:
             self._keep_release(item.call, item.message)
 
@@ -395,17 +409,17 @@
     # ---- upgrade ----------------------------------------------------------------------------------------
 
     def _move_out(self) -> None:
-        """Hand the party over: first what belongs to no link, then each link as soon as it can go."""
+        """Move the host to the successor: calls without a connection at once, then connections."""
         if self.client_connections.successor is None:
             return
-        linkless = {call: record for call, record in self.records.items() if record.link is None}
-        standing = [call for call, record in linkless.items() if record.stands and not record.moved]
-        owed = list(self.pending_releases.items())
+        unconnected = {call: record for call, record in self.records.items() if record.link is None}
+        standing = [call for call, record in unconnected.items() if record.stands and not record.moved]
+        pending = list(self.pending_releases.items())
         self.pending_releases.clear()
-        for at in range(0, max(len(standing), len(owed)), MOST_RECORDS):
+        for at in range(0, max(len(standing), len(pending)), MOST_RECORDS):
             part = slice(at, at + MOST_RECORDS)
             self.client_connections.successor(
-                MovedCalls(self.host, tuple(standing[part]), tuple(owed[part])), None
+                MovedCalls(self.host, tuple(standing[part]), tuple(pending[part])), None
             )
         for call in standing:
             self.records[call].moved = True
@@ -420,7 +434,8 @@
             return
         link.pause()
         if not link.movable:
-            # Messages that were read are taken here first; a peer that takes no bytes can't go along.
+            # Messages that were read must be processed here first. A connection whose peer doesn't read can't
+            # be moved, because its unsent bytes are buffered in this process.
             if self.loop.time() < item.deadline:
                 self.loop.call_later(MOVE_POLL_INTERVAL, self.post, item)
             else:
@@ -446,7 +461,7 @@
         link.hand_over()
 
     def _move_in(self, frame: MovedLink | MovedCalls, link: Link | None) -> None:
-        """Take over what the predecessor handed over; its calls stay its own."""
+        """Take over the host's state from the predecessor, which still owns the calls."""
         for call in frame.standing:
             self.records[call] = CallRecord(link, stands=True, predecessor_owned=True)
         if isinstance(frame, MovedCalls):
@@ -467,7 +482,7 @@
             self.client_connections.mark_answered(link)
 
     def _successor_gone(self) -> None:
-        """Calls that stand have no connection until their callers come back; the others are given up."""
+        """Keep moved standing calls, without a connection until their callers reconnect; give up others."""
         for call, record in [(call, record) for call, record in self.records.items() if record.moved]:
             record.moved = False
             if not record.stands:
@@ -475,7 +490,7 @@
                 self._notify_owner(call, record)
 
     def _predecessor_gone(self) -> None:
-        """Guards against calls that nobody answers, once the process that had them is gone."""
+        """Fail the predecessor's unanswered calls, which nobody else would answer; forget standing ones."""
         for call, record in [
             (call, record) for call, record in self.records.items() if record.predecessor_owned
         ]:
@@ -489,13 +504,17 @@
 
 
 def read_milliseconds(text: str | None) -> float:
+    """Parse a time in whole ms of at most 9 digits; raises CodecError."""
     if text is None or not text.isdecimal() or len(text) > 9:
-        raise CodecError(f"time left: {text!r}")
+        raise CodecError(f"time left is not a number of ms with at most 9 digits: {text!r}")
     return float(text)
 
 
 class Callers:
-    """The listener: hands each connection to its party's actor."""
+    """The callers' listener and the actors of all calling hosts; passes each connection to its host's actor.
+
+    ``max_connections`` is the number of descriptors that callers may use.
+    """
 
     def __init__(
         self, max_connections: int, notify_dispatcher: Callable[[Offer | GiveUp | ReleaseIn], None]
@@ -508,19 +527,20 @@
         self.calling_hosts: dict[str, CallingHost] = {}
         self.socket: socket.socket | None = None
         self.server: asyncio.Server | None = None
-        self.moving = False  # whether all parties go to the successor
+        self.moving = False  # whether all calling hosts are moving to the successor
 
     def bind(self, address: Address, shared: bool = False) -> None:
         """Bind the listening socket; ``shared``: a second process may bind the same address beside it."""
         self.socket = bound(address, shared)
 
     async def accept(self) -> None:
-        """Accept on the socket that was bound, or taken over."""
+        """Accept connections on the socket that was bound or taken over."""
         if self.socket is None or self.server is not None:
             return
-        # So many are accepted at a time, whatever waits: a flood must not use up the descriptors before the
-        # client connections have closed any. Then the queue of those that wait is made long again. The server
-        # gets a descriptor of its own, so that it can be ended and another begun on the same queue.
+        # asyncio accepts up to ``backlog`` connections in one turn. The limit keeps a flood from using up all
+        # descriptors before ``ClientConnections`` can close any. The kernel's queue is made long again below.
+        # The server gets a duplicate descriptor, so that it can be closed and another one started later on
+        # the same queue.
         self.server = await asyncio.start_server(
             self._accept,
             sock=self.socket.dup(),
@@ -530,17 +550,18 @@
         self.socket.listen(LISTEN_BACKLOG)
 
     def addresses(self) -> list[tuple[str, int]]:
+        """Return the host and port of the listening socket; empty if there is none."""
         return [self.socket.getsockname()[:2]] if self.socket is not None else []
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         host = (writer.get_extra_info("peername") or ("unknown", 0))[0]
-        party = self._calling_host(host)
-        party.add_connection(reader, writer)
+        calling_host = self._calling_host(host)
+        calling_host.add_connection(reader, writer)
         if self.moving:
-            party.post(MoveOut())
+            calling_host.post(MoveOut())
 
     def make_room(self) -> int:
-        """Close a few connections that are cheapest to lose; how many were."""
+        """Close a few of the idle connections that cost least to lose; return how many were closed."""
         return self.client_connections.close_idle(CLOSED_PER_SHORTAGE)
 
     def _calling_host(self, host: str) -> CallingHost:
@@ -551,10 +572,10 @@
         return self.calling_hosts[host]
 
     def pause(self) -> None:
-        """Accept no more; who connects waits in the queue of the socket, which is kept.
+        """Stop accepting; new connections wait in the queue of the socket, which is kept.
 
-        Guards against the reset of a connection that was accepted in this very turn: asyncio makes its
-        transport a turn later, and can't once the server is closed.
+        The server is closed only after ``ACCEPT_GRACE``: asyncio creates the transport of an accepted
+        connection one turn later, and would reset the connection if the server were closed by then.
         """
         if self.server is not None:
             loop = asyncio.get_running_loop()
@@ -564,7 +585,7 @@
             self.server = None
 
     def close(self) -> None:
-        """Accept no more, and leave the socket (to the successor, if it has it too)."""
+        """Stop accepting and close the socket, which stays open in a successor that has it too."""
         self.pause()
         if self.socket is not None:
             self.socket.close()
@@ -573,13 +594,13 @@
     # ---- upgrade ----------------------------------------------------------------------------------------
 
     def move_out(self) -> None:
-        """Hand all parties over; MovedLink comes for each link as soon as it can go."""
+        """Move all calling hosts to the successor; each connection becomes a MovedLink once ready."""
         self.moving = True
-        for party in list(self.calling_hosts.values()):
-            party.post(MoveOut())
+        for calling_host in list(self.calling_hosts.values()):
+            calling_host.post(MoveOut())
 
     async def move_in(self, frame: MovedLink | MovedCalls, descriptor: int | None) -> None:
-        """Take up what the predecessor handed over."""
+        """Take over connections and calls from the predecessor; ``descriptor`` comes with a MovedLink."""
         if isinstance(frame, MovedCalls):
             self._calling_host(frame.host).post(MoveIn(frame, None))
             return
@@ -594,7 +615,7 @@
         self._calling_host(frame.host).adopt_connection(frame, reader, writer)
 
     def said(self, frame: Said) -> None:
-        """The predecessor has something to say to a caller."""
+        """Deliver a message from the predecessor to a caller."""
         if frame.host in self.calling_hosts or not frame.stands:
             say = Say(frame.call, frame.message, frame.stands, from_predecessor=True)
             self._calling_host(frame.host).post(say)
@@ -602,33 +623,33 @@
             self.client_connections.predecessor(Left(frame.host, frame.call))
 
     def left(self, frame: Left) -> None:
-        """The successor tells what a caller said of a call of this process."""
+        """Handle the successor's report that a caller gave up or released a call of this process."""
         if frame.host in self.calling_hosts:
             self.calling_hosts[frame.host].post(LeftHere(frame.call))
 
     def beside(self, predecessor: Callable[[Left], None], links: int) -> None:
-        """A predecessor is there, with so many links: both together have one budget of descriptors."""
+        """Register a predecessor with ``links`` connections: both processes share one descriptor budget."""
         self.client_connections.predecessor, self.client_connections.max_connections = (
             predecessor,
             max(MIN_CALLER_CONNECTIONS, self.max_connections - links),
         )
 
     def yield_to(self, successor: SendFrame) -> None:
-        """The successor accepts from now on, this process no more."""
+        """Stop accepting, because ``successor`` accepts from now on."""
         self.pause()
         self.client_connections.successor = successor
 
     def successor_gone(self) -> None:
-        """Connections that it had are over."""
+        """Handle the loss of the successor and of the connections that moved to it."""
         self.client_connections.successor, self.moving = None, False
-        for party in list(self.calling_hosts.values()):
-            party.post(Deserted())
+        for calling_host in list(self.calling_hosts.values()):
+            calling_host.post(Deserted())
 
     def orphaned(self) -> None:
-        """The predecessor is gone."""
+        """Handle the loss of the predecessor: fail its unanswered calls, use the whole descriptor budget."""
         self.client_connections.predecessor, self.client_connections.max_connections = (
             None,
             self.max_connections,
         )
-        for party in list(self.calling_hosts.values()):
-            party.post(Orphaned())
+        for calling_host in list(self.calling_hosts.values()):
+            calling_host.post(Orphaned())
