--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -134,7 +134,10 @@
 
 
 class CallingHost:
-    """The actor of one calling host; implements ``Caller``. ``notify_dispatcher`` posts to the dispatcher's mailbox."""
+    """The actor of one calling host; implements ``Caller``.
+
+    ``notify_dispatcher`` posts to the dispatcher's mailbox; ``unregister`` removes the actor by its host.
+    """
 
     def __init__(
         self,
--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -1,7 +1,7 @@
-"""One actor for each session server: its connections, the set-ups and calls there, and its tests.
+"""One actor for each session server: its connections, its set-ups and calls, and its health checks.
 
-The actor hears everything through its mailbox, in order: the dispatcher's orders, what links read, its
-timers.
+The actor receives everything through its mailbox, in order: the dispatcher's orders, messages and ends of its
+connections, and its timers.
 """
 
 from __future__ import annotations
@@ -25,30 +25,30 @@
 from martentide.net.dispatcher import Probing, Settle
 from martentide.net.links import Link, LinkEnded, Received, unix_ms
 
-MAX_CONNECTIONS = 4  # to one server: so many get its group state
-HEALTH_CHECK_TIMEOUT = 0.25  # s a test may take
-RECONNECT_DELAY = (0.5, 1.0)  # s, drawn between the two, after a dial that failed or a link that ended
-# s without a byte from a server that holds calls, after which it is tested: with LOST_AFTER still under the
-# 8 s in which callers must hear that their calls are over. Sooner, the tests of all proxies add up.
+MAX_CONNECTIONS = 4  # to one server, which sends its group state on at most this many
+HEALTH_CHECK_TIMEOUT = 0.25  # s
+RECONNECT_DELAY = (0.5, 1.0)  # s; uniform range of the delay after a failed dial or a short-lived connection
+# s without a byte from a server that holds calls before a keepalive is sent. Together with KEEPALIVE_TIMEOUT
+# it must stay below the 8 s in which callers have to learn that their calls are over. A shorter time would
+# make the keepalives of all proxies add up at the server.
 KEEPALIVE_IDLE = 3.5
-KEEPALIVE_INTERVAL = 0.5  # s between such tests
-MESSAGE_TIMEOUT = (
-    0.06  # s in which a message begun by a server must be whole: its set-up can still go elsewhere in time
-)
-SUSPECT_AFTER = 0.12  # s without a word on a link since a set-up, after which another is opened beside it
-MIN_CONNECTION_LIFETIME = (
-    0.5  # s: a link that has ended sooner is not replaced at once, so that no server is dialled in a loop
-)
-KEEPALIVE_TIMEOUT = 2.5  # s without a byte since something was sent: the machine is taken for cut off
-INPUT_CHECK_VALIDITY = 0.05  # s that what a client had said counts as all it has said: then it is heard anew
-MAX_ABANDONED_IDS = 1024  # ids remembered for each link
-NO_LINES_NOTE = "all_trunks_busy"
+KEEPALIVE_INTERVAL = 0.5  # s between keepalives
+# s in which a message must be complete once its first byte came from a server; short enough that the set-up
+# can still be retried elsewhere in time.
+MESSAGE_TIMEOUT = 0.06
+SUSPECT_AFTER = 0.12  # s without a byte on a connection since a set-up before another one is opened
+# s; a connection that closed sooner is not replaced at once, so that no server is dialled in a tight loop.
+MIN_CONNECTION_LIFETIME = 0.5
+KEEPALIVE_TIMEOUT = 2.5  # s without a byte since a message was sent before the machine counts as cut off
+INPUT_CHECK_VALIDITY = 0.05  # s for which a client's processed input counts as complete before a new check
+MAX_ABANDONED_IDS = 1024  # ids remembered for each connection
+NO_LINES_NOTE = "all_trunks_busy"  # note in a server's refusal
 ENDING_BY_CAUSE = {int(Cause.NO_CIRCUIT): Ending.FULL, int(Cause.TIMER_EXPIRY): Ending.NOT_SENT}
 
 
 @dataclass(slots=True)
 class Attempt:
-    """A set-up that was ordered here, until its end; it stands once the server has answered."""
+    """An ordered set-up until its end; it stands once the server has answered. Times are loop times."""
 
     order: Order
     timer: asyncio.TimerHandle
@@ -57,21 +57,24 @@
     link: Link | None = None
     stands: bool = False
     suspect_timer: asyncio.TimerHandle | None = None
-    input_checked_at: float | None = (
-        None  # when the client was found to have said something that was not taken yet
-    )
-    awaiting_input: bool = False  # that is awaited
+    input_checked_at: float | None = None  # when unprocessed input was last found on the client's connection
+    awaiting_input: bool = False  # whether the set-up waits for that input to be processed
 
 
 @dataclass(slots=True)
 class ServerConnection:
-    """A link and the calls given up on it: a late word about one must not count for its next attempt."""
+    """A connection and the calls given up on it.
+
+    A given-up call is not set up again on the same connection, where a late message about the old attempt
+    would count for the new one.
+    """
 
     link: Link
-    suspect: bool = False  # a set-up's whole time went by on it without a word: new ones go over another
+    suspect: bool = False  # nothing came after a message that needs a response; others are preferred
     abandoned: OrderedDict[bytes, None] = field(default_factory=OrderedDict)
 
     def abandon(self, call: bytes) -> None:
+        """Remember a call that was given up on this connection."""
         self.abandoned[call] = None
         if len(self.abandoned) > MAX_ABANDONED_IDS:
             self.abandoned.popitem(last=False)
@@ -79,33 +82,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Dialled:
+    """The result of a dial: streams, or the reason why it failed."""
+
     streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None
     reason: CloseReason | None
 
 
 @dataclass(frozen=True, slots=True)
 class PatienceOver:
+    """The time of an attempt has run out."""
+
     order: Order
 
 
 @dataclass(frozen=True, slots=True)
 class DoubtDue:
+    """``SUSPECT_AFTER`` has passed since the attempt's set-up was sent."""
+
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class TestOver:
+    """A health check has timed out."""
+
     check_id: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class RedialDue:
-    pass
+    """The reconnect delay is over."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuietDue:
-    pass
+    """The keepalive timer has expired."""
 
 
 Timer = PatienceOver | DoubtDue | TestOver | RedialDue | QuietDue
@@ -114,7 +125,11 @@
 
 
 class Server:
-    """The actor of one session server; ``tell`` is the dispatcher's mailbox."""
+    """The actor of one session server; ``notify_dispatcher`` posts to the dispatcher's mailbox.
+
+    ``connect_timeout`` is in s. ``on_dial_error`` is called with the error of a failed dial, which may be
+    due to a lack of descriptors.
+    """
 
     def __init__(
         self,
@@ -124,27 +139,27 @@
         on_dial_error: Callable[[OSError], object] = lambda error: None,
     ) -> None:
         self.listed, self.connect_timeout, self.notify_dispatcher = listed, connect_timeout, notify_dispatcher
-        self.on_dial_error = (
-            on_dial_error  # told of an error of a dial, which may be for want of a descriptor
-        )
+        self.on_dial_error = on_dial_error
         self.name = listed.entry.name
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
-        self.connections: list[ServerConnection] = []  # the latest is used first
+        self.connections: list[ServerConnection] = []  # the newest is used first
         self.attempts: dict[bytes, Attempt] = {}
+        # By id: loop time of the start, timeout timer, and connection (None while waiting for a dial).
         self.health_checks: dict[bytes, tuple[float, asyncio.TimerHandle, Link | None]] = {}
         self.check_numbers = itertools.count(1)
-        self.pending_releases: dict[bytes, bytes] = {}  # releases to write on the next link
+        self.pending_releases: dict[bytes, bytes] = {}  # release messages to write on the next connection
         self.dial_task: asyncio.Task[None] | None = None
         self.reconnect_timer: asyncio.TimerHandle | None = None
         self.last_received_at = self.loop.time()
         self.awaiting_since: float | None = (
-            None  # when the first thing was sent that is not followed by a byte yet
+            None  # when the first message without a later byte in return was sent
         )
         self.keepalive_timer = self.loop.call_later(KEEPALIVE_IDLE, self.post, QuietDue())
         self.task = self.loop.create_task(self._run(), name=f"server {self.name}")
 
     def post(self, item: Item) -> None:
+        """Put an item into the actor's mailbox."""
         self.mailbox.put_nowait(item)
 
     async def _run(self) -> None:
@@ -158,7 +173,7 @@
             if isinstance(item, Received):
                 item.link.message_processed()
         self.keepalive_timer.cancel()
-        while not self.mailbox.empty():  # what crossed the word that the server is gone still gets its end
+        while not self.mailbox.empty():  # each order that arrived meanwhile is still owed an Ended
             late = self.mailbox.get_nowait()
             if isinstance(late, Order):
                 self.notify_dispatcher(
@@ -194,8 +209,8 @@
         match item:
             case PatienceOver():
                 self._attempt_timed_out(item.order)
-            case DoubtDue(held):
-                self._suspect_due(held)
+            case DoubtDue(attempt):
+                self._suspect_due(attempt)
             case TestOver():
                 self._end_health_check(item.check_id, Ending.TIMED_OUT, None)
             case QuietDue():
@@ -209,37 +224,42 @@
     def _start_attempt(self, order: Order) -> None:
         now = self.loop.time()
         timer = self.loop.call_later(max(0.0, order.patience) / 1000.0, self.post, PatienceOver(order))
-        held = self.attempts[order.call] = Attempt(order, timer, now)
-        self._send_set_up(held)
+        attempt = self.attempts[order.call] = Attempt(order, timer, now)
+        self._send_set_up(attempt)
 
-    def _send_set_up(self, held: Attempt) -> None:
-        """Write the set-up now, or leave it to wait for the dial; it may wait for nothing else."""
-        order = held.order
+    def _send_set_up(self, attempt: Attempt) -> None:
+        """Write the set-up now, or leave it waiting for a dial or for its client's input to be processed."""
+        order = attempt.order
         if self.listed.entry.state is not ServerState.OPEN:
-            # Checked here, as the first byte is written: what waited for a dial may not outlast a drain.
-            self._end_attempt(held, Ending.NOT_SENT)
+            # Checked right before the first byte is written: a set-up that waited for a dial must not go to
+            # a server that has begun to drain meanwhile.
+            self._end_attempt(attempt, Ending.NOT_SENT)
             return
-        fit = [
-            way for way in reversed(self.connections) if way.link.alive and order.call not in way.abandoned
+        usable = [
+            connection
+            for connection in reversed(self.connections)
+            if connection.link.alive and order.call not in connection.abandoned
         ]
-        way = next((way for way in fit if not way.suspect), fit[0] if fit else None)
-        if way is None:
+        connection = next(
+            (connection for connection in usable if not connection.suspect), usable[0] if usable else None
+        )
+        if connection is None:
             if len(self.connections) >= MAX_CONNECTIONS:
-                self._end_attempt(held, Ending.NOT_SENT)
+                self._end_attempt(attempt, Ending.NOT_SENT)
             else:
                 self._dial()
             return
-        if way.link.blocked:
-            self._end_attempt(held, Ending.UNREACHABLE)
+        if connection.link.blocked:
+            self._end_attempt(attempt, Ending.UNREACHABLE)
             return
-        if not self._client_waits(held):
+        if not self._client_waits(attempt):
             return
-        held.sent_at, held.link = self.loop.time(), way.link
-        held.suspect_timer = self.loop.call_later(SUSPECT_AFTER, self.post, DoubtDue(held))
+        attempt.sent_at, attempt.link = self.loop.time(), connection.link
+        attempt.suspect_timer = self.loop.call_later(SUSPECT_AFTER, self.post, DoubtDue(attempt))
         self._mark_awaiting()
-        left = order.patience - (held.sent_at - held.ordered_at) * 1000.0
+        left = order.patience - (attempt.sent_at - attempt.ordered_at) * 1000.0
         CALL_TRACE.step(order.call, CallStep.SENT, server=self.name, attempt=order.attempt, left=round(left))
-        way.link.write(
+        connection.link.write(
             write_message(
                 Type.SET_UP,
                 order.call,
@@ -252,134 +272,146 @@
             )
         )
 
-    def _client_waits(self, held: Attempt) -> bool:
-        """Whether the caller is there, looked at as the first byte is about to be written.
+    def _client_waits(self, attempt: Attempt) -> bool:
+        """Return whether the caller still waits, checked right before the first byte is written.
 
-        Guards against attempts for callers that have gone, wherever the order waited: a release wait, a
-        queue, a dial, a process that stood still. What the caller has said and nobody has taken is heard
-        first; the word of that comes the way a give-up does, behind it.
+        Prevents attempts for callers that have gone, wherever the order waited: a release wait, a queue, a
+        dial, or a paused process. Input of the caller that has not been processed yet is processed first; the
+        Heard that reports this takes the same route as a give-up and so arrives after it.
         """
-        order = held.order
+        order = attempt.order
         presence = Presence.PRESENT if order.client is None else order.client.check_presence()
         if presence is Presence.LEFT:
             self.notify_dispatcher(ClientLeft(order.ref))
-            self._end_attempt(held, Ending.NOT_SENT)
+            self._end_attempt(attempt, Ending.NOT_SENT)
             return False
         now = self.loop.time()
         if order.client is None or presence is Presence.PRESENT:
             return True
         if (
-            held.input_checked_at is not None
-            and not held.awaiting_input
-            and now - held.input_checked_at <= INPUT_CHECK_VALIDITY
+            attempt.input_checked_at is not None
+            and not attempt.awaiting_input
+            and now - attempt.input_checked_at <= INPUT_CHECK_VALIDITY
         ):
-            return True  # what is unheard came since
-        if not held.awaiting_input:
-            held.input_checked_at, held.awaiting_input = now, True
+            return True  # the unprocessed input arrived after the last check
+        if not attempt.awaiting_input:
+            attempt.input_checked_at, attempt.awaiting_input = now, True
             heard = Heard(order.ref, order.attempt, order.call, self.name)
             order.client.when_processed(lambda: self.notify_dispatcher(heard))
         return False
 
     def _input_processed(self, item: Heard) -> None:
-        held = self.attempts.get(item.call)
-        if held is not None and (held.order.ref, held.order.attempt) == (item.ref, item.attempt):
-            held.awaiting_input = False
-            if held.sent_at is None:
-                self._send_set_up(held)
+        attempt = self.attempts.get(item.call)
+        if attempt is not None and (attempt.order.ref, attempt.order.attempt) == (item.ref, item.attempt):
+            attempt.awaiting_input = False
+            if attempt.sent_at is None:
+                self._send_set_up(attempt)
 
     def _attempt_timed_out(self, order: Order) -> None:
-        held = self.attempts.get(order.call)
-        if held is None or held.order is not order or held.stands:
+        attempt = self.attempts.get(order.call)
+        if attempt is None or attempt.order is not order or attempt.stands:
             return
-        if held.sent_at is None:
-            self._end_attempt(held, Ending.NOT_SENT if held.awaiting_input else Ending.UNREACHABLE)
+        if attempt.sent_at is None:
+            self._end_attempt(attempt, Ending.NOT_SENT if attempt.awaiting_input else Ending.UNREACHABLE)
             return
-        self._give_up(held)
-        self._mark_suspect(held.link, held.sent_at)
+        self._give_up(attempt)
+        self._mark_suspect(attempt.link, attempt.sent_at)
         silent = any(
-            way.link is held.link and way.link.last_received_at <= held.sent_at for way in self.connections
+            connection.link is attempt.link and connection.link.last_received_at <= attempt.sent_at
+            for connection in self.connections
         )
         elsewhere = any(
-            way.link.last_received_at > max(held.sent_at, way.link.opened_at) for way in self.connections
+            connection.link.last_received_at > max(attempt.sent_at, connection.link.opened_at)
+            for connection in self.connections
         )
-        # The server spoke on another link meanwhile: the time-out is the silent link's, not the server's.
-        self._end_attempt(held, Ending.CUT if silent and elsewhere else Ending.TIMED_OUT)
+        # If the server sent something on another connection meanwhile, the silent connection is at fault and
+        # not the server.
+        self._end_attempt(attempt, Ending.CUT if silent and elsewhere else Ending.TIMED_OUT)
 
-    def _suspect_due(self, held: Attempt) -> None:
-        if held.sent_at is not None and self.attempts.get(held.order.call) is held and not held.stands:
-            self._mark_suspect(held.link, held.sent_at)
+    def _suspect_due(self, attempt: Attempt) -> None:
+        if (
+            attempt.sent_at is not None
+            and self.attempts.get(attempt.order.call) is attempt
+            and not attempt.stands
+        ):
+            self._mark_suspect(attempt.link, attempt.sent_at)
 
-    def _mark_suspect(self, silent: Link | None, since: float) -> None:
-        """Open another link beside one on which nothing came since then.
+    def _mark_suspect(self, link: Link | None, since: float) -> None:
+        """Mark a connection suspect if nothing came on it since then; if all are suspect, open another one.
 
-        Guards against a link that stays open and is of no further use, which must cost neither the set-ups to
-        come nor the calls that stand, as would taking the whole server for lost. Harm: one dial to a server
-        that only stood still.
+        A connection may stay open and yet be dead. That must neither fail later set-ups nor end the standing
+        calls, as treating the whole server as lost would. The cost is one needless dial to a server that was
+        only paused.
         """
-        for way in self.connections:
-            if way.link is silent and way.link.last_received_at <= since:
-                way.suspect = True
-        if self.connections and all(way.suspect for way in self.connections):
+        for connection in self.connections:
+            if connection.link is link and connection.link.last_received_at <= since:
+                connection.suspect = True
+        if self.connections and all(connection.suspect for connection in self.connections):
             if len(self.connections) >= MAX_CONNECTIONS:
                 self.connections[0].link.close(CloseReason.SILENT)
             self._dial()
 
     def _withdraw(self, item: Withdraw) -> None:
-        held = self.attempts.get(item.call)
-        if held is None or (held.order.ref, held.order.attempt) != (item.ref, item.attempt):
+        attempt = self.attempts.get(item.call)
+        if attempt is None or (attempt.order.ref, attempt.order.attempt) != (item.ref, item.attempt):
             return
-        if held.stands:
+        if attempt.stands:
             if item.hang_up:
-                self._release(held)
-                self._end_attempt(held, Ending.CANCELLED)
+                self._release(attempt)
+                self._end_attempt(attempt, Ending.CANCELLED)
             return
-        if held.sent_at is not None:
-            self._give_up(held)
-        self._end_attempt(held, Ending.CANCELLED)
-
-    def _give_up(self, held: Attempt) -> None:
-        """Written before the dispatcher hears of the end, and remembered against late words on that link."""
-        if held.link is not None:
-            held.link.write(write_release(held.order.call, Cause.NORMAL))
-            for way in self.connections:
-                if way.link is held.link:
-                    way.abandon(held.order.call)
-
-    def _release(self, held: Attempt) -> None:
-        """End a call that stands: on its set-up's link, any other, or the next that opens."""
-        release = write_release(held.order.call, Cause.NORMAL)
-        link = self._link_for(held)
+        if attempt.sent_at is not None:
+            self._give_up(attempt)
+        self._end_attempt(attempt, Ending.CANCELLED)
+
+    def _give_up(self, attempt: Attempt) -> None:
+        """Send the give-up and remember the call on that connection, because of late messages about it.
+
+        Called before the dispatcher is notified of the attempt's end.
+        """
+        if attempt.link is not None:
+            attempt.link.write(write_release(attempt.order.call, Cause.NORMAL))
+            for connection in self.connections:
+                if connection.link is attempt.link:
+                    connection.abandon(attempt.order.call)
+
+    def _release(self, attempt: Attempt) -> None:
+        """Send a release on the connection of the set-up, any other one, or the next one that opens."""
+        release = write_release(attempt.order.call, Cause.NORMAL)
+        link = self._link_for(attempt)
         if link is not None:
             link.write(release)
         else:
-            self.pending_releases[held.order.call] = release
+            self.pending_releases[attempt.order.call] = release
             self._dial()
 
-    def _link_for(self, held: Attempt) -> Link | None:
-        if held.link is not None and held.link.alive:
-            return held.link
-        return next((way.link for way in reversed(self.connections) if way.link.alive), None)
+    def _link_for(self, attempt: Attempt) -> Link | None:
+        if attempt.link is not None and attempt.link.alive:
+            return attempt.link
+        return next(
+            (connection.link for connection in reversed(self.connections) if connection.link.alive), None
+        )
 
     def _end_attempt(
-        self, held: Attempt, ending: Ending, lines_full: bool = False, report: Report | None = None
+        self, attempt: Attempt, ending: Ending, lines_full: bool = False, report: Report | None = None
     ) -> None:
-        held.timer.cancel()
-        if held.suspect_timer is not None:
-            held.suspect_timer.cancel()
-        del self.attempts[held.order.call]
-        since = held.ordered_at if held.sent_at is None else held.sent_at
+        attempt.timer.cancel()
+        if attempt.suspect_timer is not None:
+            attempt.suspect_timer.cancel()
+        del self.attempts[attempt.order.call]
+        since = attempt.ordered_at if attempt.sent_at is None else attempt.sent_at
         lag = (self.loop.time() - since) * 1000.0
-        order = held.order
+        order = attempt.order
         CALL_TRACE.step(order.call, CallStep.ENDED, server=self.name, attempt=order.attempt, by=ending.value)
         self.notify_dispatcher(Ended(order.ref, order.attempt, self.name, ending, lines_full, lag, report))
 
-    # ---- what the server says ---------------------------------------------------------------------------
+    # ---- messages from the server -----------------------------------------------------------------------
 
     def _received(self, link: Link, message: Message) -> None:
         self.last_received_at, self.awaiting_since = max(self.last_received_at, link.last_received_at), None
-        for way in self.connections:
-            if way.link is link:
-                way.suspect = False
+        for connection in self.connections:
+            if connection.link is link:
+                connection.suspect = False
         match message.type:
             case Type.ANSWER:
                 self._answered(link, message)
@@ -389,36 +421,38 @@
                 self._state_received(message)
 
     def _answered(self, link: Link, message: Message) -> None:
-        held = self.attempts.get(message.call)
-        if held is None or held.stands or held.link is not link:
-            return  # of an attempt given up: the give-up, which the server reads next, ends it there
+        attempt = self.attempts.get(message.call)
+        if attempt is None or attempt.stands or attempt.link is not link:
+            return  # answers a given-up attempt: the give-up on its way ends the call at the server
         description = message.parameters.get(Code.DESCRIPTION)
         if description is None:
-            self._release(held)
-            self._end_attempt(held, Ending.CUT)
+            self._release(attempt)
+            self._end_attempt(attempt, Ending.CUT)
             return
-        held.stands = True
-        held.timer.cancel()
-        if held.suspect_timer is not None:
-            held.suspect_timer.cancel()
-        lag = (self.loop.time() - (held.sent_at or held.ordered_at)) * 1000.0
+        attempt.stands = True
+        attempt.timer.cancel()
+        if attempt.suspect_timer is not None:
+            attempt.suspect_timer.cancel()
+        lag = (self.loop.time() - (attempt.sent_at or attempt.ordered_at)) * 1000.0
         CALL_TRACE.step(message.call, CallStep.STOOD, server=self.name, lag=round(lag))
-        self.notify_dispatcher(Stood(held.order.ref, held.order.attempt, self.name, lag, description))
+        self.notify_dispatcher(Stood(attempt.order.ref, attempt.order.attempt, self.name, lag, description))
 
     def _released(self, link: Link, message: Message) -> None:
-        held = self.attempts.get(message.call)
-        if held is None or (not held.stands and held.link is not link):
+        attempt = self.attempts.get(message.call)
+        if attempt is None or (not attempt.stands and attempt.link is not link):
             return
         cause = message.cause()
         report = self._report(message)
-        if held.stands:
-            self._end_attempt(held, Ending.DELIVERED if cause == Cause.NORMAL else Ending.CUT, report=report)
+        if attempt.stands:
+            self._end_attempt(
+                attempt, Ending.DELIVERED if cause == Cause.NORMAL else Ending.CUT, report=report
+            )
         elif cause == Cause.TEMPORARY_FAILURE:
-            self._end_attempt(held, Ending.CUT, report=report)
+            self._end_attempt(attempt, Ending.CUT, report=report)
         else:
             ending = ENDING_BY_CAUSE.get(cause or 0, Ending.ERROR)
             full = ending is Ending.FULL and message.text(Code.NOTE) == NO_LINES_NOTE
-            self._end_attempt(held, ending, full, report)
+            self._end_attempt(attempt, ending, full, report)
 
     def _state_received(self, message: Message) -> None:
         report = self._report(message)
@@ -432,16 +466,18 @@
         text = message.text(Code.REPORT)
         try:
             return None if text is None else read_report(text)
-        except CodecError as error:  # the rest of the message stands without it
+        except CodecError as error:  # the rest of the message is valid without the report
             LOG.warning("bad-report", server=self.name, detail=repr(str(error)))
             return None
 
-    # ---- tests ------------------------------------------------------------------------------------------
+    # ---- health checks ----------------------------------------------------------------------------------
 
     def _send_health_check(self) -> None:
         number = next(self.check_numbers).to_bytes(8, "big")
         timer = self.loop.call_later(HEALTH_CHECK_TIMEOUT, self.post, TestOver(number))
-        link = next((way.link for way in reversed(self.connections) if not way.suspect), None)
+        link = next(
+            (connection.link for connection in reversed(self.connections) if not connection.suspect), None
+        )
         self.health_checks[number] = (self.loop.time(), timer, link)
         if link is not None:
             link.write(write_message(Type.TEST, number, {Code.CAUSE: b"\x01"}))
@@ -449,15 +485,15 @@
             self._dial()
 
     def _end_health_check(self, number: bytes, ending: Ending, report: Report | None) -> None:
-        test = self.health_checks.pop(number, None)
-        if test is None:
+        check = self.health_checks.pop(number, None)
+        if check is None:
             return
-        test[1].cancel()
+        check[1].cancel()
         self.notify_dispatcher(
-            ProbeEnded(self.name, ending, False, (self.loop.time() - test[0]) * 1000.0, report)
+            ProbeEnded(self.name, ending, False, (self.loop.time() - check[0]) * 1000.0, report)
         )
 
-    # ---- links ------------------------------------------------------------------------------------------
+    # ---- connections ------------------------------------------------------------------------------------
 
     def _dial(self) -> None:
         gone = self.listed.entry.state is ServerState.GONE
@@ -469,7 +505,7 @@
         self.dial_task = self.loop.create_task(self._dial_once(), name=f"dial {self.name}")
 
     async def _dial_once(self) -> None:
-        """One dial, within the settings' limit: a machine that is cut off gives no sign."""
+        """Dial once within ``connect_timeout``: a machine that is cut off reports no error."""
         detail = ""
         try:
             async with asyncio.timeout(self.connect_timeout):
@@ -490,7 +526,7 @@
         self.dial_task = None
         if item.streams is not None:
             link = Link("server", self.name, item.streams, self.post, MESSAGE_TIMEOUT)
-            if not self.connections:  # beside a silent link only a word proves that the server is there
+            if not self.connections:  # beside a silent connection, only received bytes prove a live server
                 self.last_received_at, self.awaiting_since = self.loop.time(), None
             if self.listed.entry.state is ServerState.GONE:
                 link.close(CloseReason.SERVER_GONE)
@@ -498,16 +534,16 @@
             for release in self.pending_releases.values():
                 link.write(release)
             self.pending_releases.clear()
-            for held in [held for held in self.attempts.values() if held.sent_at is None]:
-                self._send_set_up(held)
+            for attempt in [attempt for attempt in self.attempts.values() if attempt.sent_at is None]:
+                self._send_set_up(attempt)
             return
-        for held in [held for held in self.attempts.values() if held.sent_at is None]:
-            self._end_attempt(held, Ending.UNREACHABLE)
-        for number, test in list(self.health_checks.items()):
-            if test[2] is None:
+        for attempt in [attempt for attempt in self.attempts.values() if attempt.sent_at is None]:
+            self._end_attempt(attempt, Ending.UNREACHABLE)
+        for number, check in list(self.health_checks.items()):
+            if check[2] is None:
                 self._end_health_check(number, Ending.UNREACHABLE, None)
         if item.reason is CloseReason.DIAL_REFUSED and not self.connections:
-            self._cut_standing()  # no process listens there: the one that held them is no more
+            self._cut_standing()  # no process listens there, so the one that held the calls is dead
         self._schedule_reconnect()
 
     def _schedule_reconnect(self) -> None:
@@ -517,68 +553,78 @@
             )
 
     def _link_ended(self, link: Link, reason: CloseReason) -> None:
-        self.connections = [way for way in self.connections if way.link is not link]
+        self.connections = [connection for connection in self.connections if connection.link is not link]
         given_up = reason in (CloseReason.BLOCKED, CloseReason.SILENT)
-        for held in [h for h in self.attempts.values() if h.link is link and not h.stands]:
+        for attempt in [
+            unanswered
+            for unanswered in self.attempts.values()
+            if unanswered.link is link and not unanswered.stands
+        ]:
             if reason not in (CloseReason.SERVER_GONE, CloseReason.REPLACED):
-                # The server may have answered and hold the call: what could not be read may have said so.
-                self._release(held)
-            self._end_attempt(held, Ending.TIMED_OUT if given_up else Ending.CUT)
-        for number, test in list(self.health_checks.items()):
-            if test[2] is link:
+                # The server may hold the call: its answer may be among the bytes that could not be read.
+                self._release(attempt)
+            self._end_attempt(attempt, Ending.TIMED_OUT if given_up else Ending.CUT)
+        for number, check in list(self.health_checks.items()):
+            if check[2] is link:
                 self._end_health_check(number, Ending.CUT, None)
-        # The end of a link, also by a reset, cuts no call that stands: that the process is dead shows when it
-        # is dialled and nobody listens, or by word of the list that it has started anew.
-        if any(held.stands and held.link is link for held in self.attempts.values()):
-            # Guards against a release that was lost with the link, half read or unread: the server says it
-            # again on the next connection that is opened, whatever others there are.
+        # The end of a connection, even by a reset, ends no standing call. That the server process is dead
+        # shows when a dial is refused, or when the server list reports a restart.
+        if any(attempt.stands and attempt.link is link for attempt in self.attempts.values()):
+            # A release may have been lost with the connection, unread or partly read. The server sends it
+            # again on the next connection that is opened, even if others are open.
             self._dial()
         if not self.connections:
-            waits = self.pending_releases or any(held.stands for held in self.attempts.values())
+            waits = self.pending_releases or any(attempt.stands for attempt in self.attempts.values())
             if waits or self.loop.time() - link.opened_at > MIN_CONNECTION_LIFETIME:
-                self._dial()  # releases come on the next link that opens, and they have limits
+                self._dial()  # releases in both directions wait for the next connection and have a time limit
             else:
                 self._schedule_reconnect()
 
     def _cut_standing(self, before: float = math.inf) -> None:
-        """The process that held the calls sent by then is dead; their callers must hear of it in time."""
-        for held in [
-            held for held in self.attempts.values() if held.stands and (held.sent_at or 0.0) < before
+        """End standing calls sent before that time as cut: the process that held them is dead."""
+        for attempt in [
+            attempt
+            for attempt in self.attempts.values()
+            if attempt.stands and (attempt.sent_at or 0.0) < before
         ]:
-            self._end_attempt(held, Ending.CUT)
+            self._end_attempt(attempt, Ending.CUT)
         self.pending_releases.clear()
 
     def _keepalive_due(self) -> None:
-        """Guards against machines that vanish or are cut off: they give no sign, and their calls, which end
-        there unheard, would stand here for ever. Silence is tested, and at its limit taken for the end."""
+        """Send keepalives to a silent server, and end its calls when it stays silent too long.
+
+        A machine that vanishes or is cut off reports no error. Without this check its calls would stand here
+        for ever, because their ends are never received.
+        """
         now = self.loop.time()
-        again = KEEPALIVE_IDLE - (now - self.last_received_at)
+        idle_left = KEEPALIVE_IDLE - (now - self.last_received_at)
         if self.awaiting_since is not None and now - self.awaiting_since >= KEEPALIVE_TIMEOUT:
             self.awaiting_since = None
-            for held in [held for held in self.attempts.values() if held.stands]:
-                self.pending_releases[held.order.call] = write_release(held.order.call, Cause.NORMAL)
-                self._end_attempt(held, Ending.CUT)
-            for way in self.connections:
-                way.link.close(CloseReason.SILENT)
-        elif again <= 0 and self.attempts:
-            if asked := self.awaiting_since is not None:
-                for way in self.connections:
-                    self._mark_suspect(way.link, self.awaiting_since)
+            for attempt in [attempt for attempt in self.attempts.values() if attempt.stands]:
+                self.pending_releases[attempt.order.call] = write_release(attempt.order.call, Cause.NORMAL)
+                self._end_attempt(attempt, Ending.CUT)
+            for connection in self.connections:
+                connection.link.close(CloseReason.SILENT)
+        elif idle_left <= 0 and self.attempts:
+            if was_awaiting := self.awaiting_since is not None:
+                for connection in self.connections:
+                    self._mark_suspect(connection.link, self.awaiting_since)
             self._mark_awaiting()
-            # On one link, the first time: any byte on any shows that the server is there.
-            for way in self.connections if asked else self.connections[-1:]:
-                test = next(self.check_numbers).to_bytes(8, "big")
-                way.link.write(write_message(Type.TEST, test, {Code.CAUSE: b"\0"}))
+            # The first keepalive goes out on one connection only: a byte on any shows that the server lives.
+            for connection in self.connections if was_awaiting else self.connections[-1:]:
+                check_id = next(self.check_numbers).to_bytes(8, "big")
+                connection.link.write(write_message(Type.TEST, check_id, {Code.CAUSE: b"\0"}))
         if any(
-            way.link.last_received_at > way.link.opened_at and not way.suspect for way in self.connections
+            connection.link.last_received_at > connection.link.opened_at and not connection.suspect
+            for connection in self.connections
         ):
-            for way in self.connections:  # the server is there: what stays silent is of no use
-                if way.suspect and now - way.link.last_received_at >= KEEPALIVE_TIMEOUT:
-                    way.link.close(CloseReason.SILENT)
-        self.keepalive_timer = self.loop.call_later(max(KEEPALIVE_INTERVAL, again), self.post, QuietDue())
+            for connection in self.connections:  # the server lives, so its silent connections are dead
+                if connection.suspect and now - connection.link.last_received_at >= KEEPALIVE_TIMEOUT:
+                    connection.link.close(CloseReason.SILENT)
+        self.keepalive_timer = self.loop.call_later(max(KEEPALIVE_INTERVAL, idle_left), self.post, QuietDue())
 
     def _mark_awaiting(self) -> None:
-        """Something is sent, or would be if a link were up, that a server in reach answers with some byte."""
+        """Note when a message that a reachable server responds to was sent, or put off until a dial succeeds."""
         if self.awaiting_since is None:
             self.awaiting_since = self.loop.time()
 
@@ -591,16 +637,17 @@
         if listed.entry.state is ServerState.GONE:
             if self.reconnect_timer is not None:
                 self.reconnect_timer.cancel()
-            for held in list(self.attempts.values()):
-                self._end_attempt(held, Ending.UNREACHABLE if held.sent_at is None else Ending.CUT)
+            for attempt in list(self.attempts.values()):
+                self._end_attempt(attempt, Ending.UNREACHABLE if attempt.sent_at is None else Ending.CUT)
             for number in list(self.health_checks):
                 self._end_health_check(number, Ending.UNREACHABLE, None)
-            for way in self.connections:
-                way.link.close(CloseReason.SERVER_GONE)
+            for connection in self.connections:
+                connection.link.close(CloseReason.SERVER_GONE)
         elif restarted and listed.entry.started is not None:
-            # The word comes late: links and calls of the new process may be here already, and they stay.
+            # The report may arrive late: connections and calls of the new process may exist already. They
+            # are kept.
             start = self.loop.time() - (unix_ms() - listed.entry.started) / 1000.0
-            for way in self.connections:
-                if way.link.opened_at < start:
-                    way.link.close(CloseReason.REPLACED)
+            for connection in self.connections:
+                if connection.link.opened_at < start:
+                    connection.link.close(CloseReason.REPLACED)
             self._cut_standing(before=start)
