--- a/martentide/attempt_messages.py
+++ b/martentide/attempt_messages.py
@@ -1,7 +1,8 @@
-"""What passes between the decisions' actor and whoever carries an attempt: types only.
+"""Messages between the dispatcher and whoever carries an attempt; types only.
 
-An ``Order`` is owed ``Stood`` if the attempt stands, and exactly one ``Ended`` at its end. The session
-servers' own actors carry attempts, and so do fronts that bring their own carrier. Times are milliseconds.
+The carrier responds to an ``Order`` with ``Stood`` if the attempt stands, and with exactly one ``Ended`` at
+its end. Attempts are carried by the actors of the session servers, or by a front end that brings its own
+carrier. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -15,17 +16,19 @@
 
 
 class Presence(Enum):
-    """Whether who offered a call still waits for it, as far as can be told without waiting."""
+    """Whether the caller of a call still waits for it, as far as can be determined without blocking."""
 
     PRESENT = "here"
-    LEFT = "left"  # its connection is over, though that may not have been read yet
-    UNPROCESSED_INPUT = "unheard"  # it has said something that was not taken yet; a give-up may be in it
+    LEFT = "left"  # its connection has ended, although the end may not have been read yet
+    UNPROCESSED_INPUT = "unheard"  # it has sent data that was not processed yet and may contain a give-up
 
 
 class Client(Protocol):
-    """The connection on which a call was offered, as whoever is about to begin an attempt may ask it."""
+    """The connection on which a call was offered, for checks before an attempt begins."""
 
-    def check_presence(self) -> Presence: ...
+    def check_presence(self) -> Presence:
+        """Return whether the caller still waits for the call."""
+        ...
 
     def when_processed(self, callback: Callable[[], None]) -> None:
         """Call ``then`` once what the client has said by now was taken, and any give-up in it passed on. It
@@ -34,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Set a call up at a server and wait ``patience`` ms for what it says; one Ended is owed for it."""
+    """Set a call up at a server and wait ``patience`` ms for its response; results in one Ended."""
 
     ref: int
     attempt: int
@@ -44,12 +47,12 @@
     number: bytes
     description: bytes
     patience: float
-    client: Client | None = None  # None: whoever offered the call can't be looked at, only heard
+    client: Client | None = None  # None: the caller's presence can't be checked; it only sends a give-up
 
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """What the client had said when it was looked at has been taken: the attempt may begin now."""
+    """The input that the client had sent when it was checked has been processed: the attempt may begin."""
 
     ref: int
     attempt: int
@@ -59,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """Found as an attempt was about to begin: it does not begin, and no other one will."""
+    """The client was found gone right before an attempt: neither this attempt nor a later one begins."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Take an attempt back; ``hang_up``: also when it stands by now."""
+    """Withdraw an attempt; ``hang_up``: also if it stands by now."""
 
     ref: int
     attempt: int
@@ -76,6 +79,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Stood:
+    """The server answered the attempt ``lag`` ms after its set-up was sent; the call stands."""
+
     ref: int
     attempt: int
     server: str
@@ -85,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The one end of an ordered attempt, also of one that stood."""
+    """The end of an ordered attempt, sent exactly once, also for one that stood; ``lag`` in ms."""
 
     ref: int
     attempt: int
--- a/martentide/net/dispatcher.py
+++ b/martentide/net/dispatcher.py
@@ -1,8 +1,8 @@
-"""The actor of the decision module: it owns the Controller, the table of calls and their attempts.
+"""The actor around the decision module: it owns the Controller and the table of calls and their attempts.
 
-It speaks with fronts (who offer calls) and with the actors of the session servers, through mailboxes only.
-A front hands in Offer, GiveUp and ReleaseIn, and is told through the Caller protocol; nothing here knows how
-a front's messages look, so that another front can go through the same decisions and rules.
+It exchanges messages with front ends (which offer calls) and with the actors of the session servers, only
+through mailboxes. A front end posts Offer, GiveUp and ReleaseIn, and is notified through the Caller protocol.
+Nothing here depends on a front end's wire format, so that another one can use the same decisions and rules.
 """
 
 from __future__ import annotations
@@ -52,39 +52,47 @@
 if TYPE_CHECKING:
     from martentide.agreement.overlay import InForce
 
-MAX_STANDING_CALLS = 50_000  # calls that stand at once, before new ones are refused
-MAX_REMEMBERED_IDS = 4096  # ids answered lately: one that comes again is no new call
-ITEMS_PER_TURN = 64  # items taken before the rest of the program has its turn
-CLOCK_JUMP_THRESHOLD = (
-    1_000.0  # ms by which the wall clock may differ from the steady one without being taken for a jump
-)
-OVERDUE_MARGIN = 10.0  # ms after the time for its answer in which the decisions should have answered a call
-ANSWER_MARGIN = 40.0  # ms before its caller's time is up at which a call has its final answer, at the latest
-ANSWER_MARGIN_SHARE = 0.25  # of the time left, where that is less: a short call still gets its attempt
-MIN_ANSWER_MARGIN = 10.0  # ms, however short the call: a timer, a turn of the loop and the way back take some
+MAX_STANDING_CALLS = 50_000  # new calls are refused above this
+MAX_REMEMBERED_IDS = 4096  # ids of recently answered calls; a set-up that repeats one is a duplicate
+ITEMS_PER_TURN = 64  # items handled before other tasks get their turn
+CLOCK_JUMP_THRESHOLD = 1_000.0  # ms; a larger difference of wall clock and monotonic clock counts as a jump
+OVERDUE_MARGIN = 10.0  # ms after the deadline of the decisions until the call fails as overdue
+ANSWER_MARGIN = 40.0  # ms before the caller's deadline by which a call must have its final answer
+ANSWER_MARGIN_SHARE = 0.25  # of the time left, where that is less, so that short calls still get an attempt
+MIN_ANSWER_MARGIN = 10.0  # ms, for a timer, a turn of the event loop and the delivery of the answer
 
 
-# ---- the front's side -----------------------------------------------------------------------------------
+# ---- front ends -----------------------------------------------------------------------------------------
 
 
 class Caller(Protocol):
-    """What the dispatcher tells the party that offered a call; each call gets one of the first three."""
+    """How the dispatcher notifies whoever offered a call: each gets one of answer, refuse and fail."""
 
-    def answer(self, call: bytes, description: bytes) -> None: ...
+    def answer(self, call: bytes, description: bytes) -> None:
+        """The call stands; ``description`` comes from the server."""
+        ...
 
-    def refuse(self, call: bytes, hold_off: float) -> None: ...
+    def refuse(self, call: bytes, hold_off: float) -> None:
+        """The call is refused; the caller should wait ``hold_off`` ms before a redial."""
+        ...
 
-    def fail(self, call: bytes) -> None: ...
+    def fail(self, call: bytes) -> None:
+        """The call can't be set up."""
+        ...
 
-    def release(self, call: bytes, cut: bool) -> None: ...
+    def release(self, call: bytes, cut: bool) -> None:
+        """A standing call is over; ``cut``: it did not end normally."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A new call. What goes on unchanged is bytes; the rest is for the decisions. ``at`` is Unix ms.
+    """A new call.
 
-    ``client``: the connection that it came on, looked at before each attempt; None: it can only be heard.
-    ``carrier``: who carries the call's attempts; None: the actors of the session servers, over their links.
+    Fields of type bytes are passed on unchanged; the others are input of the decisions. ``time_left`` is in
+    ms, ``at`` is the Unix time in ms at which the set-up was received. ``client`` is the connection on which
+    it arrived, checked before each attempt, or None if it can't be checked. ``carrier`` carries the call's
+    attempts; with None the actors of the session servers do, over their own connections.
     """
 
     caller: Caller
@@ -101,46 +109,52 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """The caller waits no longer for the answer; nothing is owed."""
+    """The caller no longer waits for the answer and gets none."""
 
     call: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseIn:
-    """The caller ends a call that stands."""
+    """The caller releases a standing call."""
 
     call: bytes
 
 
-# ---- the session servers' side --------------------------------------------------------------------------
+# ---- session servers ------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Probing:
-    """Ask a server for a sign of life and its report."""
+    """Send a health check to a server, which also asks for its report."""
 
 
 class Carrier(Protocol):
-    """Carries attempts and posts what comes of each: Stood if it stands, and one Ended at its end."""
+    """Carries attempts and posts their results: Stood if the attempt stands, and one Ended at its end."""
 
-    def post(self, item: Order | Withdraw) -> None: ...
+    def post(self, item: Order | Withdraw) -> None:
+        """Put an item into the carrier's mailbox."""
+        ...
 
 
 class ServerActor(Carrier, Protocol):
-    """The carrier over the program's own links to one server."""
+    """The carrier over this process's own connections to one server."""
 
-    def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None: ...
+    def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
+        """Put an item into the actor's mailbox."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
 class Overdue:
+    """The decisions should have answered a call by now."""
+
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """Other settings hold for what comes from now on; ``connect_timeout`` in s."""
+    """New settings apply from now on; ``connect_timeout`` in s."""
 
     settings: Settings
     max_open: int
@@ -170,49 +184,57 @@
 
 @dataclass(slots=True)
 class Call:
+    """A call, from its offer until it is closed and has no outstanding attempt."""
+
     offer: Offer
     ref: int
     overdue_timer: asyncio.TimerHandle
     attempts: int = 0
-    current_attempt: int | None = None  # number of the attempt that is out
+    current_attempt: int | None = None  # number of the outstanding attempt
     current_carrier: Carrier | None = None
     stands: bool = False
-    closed: bool = False  # nothing is owed to the caller any more
+    closed: bool = False  # the caller gets no further message
 
 
 def time_for_answer(time_left: float) -> float:
-    """The ms that the decisions may take for a call whose caller waits ``time_left`` ms more; none below 0.
+    """Return the ms that the decisions may take for a call whose caller waits ``time_left`` ms more.
 
-    Guards against answers that meet their caller's give-up: an attempt may run to the end of the time that
-    the decisions are told of. Its time-out, the answer's way back, and what the set-up lay unread while the
-    process was busy come on top, and callers on sockets allow no time beyond what they told.
+    A result of 0 or less means that no time is left. Without the margin, answers would cross with their
+    caller's give-up: an attempt may run to the end of the time that the decisions know. The handling of its
+    timeout, the delivery of the answer, and the time that the set-up lay unread while the process was busy
+    come on top, and callers on sockets wait no longer than the time they state.
     """
     return time_left - max(MIN_ANSWER_MARGIN, min(ANSWER_MARGIN, ANSWER_MARGIN_SHARE * time_left))
 
 
 class WaitingCaller:
-    """The caller of one call, as whoever is about to begin an attempt for it may ask
-    (attempt_messages.Client).
+    """The caller of one call, checked before an attempt begins (implements attempt_messages.Client).
 
-    Guards against an attempt that begins ahead of a give-up which has been read, and waits in a mailbox.
+    It also counts a give-up that was read and still waits in the dispatcher's mailbox, so that no attempt
+    begins before the give-up is handled.
     """
 
     def __init__(self, dispatcher: Dispatcher, call: Call) -> None:
         self.dispatcher, self.call = dispatcher, call
 
     def check_presence(self) -> Presence:
+        """Return whether the caller still waits for the call."""
         offer = self.call.offer
         if self.call.closed or self.dispatcher.pending_departures[offer.call]:
             return Presence.LEFT
         return Presence.PRESENT if offer.client is None else offer.client.check_presence()
 
-    def when_processed(self, then: Callable[[], None]) -> None:
+    def when_processed(self, callback: Callable[[], None]) -> None:
+        """Pass the callback on to the call's connection, if it has one."""
         if self.call.offer.client is not None:
-            self.call.offer.client.when_processed(then)
+            self.call.offer.client.when_processed(callback)
 
 
 class Dispatcher:
-    """One Controller, fed in the order of the mailbox."""
+    """Feeds one Controller in the order of its mailbox and carries out the actions that it returns.
+
+    ``max_open``: more unanswered calls than this are refused.
+    """
 
     def __init__(
         self, controller: Controller, start_server: Callable[[Listed, Dispatcher], ServerActor], max_open: int
@@ -220,47 +242,47 @@
         self.controller, self.start_server, self.max_open = controller, start_server, max_open
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
         self.loop = asyncio.get_running_loop()
-        self.now = self.monotonic_at = 0.0  # as of the last look at the clocks, Unix and monotonic
-        self.asking: bytes | None = None  # the call whose question the decisions are being asked
+        self.now = self.monotonic_at = 0.0  # ms at the last reading of the clocks
+        self.asking: bytes | None = None  # id of the call that the decisions are being asked about
         self.refs = itertools.count(1)
         self.calls: dict[int, Call] = {}
         self.by_id: dict[bytes, Call] = {}
-        self.pending_departures: Counter[bytes] = (
-            Counter()
-        )  # calls whose end by the caller waits in the mailbox
+        # By call id: GiveUp and ReleaseIn items that wait in the mailbox.
+        self.pending_departures: Counter[bytes] = Counter()
         self.open_calls = 0  # offered and neither answered nor standing
-        self.recently_answered: OrderedDict[bytes, int] = OrderedDict()  # and the caller
+        self.recently_answered: OrderedDict[bytes, int] = OrderedDict()  # call id to id() of its caller
         self.listed: dict[str, Listed] = {}
         self.servers: dict[str, ServerActor] = {}
         self.list_observers: list[Callable[[tuple[Listed, ...]], None]] = []
-        self.event_observers: list[
-            Callable[[float, Event], None]
-        ] = []  # told of each event once it was decided on
-        self.local_settings = controller.settings  # without what the fleet agreed on
-        self.agreed_rules: InForce | None = None  # what the fleet agreed on, where it agrees on anything
-        self.before_each_item: Callable[[], None] | None = (
-            None  # called before each item: whether that still holds
-        )
-        self.merge_lists: Callable[[Notice], Notice] | None = None  # with what other members heard
-        self.last_answer_at: dict[str, float] = {}  # server's last answer, by the loop's clock in s
+        # Called with each event after the decisions have handled it.
+        self.event_observers: list[Callable[[float, Event], None]] = []
+        self.local_settings = controller.settings  # without the rules that the fleet agreed on
+        self.agreed_rules: InForce | None = None  # None where the fleet agrees on no rules
+        # Called before each item; checks whether the agreed rules still apply.
+        self.before_each_item: Callable[[], None] | None = None
+        # Merges a server list with those that other members received.
+        self.merge_lists: Callable[[Notice], Notice] | None = None
+        self.last_answer_at: dict[str, float] = {}  # loop time in s of each server's last answer
         self.closing = False
         self.idle = asyncio.Event()
         self.idle.set()
 
     def post(self, item: Item) -> None:
+        """Put an item into the dispatcher's mailbox."""
         if isinstance(item, GiveUp | ReleaseIn):
             self.pending_departures[item.call] += 1
         self.mailbox.put_nowait(item)
 
     async def run(self) -> None:
-        for taken in itertools.count():
-            if taken % ITEMS_PER_TURN == 0:
-                await asyncio.sleep(0)  # a full mailbox must not keep timers and links from their turn
+        """Handle the mailbox until cancelled."""
+        for handled in itertools.count():
+            if handled % ITEMS_PER_TURN == 0:
+                await asyncio.sleep(0)  # a full mailbox must not starve timers and connections
             item = await self.mailbox.get()
             try:
                 self._handle(item)
             except Exception:
-                # Guards against an error in the decisions: the call it hit is answered, the rest goes on.
+                # After an error in the decisions the affected call is failed, and all others continue.
                 LOG.exception("internal-error", item=type(item).__name__)
                 self._settle_after_error(item)
             self.asking = None
@@ -300,20 +322,19 @@
                 self._feed(item)
 
     def handle_now(self, event: Event) -> None:
-        """Tell the decisions at once: for the start, before the mailbox is read."""
+        """Pass an event to the decisions at once; used at the start, before the mailbox is read."""
         self._feed(event)
 
     def apply_agreed_rules(self, in_force: InForce) -> None:
-        """From now on, at once: what is offered is decided under it; calls offered before keep their
-        terms."""
+        """Apply the agreed rules to calls offered from now on; calls offered before keep their terms."""
         settings = self._effective_settings(self.local_settings)
         self.agreed_rules = in_force
-        if (under := self._effective_settings(self.local_settings)) != settings:
-            self._feed(SettingsChanged(under))
+        if (effective := self._effective_settings(self.local_settings)) != settings:
+            self._feed(SettingsChanged(effective))
         self.refresh_listed_states()
 
     def refresh_listed_states(self) -> None:
-        """Tell the decisions of servers that are another way than what they hold, by what is in force."""
+        """Update the decisions' servers whose entries differ under the rules that are in force now."""
         held = self.controller.servers
         entries = self._effective_entries(tuple(listed.entry for listed in self.listed.values()))
         changed = tuple(one for one in entries if one.name in held and held[one.name].entry != one)
@@ -333,30 +354,33 @@
         return self.agreed_rules.entries(entries, answered)
 
     def _clock(self) -> float:
-        """Unix time in ms for the decisions. It follows the wall clock while that runs like the monotonic
-        one; where it jumped, time goes on at the steady pace: neither backwards, nor still until the old
-        time is reached again."""
-        steady_at, wall = self.loop.time() * 1000.0, unix_ms()
-        steady = self.now + steady_at - self.monotonic_at
-        self.monotonic_at = steady_at
-        jumped = self.now > 0.0 and abs(wall - steady) > CLOCK_JUMP_THRESHOLD
-        self.now = max(self.now, steady if jumped else wall)
+        """Return the Unix time in ms for the decisions, which never runs backwards.
+
+        It follows the wall clock as long as that agrees with the monotonic clock. After a jump of the wall
+        clock it advances with the monotonic clock, so that it does not stand still until the wall clock has
+        caught up.
+        """
+        monotonic_at, wall = self.loop.time() * 1000.0, unix_ms()
+        expected = self.now + monotonic_at - self.monotonic_at
+        self.monotonic_at = monotonic_at
+        jumped = self.now > 0.0 and abs(wall - expected) > CLOCK_JUMP_THRESHOLD
+        self.now = max(self.now, expected if jumped else wall)
         return self.now
 
     def _feed(self, event: Event) -> None:
         try:
             self.controller.handle(self._clock(), event)
         finally:
-            # Also after an error in the decisions: what they had asked for by then, above all their next
-            # timer, is in their books as done, and without it they would not look at held calls again.
+            # Carry out the actions even after an error: the decisions have recorded them as done. Above all,
+            # without their next timer they would never check waiting calls again.
             actions = self.controller.actions
             LOG.debug("decide", now=self.now, heard=event, actions=actions)
             for action in actions:
                 self._perform(action)
-        for follower in tuple(self.event_observers):
-            follower(self.now, event)
+        for observer in tuple(self.event_observers):
+            observer(self.now, event)
 
-    # ---- what the decisions ask -------------------------------------------------------------------------
+    # ---- actions of the decisions -----------------------------------------------------------------------
 
     def _perform(self, action: Action) -> None:
         match action:
@@ -390,13 +414,13 @@
                     self.post(ProbeEnded(action.server, Ending.UNREACHABLE, False, 0.0, None))
             case Note():
                 log_event("note", text=repr(action.text))
-            case _:  # peers and a list that must be asked for are not part of today's protocol
+            case _:  # the protocol has neither peers nor a server list that must be requested
                 log_event("action-ignored", action=type(action).__name__)
 
     def _send(self, action: SendSetUp) -> None:
         call = self.calls.get(action.ref)
         if call is None or call.closed or call.current_attempt is not None:
-            raise RuntimeError(f"set-up of call {action.ref}, which is closed or has an attempt out")
+            raise RuntimeError(f"set-up for call {action.ref}, which is closed or has an outstanding attempt")
         attempt, call.attempts = call.attempts, call.attempts + 1
         offer = call.offer
         call.current_attempt, call.current_carrier = attempt, offer.carrier or self.servers.get(action.server)
@@ -417,13 +441,14 @@
             )
         )
 
-    # ---- what fronts say --------------------------------------------------------------------------------
+    # ---- items from front ends --------------------------------------------------------------------------
 
     def _offer(self, offer: Offer) -> None:
         known = self.by_id.get(offer.call)
         if known is not None or self.recently_answered.get(offer.call) == id(offer.caller):
-            # Guards against two calls under one id: it is in use, or this caller had its answer lately. It is
-            # not another caller's fault to come by it later. The answer of an open call stays the only one.
+            # Two calls must not share an id: it is in use, or this caller's call with it was answered
+            # recently. Another caller may reuse an id that is no longer in use. A caller that repeats the id
+            # of its open call gets no second answer.
             log_event("duplicate-call", call=offer.call.hex())
             if known is None or known.offer.caller is not offer.caller:
                 offer.caller.refuse(offer.call, 0.0)
@@ -470,7 +495,7 @@
             self._feed(CallerGone(call.ref))
 
     def _overdue(self, ref: int) -> None:
-        """The time for the answer is up and the decisions gave none: the call fails, in its caller's time."""
+        """Fail a call that the decisions have not answered in time, while its caller still waits."""
         call = self.calls.get(ref)
         if call is None or call.closed or call.stands:
             return
@@ -479,12 +504,12 @@
         call.offer.caller.fail(call.offer.call)
 
     def _close_call(self, call: Call, answered: bool = False) -> None:
-        """The caller has its final answer or has left; the entry stays while an attempt is out."""
+        """Close a call whose caller has its final answer or has left; it is kept while an attempt is open."""
         call.closed = True
         self.open_calls -= not call.stands
         call.overdue_timer.cancel()
         self.by_id.pop(call.offer.call, None)
-        if answered:  # one that was given up may come again, over a new connection, and is owed an answer
+        if answered:  # a call that was given up may be offered again on a new connection and gets an answer
             self.recently_answered[call.offer.call] = id(call.offer.caller)
         if len(self.recently_answered) > MAX_REMEMBERED_IDS:
             self.recently_answered.popitem(last=False)
@@ -503,12 +528,12 @@
             call.current_carrier.post(Withdraw(call.ref, call.current_attempt, call.offer.call, hang_up=True))
         call.offer.caller.fail(call.offer.call)
 
-    # ---- what session servers say -----------------------------------------------------------------------
+    # ---- items from session servers ---------------------------------------------------------------------
 
     def _stood(self, item: Stood) -> None:
         call = self.calls.get(item.ref)
         if call is None or call.closed or call.stands or call.current_attempt != item.attempt:
-            return  # the caller left meanwhile: the withdrawal on its way to the server ends the call there
+            return  # the caller has left: the Withdraw on its way to the carrier ends the call at the server
         call.stands = True
         self.open_calls -= 1
         call.overdue_timer.cancel()
@@ -518,7 +543,7 @@
     def _ended(self, item: Ended) -> None:
         call = self.calls.get(item.ref)
         if call is None or call.current_attempt != item.attempt:
-            raise RuntimeError(f"the end of attempt {item.attempt} of call {item.ref}, which is not out")
+            raise RuntimeError(f"end of attempt {item.attempt} of call {item.ref}, which is not outstanding")
         call.current_attempt = call.current_carrier = None
         if call.stands and not call.closed:
             self._close_call(call, answered=True)
@@ -540,17 +565,21 @@
             )
         )
 
-    # ---- the list ---------------------------------------------------------------------------------------
+    # ---- server list ------------------------------------------------------------------------------------
 
     def apply_list(self, notice: Notice, kind: ListKind | None = None) -> None:
-        """Tell the servers' actors first, so that no later order finds an old state, then the decisions."""
+        """Apply a server list: first to the servers' actors, then to the decisions.
+
+        In this order no order that follows from the list can meet an actor with an old state. ``kind``
+        overrides the kind that the list states.
+        """
         if self.merge_lists is not None:
             notice = self.merge_lists(notice)
-        told = {listed.entry.name: listed for listed in notice.servers}
-        changed = dict(told)
+        received = {listed.entry.name: listed for listed in notice.servers}
+        changed = dict(received)
         if notice.whole:
             for name, listed in self.listed.items():
-                if name not in told:
+                if name not in received:
                     changed[name] = marked_gone(listed)
         for name, listed in changed.items():
             log_event("server-listed", server=name, state=listed.entry.state.value, number=notice.number)
@@ -565,8 +594,8 @@
                 self.servers[name].post(listed)
             else:
                 self.servers[name] = self.start_server(listed, self)
-        for watcher in self.list_observers:
-            watcher(tuple(changed.values()))
+        for observer in self.list_observers:
+            observer(tuple(changed.values()))
         kind = kind or (ListKind.WHOLE if notice.whole else ListKind.CHANGES)
         self._feed(
             ServerList(kind, self._effective_entries(tuple(listed.entry for listed in notice.servers)))
@@ -574,7 +603,7 @@
 
 
 def marked_gone(listed: Listed) -> Listed:
-    """The same server, gone: a whole list that leaves it out says so."""
+    """Return the entry of the same server in state GONE, for a server that a complete list leaves out."""
     entry = listed.entry
-    left = type(entry)(entry.name, entry.place, entry.zone, ServerState.GONE, entry.started, entry.size)
-    return Listed(left, listed.host, listed.port)
+    gone = type(entry)(entry.name, entry.place, entry.zone, ServerState.GONE, entry.started, entry.size)
+    return Listed(gone, listed.host, listed.port)
