--- a/martentide/attempt_messages.py
+++ b/martentide/attempt_messages.py
@@ -31,8 +31,10 @@
         ...
 
     def when_processed(self, callback: Callable[[], None]) -> None:
-        """Call ``then`` once what the client has said by now was taken, and any give-up in it passed on. It
-        is not called where the connection ends before: the call is given up then."""
+        """Call ``callback`` once all input sent by now was processed and any give-up in it passed on.
+
+        It is not called if the connection ends before that; the call is then given up.
+        """
 
 
 @dataclass(frozen=True, slots=True)
--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -256,7 +256,7 @@
         link, message = item.link, item.message
         match message.type:
             case Type.SET_UP:
-                self._set_up(link, message, item.at)
+                self._set_up(link, message, item.received_at)
             case Type.RELEASE:
                 link.write(write_message(Type.RELEASE_HEARD, message.call))
                 record = self.records.pop(message.call, None)
@@ -275,7 +275,7 @@
                 passed = b"\x01" if self.client_connections.ready() else b"\0"
                 link.write(write_message(Type.TEST_RESULT, message.call, {Code.CAUSE: passed}))
 
-    def _set_up(self, link: Link, message: Message, at: float) -> None:
+    def _set_up(self, link: Link, message: Message, received_at: float) -> None:
         known = self.records.get(message.call)
         if known is not None and known.link is not None and not known.link.alive and not known.stands:
             # The caller sent the set-up again because its connection was closed; the LinkEnded of that
@@ -289,7 +289,7 @@
         parts = message.parameters
         LOG.debug("set-up", party=self.host, call=message.call.hex(), parameters=parts)
         time_left = parts.get(Code.TIME_LEFT, b"").decode("ascii", "replace")
-        CALL_TRACE.step(message.call, CallStep.RECEIVED, peer=link.peer, at=at, time_left=time_left)
+        CALL_TRACE.step(message.call, CallStep.RECEIVED, peer=link.peer, at=received_at, time_left=time_left)
         try:
             if not any(message.call):
                 # Servers reject an all-zero id by closing the connection, with all other set-ups on it.
@@ -302,7 +302,7 @@
                 description=parts[Code.DESCRIPTION],
                 time_left=read_milliseconds(message.text(Code.TIME_LEFT)),
                 first_choice=read_first_choice(message.text(Code.FIGURES) or ""),
-                at=at,
+                at=received_at,
                 client=link,
             )
         except (KeyError, CodecError) as error:
--- a/martentide/net/client_connections.py
+++ b/martentide/net/client_connections.py
@@ -1,4 +1,4 @@
-"""The descriptors set aside for callers: which connections are let in, kept, and closed first."""
+"""The descriptors reserved for callers: which connections are kept, and which are closed first."""
 
 from __future__ import annotations
 
@@ -9,27 +9,26 @@
 from martentide.net.close_reason import CloseReason
 from martentide.net.links import Link
 
-PROBATION = 2.0  # s in which a new connection must have brought something that can be answered
-PROBATION_RECHECK = 0.25  # s until the next look while it waits for an answer or a release
-MESSAGE_TIMEOUT = 1.5  # s in which a message begun by a caller must be whole
-RELAXED_MESSAGE_TIMEOUT = (
-    2.6  # s instead, on a connection that came while there was room: some need 2 s to write one
-)
-# Of the client connections' descriptors in use, above which there is none: half messages must not hold the
-# rest.
+PROBATION = 2.0  # s in which a new connection must have sent something that can be answered
+PROBATION_RECHECK = 0.25  # s between checks while it waits for an answer or a release
+MESSAGE_TIMEOUT = 1.5  # s in which a message must be complete once its first byte came from a caller
+RELAXED_MESSAGE_TIMEOUT = 2.6  # s, while few descriptors are in use: some callers need 2 s to write a message
+# Share of the callers' descriptors in use from which on MESSAGE_TIMEOUT applies to new connections, so that
+# incomplete messages don't occupy the remaining descriptors.
 RELAXED_TIMEOUT_SHARE = 0.75
-MUTE_GRACE = 1.0  # s in which a new connection may bring its first byte before a drain closes it
-DRAIN_RECHECK = 0.02  # s until the next look at a link that is to be closed and is not at rest
+MUTE_GRACE = 1.0  # s in which a new connection may send its first byte before a drain closes it
+DRAIN_RECHECK = 0.02  # s between checks of a connection that a drain is to close and that is still active
 
-SendFrame = Callable[[MovedLink | MovedCalls | Said | Left, int | None], None]  # a frame with its descriptor
+SendFrame = Callable[[MovedLink | MovedCalls | Said | Left, int | None], None]  # frame and descriptor with it
 
 
 class ClientConnections:
-    """The descriptors set aside for callers, and who gives one up when they run short.
+    """The callers' connections, and the choice of those to close when descriptors run short.
 
-    A link is mute until something on it was answered, busy while a set-up on it is open, and rests otherwise.
-    Guards against floods of connections that say nothing: usual callers, who do, must still get in. Mute ones
-    are closed after PROBATION, and before, the oldest first, when room is needed; then the longest at rest.
+    A connection is mute until something on it was answered, busy while a set-up on it is open, and resting
+    otherwise. A flood of connections that send nothing must not keep callers out: mute connections are closed
+    after ``PROBATION``. When descriptors run short, mute connections are closed earlier, the oldest first,
+    and then the connections that have been resting longest. ``max_connections`` is the number of descriptors.
     """
 
     def __init__(self, max_connections: int) -> None:
@@ -37,18 +36,18 @@
         self.loop = asyncio.get_running_loop()
         self.mute: dict[Link, None] = {}
         self.resting: dict[Link, None] = {}
-        self.open: dict[Link, int] = {}  # set-ups that are open, by link
+        self.open: dict[Link, int] = {}  # all connections, with the number of their open set-ups
         self.host_of: dict[Link, str] = {}
-        self.hosts_with_calls: set[str] = set()  # parties that have calls
-        self.standing_calls: dict[Link, int] = {}  # calls that stand and came on the link
+        self.hosts_with_calls: set[str] = set()  # calling hosts that have calls or pending releases
+        self.standing_calls: dict[Link, int] = {}  # number of standing calls set up on the connection
         self.draining = False
-        self.ready: Callable[[], bool] = lambda: True  # what a test of the front is told
-        self.predecessor: Callable[[Left], None] | None = None  # hears of calls that are its own
-        self.successor: SendFrame | None = None  # has the callers' new connections
+        self.ready: Callable[[], bool] = lambda: True  # result of callers' health checks
+        self.predecessor: Callable[[Left], None] | None = None  # notifies the predecessor of its own calls
+        self.successor: SendFrame | None = None  # sends to the successor, which accepts new connections
 
     @property
     def message_timeout(self) -> float:
-        """The time that a connection which comes now has for a message."""
+        """The time in s within which a connection accepted now must complete each message."""
         return (
             RELAXED_MESSAGE_TIMEOUT
             if len(self.open) < RELAXED_TIMEOUT_SHARE * self.max_connections
@@ -56,45 +55,50 @@
         )
 
     def add(self, link: Link, host: str) -> None:
+        """Add a new connection; if there are too many now, close one, possibly the new one."""
         self.open[link], self.standing_calls[link], self.host_of[link] = 0, 0, host
         self.mute[link] = None
         self.loop.call_later(PROBATION, self._probation_over, link)
         if self.draining:
             self.loop.call_later(MUTE_GRACE, self._close_if_drained, link)
         if len(self.open) > self.max_connections:
-            last = self._connection_to_close(link)
-            self.remove(last)
-            last.close(CloseReason.TOO_MANY)
+            surplus = self._connection_to_close(link)
+            self.remove(surplus)
+            surplus.close(CloseReason.TOO_MANY)
 
     def set_has_calls(self, host: str, any_left: bool) -> None:
-        """Whether the party has calls, or releases to hear: it may wait for them on quiet links."""
+        """Set whether the host has calls or pending releases, for which it may wait on silent connections."""
         if any_left:
             self.hosts_with_calls.add(host)
         else:
             self.hosts_with_calls.discard(host)
 
     def _connection_to_close(self, newcomer: Link) -> Link:
-        """The link to be closed: of a party without calls if there is one, mute before resting."""
+        """Return the connection to close: of a host without calls if possible, mute before resting."""
         idle = [one for one in self._idle() if one is not newcomer]
-        free = (one for one in (*idle, newcomer) if self.host_of[one] not in self.hosts_with_calls)
-        return next(free, idle[0] if idle else newcomer)
+        callless = (one for one in (*idle, newcomer) if self.host_of[one] not in self.hosts_with_calls)
+        return next(callless, idle[0] if idle else newcomer)
 
     def _idle(self) -> list[Link]:
-        """Links without a call, open or standing, the cheapest to lose first: mute before resting."""
+        """Return the connections without an open or standing call, in the order of closing."""
         links = (*self.mute, *self.resting)
         return [one for one in links if not self.open.get(one) and not self.standing_calls.get(one)]
 
     def close_idle(self, count: int) -> int:
-        """Close up to so many links at once, mute before resting; none with an open set-up, and none of a
-        party that has calls while there are others."""
+        """Close up to ``count`` idle connections and return how many were closed.
+
+        Mute connections come before resting ones, and those of hosts without calls before the others.
+        Connections with an open set-up or a standing call are never closed.
+        """
         idle = self._idle()
-        idle.sort(key=lambda one: self.host_of[one] in self.hosts_with_calls)  # keeps the order otherwise
+        idle.sort(key=lambda one: self.host_of[one] in self.hosts_with_calls)  # the sort is stable
         for link in idle[:count]:
             self.remove(link)
             link.close(CloseReason.TOO_MANY)
         return len(idle[:count])
 
     def remove(self, link: Link) -> None:
+        """Forget a connection that is closed or is about to be."""
         self.open.pop(link, None)
         self.standing_calls.pop(link, None)
         self.host_of.pop(link, None)
@@ -102,13 +106,13 @@
         self.resting.pop(link, None)
 
     def set_up_opened(self, link: Link) -> None:
-        """A set-up is open on the link."""
+        """Count a set-up that was opened on the connection."""
         if link in self.open:
             self.open[link] += 1
             self.resting.pop(link, None)
 
     def set_up_ended(self, link: Link, answered: bool) -> None:
-        """A set-up on the link is open no more; ``answered``: it was told so."""
+        """Count a set-up that is no longer open; ``answered``: the caller got a final message for it."""
         if link in self.open:
             self.open[link] -= 1
             if answered:
@@ -117,14 +121,14 @@
                 self._mark_resting(link)
 
     def change_standing(self, link: Link, by: int) -> None:
-        """One call more (or fewer) stands that came on the link."""
+        """Change the number of standing calls that were set up on the connection."""
         if link in self.standing_calls:
             self.standing_calls[link] += by
             if self.draining and self.standing_calls[link] == 0:
                 self.loop.call_soon(self._close_if_drained, link)
 
     def mark_answered(self, link: Link) -> None:
-        """Something on the link was answered."""
+        """Note that something on the connection was answered: it is no longer mute."""
         self.mute.pop(link, None)
         self.resting.pop(link, None)
         if self.open.get(link) == 0:
@@ -136,21 +140,24 @@
             self.loop.call_soon(self._close_if_drained, link)
 
     def leave(self, on: bool) -> None:
-        """Close links as they come to rest, from now on (or keep them again): a drain."""
+        """Start or end a drain, during which connections are closed as soon as they are idle."""
         self.draining = on
         if on:
             for link in self.open:
                 self.loop.call_soon(self._close_if_drained, link)
 
     def _close_if_drained(self, link: Link) -> None:
-        """Close the link if it is at rest. One that carries a set-up or a call that stands is looked at when
-        that ends, since its caller hears of it there; one on which something has begun, or that is too young
-        to have brought anything, a little later."""
+        """Close the connection if it is idle.
+
+        One with an open set-up or a standing call is checked again when that ends, because the caller is
+        notified on it. One with unprocessed input, or one that is too new to have sent anything, is checked
+        again a little later.
+        """
         if not self.draining or self.open.get(link, 1) or self.standing_calls.get(link, 1):
             return
-        young = MUTE_GRACE - (self.loop.time() - link.opened_at) if link in self.mute else 0.0
-        if young > 0 or not link.at_rest:
-            self.loop.call_later(max(young, DRAIN_RECHECK), self._close_if_drained, link)
+        grace_left = MUTE_GRACE - (self.loop.time() - link.opened_at) if link in self.mute else 0.0
+        if grace_left > 0 or not link.at_rest:
+            self.loop.call_later(max(grace_left, DRAIN_RECHECK), self._close_if_drained, link)
             return
         self.remove(link)
         link.close(CloseReason.DRAINED)
@@ -158,7 +165,7 @@
     def _probation_over(self, link: Link) -> None:
         if link not in self.mute:
             return
-        # It waits for an answer or a release, or has begun a message, which has a limit of its own.
+        # It waits for an answer or a release, or has begun a message, which has a timeout of its own.
         if (
             self.open[link]
             or self.host_of[link] in self.hosts_with_calls
--- a/martentide/net/close_reason.py
+++ b/martentide/net/close_reason.py
@@ -1,6 +1,6 @@
-"""Reason codes: why a connection ended. Each ended connection, or dial that failed, leaves one log line.
+"""Close reasons: why a connection ended. Each ended connection and each failed dial writes one log line.
 
-``docs/ON-CALL.md`` says for each code what it means and what to do.
+``docs/ON-CALL.md`` explains each code and what to do about it.
 """
 
 from __future__ import annotations
@@ -13,6 +13,8 @@
 
 
 class CloseReason(Enum):
+    """Why a connection ended or could not be opened; the values appear in the log."""
+
     PEER_CLOSED = "peer-closed"
     PEER_RESET = "peer-reset"
     TRUNCATED = "truncated"
@@ -54,12 +56,12 @@
 
 
 def log_connection_closed(role: str, peer: str, reason: CloseReason, detail: str = "") -> None:
-    """The one line that an ended connection leaves; roles are in ``docs/ON-CALL.md``."""
+    """Log the end of a connection, as a warning unless routine; ``docs/ON-CALL.md`` lists the roles."""
     write = LOG.info if reason in ROUTINE_REASONS else LOG.warning
-    more = {"detail": repr(detail)} if detail else {}
-    write("connection-ended", role=role, peer=peer, reason=reason.value, **more)
+    fields = {"detail": repr(detail)} if detail else {}
+    write("connection-ended", role=role, peer=peer, reason=reason.value, **fields)
 
 
 def log_event(event: str, **fields: object) -> None:
-    """Any other line for on-call staff: what happened and its figures."""
+    """Log any other event for on-call staff, with its values."""
     LOG.info(event, **fields)
--- a/martentide/net/descriptors.py
+++ b/martentide/net/descriptors.py
@@ -1,6 +1,7 @@
-"""Descriptors: how many the process may have, how many callers get, and what is done when they run out.
+"""File descriptors: the limit of the process, the callers' share, and what happens when they run out.
 
-The board, the servers and the operator's calls come before callers: without them no call is set up at all.
+The discovery service, the servers and the operator's requests have priority over callers: without them no
+call is set up at all.
 """
 
 from __future__ import annotations
@@ -13,36 +14,36 @@
 
 from martentide.net.close_reason import log_event
 
-CALLERS_SHARE = 0.5  # callers hold a third at most, old connections may overlap new ones
-RESERVED = 16  # standard streams, event loop, listeners, the board, files: what the process needs for itself
+CALLERS_SHARE = 0.5  # callers hold at most a third, and old connections may overlap with new ones
+RESERVED = 16  # for standard streams, event loop, listeners, discovery service and files
 MIN_CALLERS = 8
 MAX_OPERATOR_CALLS = 24
 SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-LOG_INTERVAL = 1.0  # s between two log lines about a shortage
+LOG_INTERVAL = 1.0  # minimum s between log lines about a shortage
 
 
 def most(configured: int) -> int:
-    """The process's limit: what the configuration tells, or the system's where that is less."""
-    system = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    return configured if system == resource.RLIM_INFINITY else min(configured, system)
+    """Return the limit of the process: the configured one, or the system's if that is lower."""
+    system_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    return configured if system_limit == resource.RLIM_INFINITY else min(configured, system_limit)
 
 
 def for_operator(limit: int) -> int:
-    """Calls of the operator that may be open at once."""
+    """Return how many requests of the operator may be open at once."""
     return min(MAX_OPERATOR_CALLS, limit // 8)
 
 
 def for_callers(limit: int, servers: int, operated: bool) -> int:
-    """Connections of callers: half of all, less where the rest would not do for everything else."""
+    """Return the number of callers' connections: half of all, or what is left after everything else."""
     rest = limit - RESERVED - servers - (for_operator(limit) if operated else 0)
     return max(MIN_CALLERS, min(int(limit * CALLERS_SHARE), rest))
 
 
 class Shortage:
-    """What happens when the system gives no more descriptors. ``make_room`` closes what is cheapest to lose.
+    """Handles a lack of descriptors. ``make_room`` closes the connections that cost least to lose.
 
-    Guards against idle callers that keep the board or a server from being dialled again, and against a trace
-    for every connection that can't be accepted. The listener itself pauses for a second (asyncio).
+    Without it, idle callers could keep the discovery service or a server from being dialled again, and each
+    connection that can't be accepted would log a traceback. asyncio pauses the listener for a second.
     """
 
     def __init__(self, make_room: Callable[[], int]) -> None:
@@ -52,7 +53,7 @@
         self.occurrences = 0
 
     def met(self, error: BaseException | None) -> bool:
-        """Whether the error is one; if so, room is made."""
+        """Return whether the error is a lack of descriptors; if it is, close connections to make room."""
         if not isinstance(error, OSError) or error.errno not in SHORTAGE_ERRNOS:
             return False
         self.occurrences += 1
@@ -64,6 +65,6 @@
         return True
 
     def handle(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """The event loop's handler of errors that nobody awaits: those of accepting come there."""
+        """Exception handler of the event loop, which also gets the errors of accepting connections."""
         if not self.met(context.get("exception")):
             loop.default_exception_handler(context)
--- a/martentide/net/links.py
+++ b/martentide/net/links.py
@@ -1,6 +1,6 @@
-"""One connection that carries signalling messages, as callers and session servers both have them.
+"""One connection that carries signalling messages, to a caller or to a session server.
 
-A link belongs to one actor: it posts what comes into that actor's mailbox and writes for it without waiting.
+A ``Link`` belongs to one actor: it posts received messages to its mailbox and never blocks on writes.
 """
 
 from __future__ import annotations
@@ -20,37 +20,40 @@
 from martentide.codec.messages import MOST_BYTES, Message, read_message, split
 from martentide.net.close_reason import CloseReason, log_connection_closed
 
-MAX_UNPROCESSED = (
-    64  # messages of one link that wait in its actor's mailbox at most; then the link reads no more
-)
-MAX_UNSENT_BYTES = 256 * 1024  # bytes that wait for a peer that does not read, before its link is given up
-STALL_RECHECK = 0.01  # s more for bytes that may lie ready as the time for a message runs out
-WRITE_TIMEOUT = 2.0  # s in which what waits must have gone out, or the peer is taken for blocked
+MAX_UNPROCESSED = 64  # messages of one connection waiting in the mailbox at which it stops reading
+MAX_UNSENT_BYTES = 256 * 1024  # buffered for a peer that does not read, before its connection is closed
+STALL_RECHECK = 0.01  # s more to read bytes that are already there when the time for a message runs out
+WRITE_TIMEOUT = 2.0  # s in which buffered bytes must have been sent, or the peer counts as blocked
 
 
 def unix_ms() -> float:
+    """Return the Unix time in ms."""
     return time.time() * 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A whole message came over a link, its last byte at ``at`` (Unix ms)."""
+    """A complete message was received; its last byte was read at ``received_at`` (Unix ms)."""
 
     link: Link
     message: Message
-    at: float
+    received_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class LinkEnded:
-    """A link is over; nothing more comes from it."""
+    """A connection has ended; no further message is posted for it."""
 
     link: Link
     reason: CloseReason
 
 
 class Link:
-    """Reads whole messages, writes without waiting, and ends once, with one reason and one log line."""
+    """Reads complete messages, writes without blocking, and ends once, with one reason and one log line.
+
+    A message must be complete within ``message_timeout`` s. ``partial_message`` holds the bytes of a message
+    that another process has already read. Also implements attempt_messages.Client for callers' connections.
+    """
 
     def __init__(
         self,
@@ -67,27 +70,25 @@
         self.opened_at = self.last_received_at = self.loop.time()
         self.close_reason: CloseReason | None = None
         self.read_credit = asyncio.Semaphore(MAX_UNPROCESSED)
-        self.partial_message = bytearray(partial_message)  # of a message that is not whole yet
+        self.partial_message = bytearray(partial_message)  # bytes of an incomplete message
         self.read_bytes = len(self.partial_message)
-        self.splitting = False  # there may be whole messages in ``begun``
-        self.message_ends: deque[int] = deque()  # where each message ends that was read and not taken yet
+        self.splitting = False  # whether ``partial_message`` may hold complete messages
+        self.message_ends: deque[int] = deque()  # byte offsets of the ends of unprocessed messages
         self.processed_bytes = 0
-        self.processed_callbacks: deque[tuple[int, Callable[[], None]]] = (
-            deque()
-        )  # told once so much was taken
+        # Byte offsets, with a callback for each that is called once the input up to it was processed.
+        self.processed_callbacks: deque[tuple[int, Callable[[], None]]] = deque()
         self.write_timer: asyncio.TimerHandle | None = None
-        self.read_loop_reason, self.read_loop_detail = (
-            CloseReason.SHUTDOWN,
-            "",
-        )  # as a pump that never began has ended
+        # SHUTDOWN is the reason of a read loop that was cancelled before its first step.
+        self.read_loop_reason, self.read_loop_detail = CloseReason.SHUTDOWN, ""
         self.task = self.loop.create_task(self._read_loop(), name=f"link {role} {peer}")
         self.task.add_done_callback(self._read_loop_ended)
 
     async def _read(self, begun_at: float | None) -> bytes:
-        """The next bytes; a message that was begun must be whole within ``stall`` s, or the peer has stopped.
+        """Read the next bytes; raises TimeoutError if a message takes longer than ``message_timeout`` s.
 
-        Guards against half a message, behind which nothing on the link can be read, and against endless ones.
-        The short second wait is for this process: had it been held up, the bytes may lie ready all the same.
+        This detects messages that the peer does not finish, after which nothing on the connection can be
+        read. The short second read is for the case that this process was held up and the bytes are already
+        there.
         """
         if begun_at is None:
             return await self.reader.read(MOST_BYTES)
@@ -99,7 +100,7 @@
                 return await self.reader.read(MOST_BYTES)
 
     async def _read_loop(self) -> None:
-        """Read until the link's end, and leave its reason behind for ``_pump_ended``."""
+        """Read until the connection ends, and store the reason for ``_read_loop_ended``."""
         self.read_loop_reason = CloseReason.INTERNAL
         try:
             await self._post_messages()
@@ -115,32 +116,32 @@
         except asyncio.CancelledError:
             self.read_loop_reason = CloseReason.SHUTDOWN
             raise
-        except Exception as error:  # one bad peer must not take the program down
+        except Exception as error:  # one bad peer must not bring the process down
             self.read_loop_detail = repr(error)
 
     async def _post_messages(self) -> None:
-        begun = self.partial_message
-        begun_at = self.opened_at if begun else None
+        partial = self.partial_message
+        begun_at = self.opened_at if partial else None
         while data := await self._read(begun_at):
-            at, now = unix_ms(), self.loop.time()
-            begun += data
+            received_at, now = unix_ms(), self.loop.time()
+            partial += data
             self.read_bytes += len(data)
             self.splitting = True
-            for body in split(begun):
+            for body in split(partial):
                 self.last_received_at, begun_at = now, None
                 message = read_message(body)
-                self.message_ends.append(self.read_bytes - len(begun))
+                self.message_ends.append(self.read_bytes - len(partial))
                 await self.read_credit.acquire()
-                self.post(Received(self, message, at))
+                self.post(Received(self, message, received_at))
             self.splitting = False
             self._notify_processed()
-            begun_at = (begun_at or now) if begun else None
+            begun_at = (begun_at or now) if partial else None
 
     def _read_loop_ended(self, _: asyncio.Task[None]) -> None:
-        """The one end of the link, also where the pump was cancelled before its first step.
+        """End the connection, also if the read loop was cancelled before its first step.
 
-        Guards against an actor that keeps a link for ever: one that came in the turn in which it was handed
-        over.
+        Otherwise an actor would keep a connection for ever that was accepted in the same turn of the event
+        loop in which it was handed over.
         """
         self.close(self.read_loop_reason)
         reason = self.close_reason or self.read_loop_reason
@@ -151,43 +152,44 @@
 
     @property
     def alive(self) -> bool:
+        """Whether the connection has not been closed or handed over."""
         return self.close_reason is None
 
     def message_processed(self) -> None:
-        """The actor has taken one message, and passed on what it says."""
+        """Note that the actor has processed the oldest unprocessed message."""
         self.processed_bytes = self.message_ends.popleft()
         self.read_credit.release()
         self._notify_processed()
 
     @property
     def unprocessed(self) -> int:
-        """Messages that were read and that the actor has not taken yet."""
+        """The number of messages that were read and that the actor has not processed yet."""
         return len(self.message_ends)
 
-    # ---- the peer as who offered a call (attempt_messages.Client) ---------------------------------------
+    # ---- the peer as a call's client (attempt_messages.Client) ------------------------------------------
 
     def check_presence(self) -> Presence:
-        """Whether the peer is still there, asked of the system itself.
+        """Return whether the peer still waits, checked with the kernel.
 
-        Guards against attempts for callers that have gone: an end, or a give-up, that came while the process
-        stood still or was busy lies unread when the timers act that came due meanwhile; an end may lie behind
-        bytes that are not read yet, on a link that reads no more. The end of the peer's sending side counts
-        as its end: a half-close can't be told from a close.
+        Prevents attempts for callers that have gone. After the process was paused or busy, an end of the
+        connection or a give-up may still be unread when timers fire that came due meanwhile. An end may also
+        follow unread bytes on a connection that has stopped reading. The end of the peer's sending side
+        counts as its end, because a half-close can't be told from a close.
         """
         if self.close_reason is CloseReason.HANDED_OVER:
-            return Presence.PRESENT  # as far as this process can tell: its end is the successor's to tell
+            return Presence.PRESENT  # the successor has the connection now and reports its end
         if not self.alive or self.writer.is_closing() or self.reader.at_eof() or self._peer_closed():
             return Presence.LEFT
         return Presence.UNPROCESSED_INPUT if self._has_unprocessed_input() else Presence.PRESENT
 
     def when_processed(self, callback: Callable[[], None]) -> None:
-        """Call ``then`` once all was taken that lies here, or in the system, by now."""
-        mark = self.read_bytes + len(self._buffered) + self._kernel_buffered_bytes()
-        self.processed_callbacks.append((mark, callback))
+        """Call ``callback`` once all input was processed that is buffered here or in the kernel by now."""
+        offset = self.read_bytes + len(self._buffered) + self._kernel_buffered_bytes()
+        self.processed_callbacks.append((offset, callback))
 
     @property
     def _buffered(self) -> bytearray:
-        buffered: bytearray = self.reader._buffer  # type: ignore[attr-defined]  # nothing public tells of it
+        buffered: bytearray = self.reader._buffer  # type: ignore[attr-defined]  # there is no public API for it
         return buffered
 
     def _poll(self, events: int) -> int:
@@ -202,47 +204,47 @@
         return bool(self.message_ends or self._buffered or self._poll(select.POLLIN) & select.POLLIN)
 
     def _kernel_buffered_bytes(self) -> int:
-        """Bytes that lie unread in the system."""
+        """Return the number of unread bytes in the kernel."""
         try:
             return int.from_bytes(fcntl.ioctl(self.descriptor, termios.FIONREAD, bytes(4)), sys.byteorder)
         except OSError:
-            return 1  # it can't tell how many: at least the next read
+            return 1  # the number is unknown: wait for at least the next read
 
     def _notify_processed(self) -> None:
-        """Tell those whose mark was taken: all messages up to it, but for one that is not whole yet."""
-        heard = self.processed_bytes if self.message_ends or self.splitting else self.read_bytes
-        while self.processed_callbacks and self.processed_callbacks[0][0] <= heard:
+        """Run the callbacks up to whose offset all complete messages were processed."""
+        processed = self.processed_bytes if self.message_ends or self.splitting else self.read_bytes
+        while self.processed_callbacks and self.processed_callbacks[0][0] <= processed:
             self.processed_callbacks.popleft()[1]()
 
     @property
     def at_rest(self) -> bool:
-        """Whether all that came was taken, down to the bytes that lie unread in the system: a link may be
-        closed then without anything of the peer's being lost."""
+        """Whether all input was processed and none is unread in the kernel, so that closing loses nothing."""
         if self.partial_message or self.unprocessed or self._buffered or self.blocked:
             return False
         return not self._poll(select.POLLIN)
 
     def pause(self) -> None:
-        """Read no more from the system: what comes waits there."""
+        """Stop reading; further input stays in the kernel."""
         if not self.writer.is_closing():
             self.writer.transport.pause_reading()  # type: ignore[attr-defined]
 
     @property
     def descriptor(self) -> int:
+        """The file descriptor of the socket."""
         return int(self.writer.get_extra_info("socket").fileno())
 
     @property
     def movable(self) -> bool:
-        """Whether a paused link can go to another process: all that was read was taken, but for ``begun``."""
+        """Whether a paused connection can move to another process: only ``partial_message`` is unprocessed."""
         return self.alive and not (self.unprocessed or self._buffered or self.blocked)
 
     @property
     def blocked(self) -> bool:
-        """Whether bytes wait here because the peer takes none."""
+        """Whether unsent bytes are buffered because the peer does not read."""
         return self.writer.transport.get_write_buffer_size() > 0
 
     def write(self, data: bytes) -> None:
-        """Write now; a peer that does not read is given up after WRITE_LIMIT and delays nobody else."""
+        """Write without blocking; the connection of a peer that does not read is closed."""
         if not self.alive or self.writer.is_closing():
             return
         self.writer.write(data)
@@ -257,7 +259,7 @@
             self.close(CloseReason.BLOCKED)
 
     def hand_over(self) -> None:
-        """Leave the connection to another process, which has its descriptor: nothing is sent, nor an end."""
+        """Leave the connection to another process that has its descriptor; sends nothing, not even an end."""
         if self.close_reason is not None:
             return
         self.close_reason = CloseReason.HANDED_OVER
@@ -269,7 +271,7 @@
         self.writer.transport.abort()
 
     def close(self, reason: CloseReason) -> None:
-        """End the link; the first reason given is the one that is logged."""
+        """Close the connection; the first reason given is the one that is logged."""
         if self.close_reason is not None:
             return
         self.close_reason = reason
--- a/martentide/net/listeners.py
+++ b/martentide/net/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets, for callers and for the operator."""
+"""Listening sockets for callers and for the operator."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def bound(address: Address, shared: bool = False) -> socket.socket:
-    """A socket bound to the address; ``shared``: a second process may bind it beside. Raises OSError."""
+    """Return a socket bound to the address; ``shared``: other processes may bind it too. Raises OSError."""
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
     try:
--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -624,7 +624,7 @@
         self.keepalive_timer = self.loop.call_later(max(KEEPALIVE_INTERVAL, idle_left), self.post, QuietDue())
 
     def _mark_awaiting(self) -> None:
-        """Note when a message that a reachable server responds to was sent, or put off until a dial succeeds."""
+        """Note when a message that a live server responds to was sent, or put off until a dial succeeds."""
         if self.awaiting_since is None:
             self.awaiting_since = self.loop.time()
 
