--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -1,4 +1,4 @@
-"""The one helper of the network tests: starts the program and plays its peers over loopback sockets."""
+"""Helpers of the network tests: start the program and play its peers over loopback sockets."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from martentide.codec.messages import Code, Message, Type, body_length, read_message, write_message
 
 ROOT = Path(__file__).parent.parent.parent
-LIMIT = 15.0  # s that any wait may take before the test fails
-DESCRIPTION = bytes(range(256))  # goes on byte for byte, whatever it holds
+LIMIT = 15.0  # s; timeout of every wait in a test
+DESCRIPTION = bytes(range(256))  # every byte value, because it must be passed on unchanged
 
 SETTINGS: dict[str, Any] = {
     "n_instances": 1,
@@ -71,7 +71,7 @@
 
 
 def parameters_of(left: int, **more: bytes) -> dict[int, bytes]:
-    """A set-up's parameters; ``left`` in ms."""
+    """Return the parameters of a set-up; ``left``: its time left in ms."""
     return {
         Code.CLASS: more.get("name", b"voice"),
         Code.TIME_LEFT: str(left).encode(),
@@ -82,14 +82,14 @@
 
 
 class Wire:
-    """One connection that speaks the protocol's messages."""
+    """One connection that sends and receives the protocol's messages."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         sock.settimeout(LIMIT)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what was sent is on its way
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # send at once
 
-    def exactly(self, count: int) -> bytes:
+    def receive_exactly(self, count: int) -> bytes:
         data = b""
         while len(data) < count:
             part = self.sock.recv(count - len(data))
@@ -111,32 +111,32 @@
         return write_message(Type.SET_UP, call, parameters_of(left))
 
     def receive(self, *kinds: int) -> Message:
-        """The next message, or the next of these types."""
+        """Return the next message, or the next of the given types."""
         while True:
-            message = read_message(self.exactly(body_length(self.exactly(2))))
+            message = read_message(self.receive_exactly(body_length(self.receive_exactly(2))))
             if not kinds or message.type in kinds:
                 return message
 
     def closed(self) -> bool:
-        """Whether the other side ends the connection, after whatever it still had to say."""
+        """Read until the other side closes the connection; return True then."""
         try:
             while True:
-                self.exactly(1)
+                self.receive_exactly(1)
         except (EOFError, ConnectionResetError):
             return True
 
-    def quiet(self) -> bool:
-        """Whether nothing lies here to be read."""
+    def has_no_input(self) -> bool:
+        """Return whether nothing can be read now."""
         return not select.select([self.sock], [], [], 0.0)[0]
 
     def reset(self) -> None:
-        """End it as the death of a process would."""
+        """Reset the connection, as the death of a process may do."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         self.sock.close()
 
 
 class Listener:
-    """A scripted peer that is dialled: a session server or the board."""
+    """A scripted peer that is dialled: a session server or the discovery service."""
 
     def __init__(self, backlog: int | None = None, port: int = 0) -> None:
         self.sock = socket.create_server(("127.0.0.1", port), backlog=backlog)
@@ -158,7 +158,7 @@
 
 
 def frame(number: int, kind: int, *records: tuple[int, int, int], started: int = 0) -> bytes:
-    """A frame of the board; records as (id, port, state)."""
+    """Return a frame of the discovery service; records as (id, port, state)."""
     local = socket.inet_aton("127.0.0.1")
     body = FRAME.pack(number, kind) + b"".join(
         RECORD.pack(name, local, port, state, 0, 0, name, 1000, started) for name, port, state in records
@@ -167,7 +167,7 @@
 
 
 class Program:
-    """The program under test, with its board and as many session servers as the test scripts."""
+    """The program under test, with a scripted discovery service and scripted session servers."""
 
     def __init__(
         self,
@@ -176,15 +176,15 @@
         operated: bool = False,
         temporary: Path | None = None,
         settings: dict[str, Any] | None = None,
-        more: tuple[str, ...] = (),
+        arguments: tuple[str, ...] = (),
         sockets: int = 64,
         descriptors: int | None = None,
         **limits: Any,
     ) -> None:
         self.servers = [Listener() for _ in range(servers)]
         self.board = Listener()
-        self.more = more  # words of the command line
-        self.descriptors = descriptors  # the system's limit for the process; None: the test's own
+        self.arguments = arguments  # further command-line arguments
+        self.descriptors = descriptors  # descriptor limit of the process; None: inherited
         settings = {**SETTINGS, **(settings or {}), "limits": {**SETTINGS["limits"], **limits}}
         known = [endpoint(at, server.port) for at, server in enumerate(self.servers)]
         self.config = folder / "config.json"
@@ -211,7 +211,16 @@
     def _launch(self) -> None:
         environment = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
         self.process = subprocess.Popen(
-            [sys.executable, "-B", "-m", "martentide", "serve", "--config", str(self.config), *self.more],
+            [
+                sys.executable,
+                "-B",
+                "-m",
+                "martentide",
+                "serve",
+                "--config",
+                str(self.config),
+                *self.arguments,
+            ],
             cwd=ROOT,
             env={**environment, "TMPDIR": str(self.temporary)},
             stderr=subprocess.PIPE,
@@ -224,21 +233,21 @@
         if self.operated:
             self.operator = int(self.logged(r"operator-listening address=127\.0\.0\.1:(\d+)").group(1))
         self.port = int(self.logged(r"serving .*address=127\.0\.0\.1:(\d+)").group(1))
-        self.logged("state=in-service")  # a successor would find it from now on
+        self.logged("state=in-service")  # from now on a successor finds it
 
     def _limit(self) -> None:
         assert self.descriptors is not None
         resource.setrlimit(resource.RLIMIT_NOFILE, (self.descriptors, self.descriptors))
 
-    def beside(self) -> Program:
-        """A second process of the same configuration: its successor."""
+    def start_successor(self) -> Program:
+        """Start a second process with the same configuration, which becomes the successor."""
         other = copy.copy(self)
         other._launch()
         return other
 
     @contextmanager
     def stopped(self) -> Iterator[None]:
-        """The process stands still meanwhile: what comes lies in the system, and timers come due."""
+        """Stop the process meanwhile: input stays in the kernel, and timers come due."""
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
         try:
@@ -256,7 +265,7 @@
             lines.put(line.rstrip())
 
     def logged(self, pattern: str) -> re.Match[str]:
-        """The first log line, from where the last search ended, that holds the pattern."""
+        """Wait for a log line with the pattern, starting after the one that was found last."""
         end = time.monotonic() + LIMIT
         while True:
             try:
@@ -272,7 +281,7 @@
         return Wire(socket.create_connection(("127.0.0.1", self.port), LIMIT, (host, 0)))
 
     def call(self, method: str, path: str) -> int:
-        """An operator's call: the status of its answer."""
+        """Send a request as the operator; return the HTTP status."""
         connection = http.client.HTTPConnection("127.0.0.1", self.operator, timeout=LIMIT)
         try:
             connection.request(method, path)
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -1,6 +1,6 @@
-"""Two events that cross, each pair forced by construction: docs/design/crossings.md has the table.
+"""Races between two events, each forced by construction; docs/design/crossings.md has the table.
 
-Where two things must be read in one turn the process stands still while both come; where one must wait, the
+Where two inputs must be read in one turn, the process is stopped while both arrive. Where one must wait, the
 test holds back what it waits for.
 """
 
@@ -26,7 +26,7 @@
     server.send(Type.ANSWER, call, {Code.DESCRIPTION: DESCRIPTION})
 
 
-def stands(caller: Wire, server: Wire, call: bytes) -> None:
+def set_up_call(caller: Wire, server: Wire, call: bytes) -> None:
     caller.set_up(call)
     answer(server, call)
     assert caller.receive(Type.ANSWER).call == call
@@ -35,17 +35,17 @@
 # ---- SIGTERM --------------------------------------------------------------------------------------------
 
 
-def unread(program: Program) -> Wire:
-    """A set-up on a connection that was open before, unread as the signal comes."""
+def open_connection(program: Program) -> Wire:
+    """The set-up comes on a connection that was open before the signal and is unread when it arrives."""
     return program.caller()
 
 
-def queued(program: Program) -> Wire:
-    """The connection itself is not accepted yet."""
+def no_connection(program: Program) -> Wire:
+    """The connection itself has not been accepted when the signal arrives."""
     return None  # type: ignore[return-value]
 
 
-@pytest.mark.parametrize("opened", [unread, queued])
+@pytest.mark.parametrize("opened", [open_connection, no_connection])
 @pytest.mark.parametrize("signals", [(signal.SIGTERM,), (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP)])
 def test_sigterm_and_a_set_up_that_nobody_has_read(
     tmp_path: Path, opened: Callable[[Program], Wire | None], signals: tuple[signal.Signals, ...]
@@ -65,11 +65,11 @@
 
 
 @pytest.mark.parametrize("more", [(), (signal.SIGTERM,), (signal.SIGHUP,)])
-def test_sigterm_in_a_release_wait_leaves_the_call_its_further_attempt(
+def test_sigterm_in_a_release_wait_still_allows_the_retry(
     tmp_path: Path, more: tuple[signal.Signals, ...]
 ) -> None:
     wait = {"extra": {**SETTINGS["extra"], "release_ms": 600.0}}
-    with Program(tmp_path, servers=2, settings=wait, more=("--log-level", "debug")) as program:
+    with Program(tmp_path, servers=2, settings=wait, arguments=("--log-level", "debug")) as program:
         caller = program.caller()
         servers = [listener.accept() for listener in program.servers]
         caller.set_up(A)
@@ -85,10 +85,10 @@
         assert program.process.wait(15) == 0
 
 
-def test_sigterm_while_the_board_is_down_ends_in_good_order(tmp_path: Path) -> None:
+def test_sigterm_while_the_discovery_service_is_down_ends_in_good_order(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server, board = program.caller(), program.servers[0].accept(), program.board.accept()
-        stands(caller, server, A)
+        set_up_call(caller, server, A)
         program.board.close()
         board.reset()
         program.logged("role=board .*reason=dial-refused")
@@ -98,26 +98,26 @@
         assert program.process.wait(15) == 0
 
 
-# ---- the list -------------------------------------------------------------------------------------------
+# ---- server list ----------------------------------------------------------------------------------------
 
 
-def test_a_watch_that_breaks_off_inside_a_frame_goes_on_from_the_last_whole_one(tmp_path: Path) -> None:
+def test_a_watch_that_breaks_inside_a_frame_resumes_after_the_last_complete_one(tmp_path: Path) -> None:
     with Program(tmp_path, servers=2) as program:
         board, port = program.board.accept(), program.servers[0].port
-        board.exactly(8)
+        board.receive_exactly(8)
         board.sock.sendall(frame(2, 2, (0, port, READY)) + frame(3, 2, (0, port, DRAINING))[:20])
         program.logged("server-listed .*number=2")
         board.sock.close()
         program.logged("role=board .*reason=truncated")
         again = program.board.accept()
-        assert again.exactly(8) == (2).to_bytes(8, "big")
+        assert again.receive_exactly(8) == (2).to_bytes(8, "big")
         again.sock.sendall(frame(3, 2, (0, port, DRAINING)))
         program.logged("server-listed .*state=draining number=3")
 
 
 @pytest.mark.parametrize("number", [1, 2])
-def test_an_event_that_comes_again_or_late_undoes_nothing(tmp_path: Path, number: int) -> None:
-    """A board that comes back repeats what was told: a drain stays, and its server gets nothing."""
+def test_a_repeated_or_late_event_undoes_nothing(tmp_path: Path, number: int) -> None:
+    """A discovery service that returns repeats old events: a drain must stay in force."""
     with Program(tmp_path, servers=2) as program:
         board, ports = program.board.accept(), [one.port for one in program.servers]
         caller, other = program.caller(), program.servers[1].accept()
@@ -129,24 +129,24 @@
         again.sock.sendall(frame(3, 2, (1, ports[1], READY)))
         program.logged("server-listed server=s-00000001 .*number=3")
         assert not any("server=s-00000000 state=open number=2" in line for line in program.log)
-        stands(caller, other, A)  # though it names the draining one
+        set_up_call(caller, other, A)  # though it names the draining one first
 
 
 def test_a_new_server_at_the_address_of_one_that_is_gone(tmp_path: Path) -> None:
-    """Both words come in one read; what stood at the old one is cut, what comes goes to the new one."""
+    """Both events come in one read; calls of the old server are cut, and new ones go to the new server."""
     with Program(tmp_path) as program:
         board, old, caller = program.board.accept(), program.servers[0].accept(), program.caller()
-        stands(caller, old, A)
+        set_up_call(caller, old, A)
         port = program.servers[0].port
         board.sock.sendall(frame(2, 2, (0, port, GONE)) + frame(3, 2, (1, port, READY)))
         assert (cut := caller.receive(Type.RELEASE)).call == A and cut.cause() == 41
         assert old.closed()
         new = program.servers[0].accept()
-        stands(caller, new, B)
+        set_up_call(caller, new, B)
 
 
-def test_a_drain_told_between_decision_and_send(tmp_path: Path) -> None:
-    """The set-up waits for a dial to its server as the drain comes: it goes to another one."""
+def test_a_drain_announced_between_decision_and_send(tmp_path: Path) -> None:
+    """The set-up waits for a dial to its server when the drain is announced, and goes to another server."""
     full, other = Listener(backlog=0), Listener()
     filling = Wire(socket.create_connection(("127.0.0.1", full.port)))
     with Program(tmp_path, servers=0, connect_timeout_ms=10_000.0) as program:
@@ -155,36 +155,36 @@
         program.logged("state=open number=2")
         caller.set_up(A)
         caller.send(Type.TEST, B, {Code.CAUSE: b"\0"})
-        caller.receive(Type.TEST_RESULT)  # the set-up before it was taken
+        caller.receive(Type.TEST_RESULT)  # the set-up before it has been processed
         board.sock.sendall(frame(3, 2, (0, full.port, DRAINING), (1, other.port, READY)))
         program.logged("state=draining number=3")
-        full.accept()  # of the filling connection: the dial, tried again by the system, comes up
+        full.accept()  # of the filling connection: the dial, which the kernel retries, succeeds
         drained = full.accept()
         answer(other.accept(), A)
         assert caller.receive(Type.ANSWER).call == A
-        assert drained.quiet()
+        assert drained.has_no_input()
     for one in (full, other):
         one.close()
     filling.sock.close()
 
 
-# ---- retries and ends of links --------------------------------------------------------------------------
+# ---- retries and ends of connections --------------------------------------------------------------------
 
 
 def test_a_second_answer_that_comes_late_changes_nothing(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stands(caller, server, A)
+        set_up_call(caller, server, A)
         server.send(Type.ANSWER, A, {Code.DESCRIPTION: b"another"})
         server.release(A, 16)
         server.send(Type.ANSWER, A, {Code.DESCRIPTION: b"yet another"})
         assert caller.receive().type == Type.RELEASE
-        stands(caller, server, B)
+        set_up_call(caller, server, B)
 
 
 @pytest.mark.parametrize("first", ["answer", "end"])
-def test_an_answer_and_the_end_of_its_link_in_one_read(tmp_path: Path, first: str) -> None:
-    """The answer counts where it is whole; cut short, it is no answer, and the call is set up elsewhere."""
+def test_an_answer_and_the_end_of_its_connection_in_one_read(tmp_path: Path, first: str) -> None:
+    """A complete answer counts; after an incomplete one the call is set up at another server."""
     with Program(tmp_path, servers=2) as program:
         caller = program.caller()
         servers = [listener.accept() for listener in program.servers]
@@ -198,14 +198,14 @@
             answer(servers[1], A)
         assert caller.receive().type == Type.ANSWER
         caller.send(Type.TEST, B, {Code.CAUSE: b"\0"})
-        assert caller.receive().type == Type.TEST_RESULT  # no second one before
+        assert caller.receive().type == Type.TEST_RESULT  # no second answer came before
 
 
-def test_a_server_closes_its_idle_link_as_a_set_up_comes(tmp_path: Path) -> None:
-    """The end lies unread as the set-up is written into it: the call is answered once, over the next link."""
+def test_a_server_closes_its_idle_connection_as_a_set_up_arrives(tmp_path: Path) -> None:
+    """The close is unread when the set-up is written: the call is answered once, on the next connection."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stands(caller, server, B)
+        set_up_call(caller, server, B)
         with program.stopped():
             caller.set_up(A)
             server.sock.close()
@@ -214,7 +214,7 @@
 
 
 def test_the_deadline_comes_due_in_the_turn_in_which_the_answer_is_read(tmp_path: Path) -> None:
-    """Whichever is first, the caller hears one of them, and a call that nobody waits for stands nowhere."""
+    """Whichever is first, the caller gets one final message, and no call stands without a caller."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A, left=400)
@@ -234,6 +234,6 @@
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         for call in (A, B, C):
-            stands(caller, server, call)
+            set_up_call(caller, server, call)
             server.release(call, 16)
             assert caller.receive(Type.RELEASE).call == call
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -1,6 +1,6 @@
-"""Descriptors run short: callers that are idle, half messages, slow ones, while the board is down.
+"""Descriptors run short because of idle callers, incomplete messages or slow readers.
 
-The limit is the system's, set for the program's own process alone.
+The discovery service is down meanwhile. The limit is the system's, set only for the process under test.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     one.sock.sendall(b"\0\x20\x01")
 
 
-def of_use_once(one: Wire) -> None:
+def sends_one_test(one: Wire) -> None:
     one.send(Type.TEST, A, {Code.CAUSE: b"\0"})
 
 
@@ -36,7 +36,7 @@
     one.sock.sendall(b"\0\x09\x34" + A)
 
 
-def stand(program: Program, server: Wire, call: bytes) -> Wire:
+def set_up_call(program: Program, server: Wire, call: bytes) -> Wire:
     caller = program.caller("127.0.0.3")
     caller.set_up(call)
     assert server.receive(Type.SET_UP).call == call
@@ -45,15 +45,15 @@
     return caller
 
 
-@pytest.mark.parametrize("does", [idle, half_a_message, of_use_once, reads_nothing])
+@pytest.mark.parametrize("does", [idle, half_a_message, sends_one_test, reads_nothing])
 @pytest.mark.parametrize(("told", "limit"), [(48, 48), (1024, 48), (64, 40)])
-def test_a_full_table_keeps_neither_the_board_nor_servers_nor_callers_out(
+def test_a_flood_of_connections_keeps_out_neither_discovery_nor_servers_nor_callers(
     tmp_path: Path, does: Callable[[Wire], None], told: int, limit: int
 ) -> None:
-    """Whatever the configuration says, the system's limit holds; the board comes back while it is reached."""
+    """The system's limit holds whatever the configuration says; the discovery service returns meanwhile."""
     with Program(tmp_path, operated=True, sockets=told, descriptors=limit) as program:
         board, server = program.board.accept(), program.servers[0].accept()
-        standing = stand(program, server, B)
+        standing = set_up_call(program, server, B)
         port = program.board.port
         program.board.close()
         board.reset()
@@ -63,29 +63,29 @@
             flood.append(program.caller(f"127.0.1.{at % 50 + 1}"))
             does(flood[-1])
         program.board = again = Listener(port=port)
-        assert again.accept().exactly(8) == (1).to_bytes(8, "big")
-        stand(program, server, A)
+        assert again.accept().receive_exactly(8) == (1).to_bytes(8, "big")
+        set_up_call(program, server, A)
         assert program.call("GET", "/control/ready") == 200
         server.reset()
         other = program.servers[0].accept()  # dialled anew
         other.release(B, 16)
-        assert standing.receive(Type.RELEASE).call == B  # a call that stands has kept its connection
+        assert standing.receive(Type.RELEASE).call == B  # the standing call has kept its connection
         for one in flood:
             one.sock.close()
 
 
-def test_when_the_system_gives_no_more_room_is_made_and_no_trace_is_logged(tmp_path: Path) -> None:
-    """The limit falls while the process runs, so that its own share no longer fits: accepting fails."""
+def test_a_lack_of_descriptors_closes_connections_and_logs_no_traceback(tmp_path: Path) -> None:
+    """The limit is lowered while the process runs below its computed share, so that accepting fails."""
     with Program(tmp_path) as program:
         board, server = program.board.accept(), program.servers[0].accept()
-        standing = stand(program, server, B)
+        standing = set_up_call(program, server, B)
         held = len(list(Path(f"/proc/{program.process.pid}/fd").iterdir()))
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (held + 4, held + 4))
         flood = [program.caller(f"127.0.1.{at + 1}") for at in range(6)]
         program.logged("descriptors-short times=")
         board.reset()
-        assert program.board.accept().exactly(8) == (1).to_bytes(8, "big")
-        stand(program, server, A)
+        assert program.board.accept().receive_exactly(8) == (1).to_bytes(8, "big")
+        set_up_call(program, server, A)
         server.release(B, 16)
         assert standing.receive(Type.RELEASE).call == B
         assert not any("Traceback" in line or "library" in line for line in program.log)
--- a/tests/net/test_dispatcher.py
+++ b/tests/net/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher between a scripted caller, a scripted server and the real or a failing module.
+"""The dispatcher with a scripted caller, a scripted server and a real or failing Controller.
 
 No sockets.
 """
@@ -19,65 +19,65 @@
 from tests.support import entry
 
 CALL = bytes(7) + b"\1"
-AHEAD = 1e15
+FUTURE = 1e15
 
 
-class Told:
-    """A caller and a server in one: remembers what the dispatcher tells it."""
+class RecordingPeer:
+    """A caller and a server in one: records what the dispatcher sends to it."""
 
     def __init__(self) -> None:
-        self.calls: list[tuple[Any, ...]] = []
-        self.orders: list[Order | Withdraw | Heard | Probing | Listed | Settle] = []
+        self.notifications: list[tuple[Any, ...]] = []
+        self.items: list[Order | Withdraw | Heard | Probing | Listed | Settle] = []
 
     def answer(self, call: bytes, description: bytes) -> None:
-        self.calls.append(("answer", call, description))
+        self.notifications.append(("answer", call, description))
 
     def refuse(self, call: bytes, hold_off: float) -> None:
-        self.calls.append(("refuse", call))
+        self.notifications.append(("refuse", call))
 
     def fail(self, call: bytes) -> None:
-        self.calls.append(("fail", call))
+        self.notifications.append(("fail", call))
 
     def release(self, call: bytes, cut: bool) -> None:
-        self.calls.append(("release", call, cut))
+        self.notifications.append(("release", call, cut))
 
     def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
-        self.orders.append(item)
+        self.items.append(item)
 
 
-class Broken(Controller):
-    """Fails on every offer, after it has asked for its next timer."""
+class FailingController(Controller):
+    """Fails on every offer after requesting its next timer."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
         super().handle(now, event)
         if isinstance(event, SetUpOffered):
             self.actions = [SetTimer(1, 0.0)]
-            raise RuntimeError("a fault in the decisions")
+            raise RuntimeError("error in the decisions")
         return self.actions
 
 
-def offer(told: Told, call: bytes = CALL, left: float = 3000.0) -> Offer:
-    return Offer(told, call, b"voice", b"7f3a", b"desc", left, 0, AHEAD)
+def offer(peer: RecordingPeer, call: bytes = CALL, left: float = 3000.0) -> Offer:
+    return Offer(peer, call, b"voice", b"7f3a", b"desc", left, 0, FUTURE)
 
 
-def play(
-    script: Callable[[Dispatcher, Told], None], module: type[Controller] = Controller
-) -> tuple[Dispatcher, Told]:
-    """Run a script that posts, and let the dispatcher take all of it."""
+def run_script(
+    script: Callable[[Dispatcher, RecordingPeer], None], module: type[Controller] = Controller
+) -> tuple[Dispatcher, RecordingPeer]:
+    """Run a script that posts items, and let the dispatcher handle all of them."""
 
-    async def scene() -> tuple[Dispatcher, Told]:
-        told = Told()
-        dispatcher = Dispatcher(module(settings_from(SETTINGS), 1), lambda listed, dispatcher: told, 10)
-        dispatcher.now = AHEAD  # ahead of the system's clock, which must not run backwards for the decisions
+    async def run() -> tuple[Dispatcher, RecordingPeer]:
+        peer = RecordingPeer()
+        dispatcher = Dispatcher(module(settings_from(SETTINGS), 1), lambda listed, dispatcher: peer, 10)
+        dispatcher.now = FUTURE  # ahead of the wall clock; the time of the decisions must not run backwards
         dispatcher.apply_list(Notice(1, True, (Listed(entry("s-1", 0), "127.0.0.1", 1),)))
-        script(dispatcher, told)
+        script(dispatcher, peer)
         task = asyncio.create_task(dispatcher.run())
         while not dispatcher.mailbox.empty():
             await asyncio.sleep(0)
         task.cancel()
-        return dispatcher, told
+        return dispatcher, peer
 
-    return asyncio.run(scene())
+    return asyncio.run(run())
 
 
 def stood(attempt: int = 0) -> Stood:
@@ -88,73 +88,73 @@
     return Ended(1, attempt, "s-1", ending, False, 20.0, None)
 
 
-def test_a_fault_in_the_decisions_fails_the_call_and_keeps_their_timers() -> None:
-    """Guards against calls without an answer, and against decisions that sleep for good, after a fault."""
+def test_an_error_in_the_decisions_fails_the_call_and_keeps_their_timers() -> None:
+    """After an error in the decisions the call must be answered and their requested timer must still run."""
     ticks: list[Event] = []
 
-    class Counting(Broken):
+    class Counting(FailingController):
         def handle(self, now: float, event: Event) -> list[Action]:
             ticks.append(event)
             return super().handle(now, event)
 
-    async def scene() -> Told:
-        told = Told()
-        dispatcher = Dispatcher(Counting(settings_from(SETTINGS), 1), lambda listed, dispatcher: told, 10)
-        dispatcher.post(offer(told))
+    async def run() -> RecordingPeer:
+        peer = RecordingPeer()
+        dispatcher = Dispatcher(Counting(settings_from(SETTINGS), 1), lambda listed, dispatcher: peer, 10)
+        dispatcher.post(offer(peer))
         task = asyncio.create_task(dispatcher.run())
-        while len(ticks) < 2:  # the offer, then the timer that was asked for before the fault
+        while len(ticks) < 2:  # the offer, then the timer that was requested before the error
             await asyncio.sleep(0.001)
         task.cancel()
         assert not dispatcher.calls and not dispatcher.by_id and dispatcher.open_calls == 0
-        return told
+        return peer
 
-    assert asyncio.run(asyncio.wait_for(scene(), 15)).calls == [("fail", CALL)]
+    assert asyncio.run(asyncio.wait_for(run(), 15)).notifications == [("fail", CALL)]
 
 
 def test_an_answer_crossing_the_callers_give_up_reaches_nobody() -> None:
-    def script(dispatcher: Dispatcher, told: Told) -> None:
-        for item in (offer(told), GiveUp(CALL), stood(), ended(Ending.CANCELLED)):
+    def script(dispatcher: Dispatcher, peer: RecordingPeer) -> None:
+        for item in (offer(peer), GiveUp(CALL), stood(), ended(Ending.CANCELLED)):
             dispatcher.post(item)
 
-    dispatcher, told = play(script)
-    assert told.calls == []
-    assert told.orders[-1] == Withdraw(1, 0, CALL, hang_up=True)
+    dispatcher, peer = run_script(script)
+    assert peer.notifications == []
+    assert peer.items[-1] == Withdraw(1, 0, CALL, hang_up=True)
     assert not dispatcher.calls and dispatcher.open_calls == 0
 
 
 def test_each_call_gets_one_answer_whatever_comes_after() -> None:
-    def script(dispatcher: Dispatcher, told: Told) -> None:
-        items = (offer(told), stood(), stood(), offer(told), ended(Ending.DELIVERED), ended(Ending.CUT))
-        for item in (*items, offer(told)):
+    def script(dispatcher: Dispatcher, peer: RecordingPeer) -> None:
+        items = (offer(peer), stood(), stood(), offer(peer), ended(Ending.DELIVERED), ended(Ending.CUT))
+        for item in (*items, offer(peer)):
             dispatcher.post(item)
 
-    dispatcher, told = play(script)
-    assert told.calls == [("answer", CALL, b"good"), ("release", CALL, False), ("refuse", CALL)]
+    dispatcher, peer = run_script(script)
+    assert peer.notifications == [("answer", CALL, b"good"), ("release", CALL, False), ("refuse", CALL)]
     assert not dispatcher.calls
 
 
 def test_an_id_that_another_caller_used_is_refused_while_it_is_open_and_free_later() -> None:
-    """Guards against silence towards a caller that comes by an id that was another's: both get their word."""
-    other = Told()
+    """A caller that uses an id of another caller's call must not be left without a response."""
+    other = RecordingPeer()
 
-    def script(dispatcher: Dispatcher, told: Told) -> None:
-        for item in (offer(told), offer(other), stood(), ended(Ending.DELIVERED), offer(other)):
+    def script(dispatcher: Dispatcher, peer: RecordingPeer) -> None:
+        for item in (offer(peer), offer(other), stood(), ended(Ending.DELIVERED), offer(other)):
             dispatcher.post(item)
         dispatcher.post(Stood(2, 0, "s-1", 20.0, b"good"))
 
-    assert play(script)[1].calls == [("answer", CALL, b"good"), ("release", CALL, False)]
-    assert other.calls == [("refuse", CALL), ("answer", CALL, b"good")]
+    assert run_script(script)[1].notifications == [("answer", CALL, b"good"), ("release", CALL, False)]
+    assert other.notifications == [("refuse", CALL), ("answer", CALL, b"good")]
 
 
 def test_a_call_given_up_may_come_again_and_is_answered() -> None:
-    """Guards against silence towards a caller whose connection broke and who sends the set-up once more."""
+    """A caller that repeats a set-up after its connection broke must get an answer."""
 
-    def script(dispatcher: Dispatcher, told: Told) -> None:
-        for item in (offer(told), GiveUp(CALL), ended(Ending.CANCELLED), offer(told)):
+    def script(dispatcher: Dispatcher, peer: RecordingPeer) -> None:
+        for item in (offer(peer), GiveUp(CALL), ended(Ending.CANCELLED), offer(peer)):
             dispatcher.post(item)
         dispatcher.post(Stood(2, 0, "s-1", 20.0, b"good"))
 
-    assert play(script)[1].calls == [("answer", CALL, b"good")]
+    assert run_script(script)[1].notifications == [("answer", CALL, b"good")]
 
 
 def test_the_clock_of_the_decisions_never_runs_backwards() -> None:
@@ -165,11 +165,11 @@
             times.append(now)
             return super().handle(now, event)
 
-    play(lambda dispatcher, told: dispatcher.post(offer(told, left=1e16)), Timed)
-    assert times == sorted(times) and times[-1] >= AHEAD
+    run_script(lambda dispatcher, peer: dispatcher.post(offer(peer, left=1e16)), Timed)
+    assert times == sorted(times) and times[-1] >= FUTURE
 
 
-def test_a_withdrawal_asked_by_the_decisions_spares_a_call_that_stands() -> None:
+def test_a_withdrawal_requested_by_the_decisions_does_not_end_a_standing_call() -> None:
     class Withdrawing(Controller):
         def handle(self, now: float, event: Event) -> list[Action]:
             actions = super().handle(now, event)
@@ -177,8 +177,8 @@
                 actions.append(CancelAttempt(event.ref, event.attempt))
             return actions
 
-    def script(dispatcher: Dispatcher, told: Told) -> None:
-        dispatcher.post(offer(told))
+    def script(dispatcher: Dispatcher, peer: RecordingPeer) -> None:
+        dispatcher.post(offer(peer))
         dispatcher.post(stood())
 
-    assert play(script, Withdrawing)[1].orders[-1] == Withdraw(1, 0, CALL, hang_up=False)
+    assert run_script(script, Withdrawing)[1].items[-1] == Withdraw(1, 0, CALL, hang_up=False)
--- a/tests/net/test_gone_clients.py
+++ b/tests/net/test_gone_clients.py
@@ -1,7 +1,7 @@
-"""A caller that has gone: no attempt for its call begins after, wherever the call waits.
+"""After a caller has gone, no attempt for its call begins, wherever the call waits.
 
-Each crossing is forced: the process stands still while the caller goes and the timers come due, or the call
-waits for something that the test holds back. That nothing was sent shows in what the servers read next.
+Each race is forced: the process is stopped while the caller leaves and timers come due, or the call waits for
+something that the test holds back. The next message that the servers read shows that nothing was sent.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 from tests.net.support import DESCRIPTION, SETTINGS, Listener, Program, Wire, frame
 
 A, B, C, D, E, F = (bytes.fromhex(text * 8) for text in ("a1", "b2", "c3", "d4", "e5", "f6"))
-RELEASE = 1.0  # s of the release wait in these tests: longer than it takes to stop the process within it
-WAITING = {"extra": {**SETTINGS["extra"], "release_ms": RELEASE * 1000.0}}
+RELEASE_WAIT = 1.0  # s; long enough to stop the process within the release wait
+RELEASE_WAIT_SETTINGS = {"extra": {**SETTINGS["extra"], "release_ms": RELEASE_WAIT * 1000.0}}
 
 
-def closes(caller: Wire) -> None:
+def close(caller: Wire) -> None:
     caller.sock.close()
 
 
-def resets(caller: Wire) -> None:
+def reset(caller: Wire) -> None:
     caller.reset()
 
 
-def cancels(caller: Wire) -> None:
+def cancel(caller: Wire) -> None:
     caller.release(A, 16)
 
 
-def half_closes(caller: Wire) -> None:
+def half_close(caller: Wire) -> None:
     caller.sock.shutdown(socket.SHUT_WR)
 
 
-GOES = pytest.mark.parametrize("goes", [closes, resets, cancels, half_closes])
+LEAVE_KINDS = pytest.mark.parametrize("goes", [close, reset, cancel, half_close])
 
 
-def nothing_was_sent(program: Program, *servers: Wire) -> None:
-    """The next set-up that any server reads is another caller's, offered after."""
+def assert_nothing_sent(program: Program, *servers: Wire) -> None:
+    """Assert that the next set-up that any server reads is one offered later by another caller."""
     other = program.caller()
     for call in (E, F):
         other.set_up(call)
@@ -57,14 +57,16 @@
         assert message.call == call
         servers[at].send(Type.ANSWER, call, {Code.DESCRIPTION: DESCRIPTION})
         assert other.receive(Type.ANSWER).call == call
-    assert all(server.quiet() for server in servers)
+    assert all(server.has_no_input() for server in servers)
 
 
-@GOES
-def test_no_further_attempt_though_the_release_wait_ends_in_the_same_turn(
+@LEAVE_KINDS
+def test_no_retry_though_the_release_wait_ends_in_the_same_turn(
     tmp_path: Path, goes: Callable[[Wire], None]
 ) -> None:
-    with Program(tmp_path, servers=2, settings=WAITING, more=("--log-level", "debug")) as program:
+    with Program(
+        tmp_path, servers=2, settings=RELEASE_WAIT_SETTINGS, arguments=("--log-level", "debug")
+    ) as program:
         caller = program.caller()
         servers = [listener.accept() for listener in program.servers]
         caller.set_up(A)
@@ -73,12 +75,12 @@
         program.logged("heard=AttemptEnded")
         with program.stopped():
             goes(caller)
-            time.sleep(RELEASE + 0.2)
-        nothing_was_sent(program, *servers)
+            time.sleep(RELEASE_WAIT + 0.2)
+        assert_nothing_sent(program, *servers)
 
 
-@GOES
-def test_no_first_attempt_for_a_set_up_that_was_unread_as_its_caller_went(
+@LEAVE_KINDS
+def test_no_first_attempt_for_a_set_up_that_was_unread_when_its_caller_left(
     tmp_path: Path, goes: Callable[[Wire], None]
 ) -> None:
     with Program(tmp_path) as program:
@@ -88,15 +90,15 @@
         with program.stopped():
             caller.set_up(A)
             goes(caller)
-        nothing_was_sent(program, server)
+        assert_nothing_sent(program, server)
 
 
-@GOES
+@LEAVE_KINDS
 def test_no_attempt_for_a_call_that_waits_for_room_at_a_server(
     tmp_path: Path, goes: Callable[[Wire], None]
 ) -> None:
-    """Two set-ups are out unanswered, so the third waits; room comes in the turn in which its caller goes."""
-    with Program(tmp_path, more=("--log-level", "debug")) as program:
+    """Two set-ups are unanswered, so the third waits; they are answered as its caller leaves."""
+    with Program(tmp_path, arguments=("--log-level", "debug")) as program:
         first, caller, server = program.caller(), program.caller(), program.servers[0].accept()
         for call in (C, D):
             first.set_up(call)
@@ -109,12 +111,12 @@
                 server.send(Type.ANSWER, call, {Code.DESCRIPTION: DESCRIPTION})
         for call in (C, D):
             assert first.receive(Type.ANSWER).call == call
-        nothing_was_sent(program, server)
+        assert_nothing_sent(program, server)
 
 
-@GOES
+@LEAVE_KINDS
 def test_no_attempt_for_a_call_that_waits_for_a_dial(tmp_path: Path, goes: Callable[[Wire], None]) -> None:
-    """The server's queue of connections is full, so the dial stands; it comes up after its caller went."""
+    """The server's accept queue is full, so the dial waits; it succeeds after the caller has gone."""
     full = Listener(backlog=0)
     fill = [socket.create_connection(("127.0.0.1", full.port)) for _ in range(1)]
     with Program(tmp_path, servers=0, connect_timeout_ms=10_000.0) as program:
@@ -125,26 +127,26 @@
         caller = program.caller()
         caller.set_up(A)
         caller.send(Type.TEST, B, {Code.CAUSE: b"\0"})
-        caller.receive(Type.TEST_RESULT)  # the set-up before it was taken
+        caller.receive(Type.TEST_RESULT)  # the set-up before it has been processed
         with program.stopped():
             goes(caller)
-            full.accept()  # of the filling connection: the dial, tried again by the system, comes up
+            full.accept()  # of the filling connection: the dial, which the kernel retries, succeeds
         server = full.accept()
-        nothing_was_sent(program, server)
+        assert_nothing_sent(program, server)
     for one in fill:
         one.close()
 
 
-def test_a_give_up_behind_its_set_up_in_one_read_leaves_nothing_to_send(tmp_path: Path) -> None:
+def test_a_give_up_right_after_its_set_up_in_one_read_leaves_nothing_to_send(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.sock.sendall(caller.set_up_bytes(A) + write_release(A, 16))
         assert caller.receive().type == Type.RELEASE_HEARD
-        nothing_was_sent(program, server)
+        assert_nothing_sent(program, server)
 
 
-def test_what_was_said_before_a_give_up_is_still_done(tmp_path: Path) -> None:
-    """The end of a standing call lies unread before the end of the connection: it counts."""
+def test_a_release_sent_before_the_connection_closed_is_still_handled(tmp_path: Path) -> None:
+    """The release of a standing call, unread before the end of its connection, must still be handled."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A)
@@ -157,8 +159,8 @@
         assert (over := server.receive(Type.RELEASE)).call == A and over.cause() == 16
 
 
-def test_a_caller_that_goes_on_talking_delays_no_call_of_its_own(tmp_path: Path) -> None:
-    """What is unheard is heard up to where it was; what comes meanwhile does not put the attempt off."""
+def test_a_caller_that_keeps_sending_does_not_delay_its_own_call(tmp_path: Path) -> None:
+    """Only input present at the check is processed first; later input does not delay the attempt further."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         with program.stopped():
@@ -170,13 +172,13 @@
         assert server.receive(Type.SET_UP).call == A
 
 
-def test_an_attempt_that_is_out_is_given_up_when_the_caller_half_closes(tmp_path: Path) -> None:
-    """A half-close can't be told from a close, and counts as one."""
+def test_an_outstanding_attempt_is_given_up_when_the_caller_half_closes(tmp_path: Path) -> None:
+    """A half-close can't be told from a close and counts as one."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A)
         server.receive(Type.SET_UP)
-        half_closes(caller)
+        half_close(caller)
         assert (over := server.receive(Type.RELEASE)).call == A and over.cause() == 16
         assert caller.closed()
         program.logged("role=caller .*reason=peer-closed")
--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -1,4 +1,4 @@
-"""A link by itself: what it tells of its peer while nothing of it is taken."""
+"""A single Link: what it reports about its peer while its input is unprocessed."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 TEST = write_message(Type.TEST, b"\xa1" * 8)
 
 
-class Peer:
-    """The two ends of one connection: a link whose actor takes nothing by itself, and its peer's streams."""
+class ConnectionPair:
+    """The two ends of one connection: a Link whose input no actor processes, and the peer's streams."""
 
-    async def __aenter__(self) -> Peer:
-        self.came: list[Received | LinkEnded] = []
+    async def __aenter__(self) -> ConnectionPair:
+        self.received: list[Received | LinkEnded] = []
         accepted: asyncio.Future[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Future()
         self.server = await asyncio.start_server(
             lambda *streams: accepted.set_result(streams), "127.0.0.1", 0
         )
         host, port = self.server.sockets[0].getsockname()
         self.reader, self.writer = await asyncio.open_connection(host, port)
-        self.link = Link("caller", "peer", await accepted, self.came.append, 1.0)
+        self.link = Link("caller", "peer", await accepted, self.received.append, 1.0)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -33,59 +33,59 @@
         self.link.task.cancel()
         await asyncio.gather(self.link.task, return_exceptions=True)
 
-    async def until_read(self, messages: int) -> None:
+    async def wait_until_read(self, messages: int) -> None:
         async with asyncio.timeout(10):
-            while len(self.came) < messages:
+            while len(self.received) < messages:
                 await asyncio.sleep(0)
 
-    def take(self, messages: int) -> None:
+    def process(self, messages: int) -> None:
         for _ in range(messages):
             self.link.message_processed()
 
 
-def test_an_end_behind_bytes_of_a_link_that_reads_no_more_is_seen() -> None:
-    async def play() -> None:
-        async with Peer() as peer:
+def test_a_close_after_unread_bytes_is_detected_on_a_link_that_stopped_reading() -> None:
+    async def run() -> None:
+        async with ConnectionPair() as peer:
             peer.writer.write(TEST * (2 * MAX_UNPROCESSED))
-            await peer.until_read(MAX_UNPROCESSED)
+            await peer.wait_until_read(MAX_UNPROCESSED)
             assert peer.link.check_presence() is Presence.UNPROCESSED_INPUT
             peer.writer.close()
             await peer.writer.wait_closed()
             assert peer.link.check_presence() is Presence.LEFT
             assert (
-                len(peer.came) == MAX_UNPROCESSED
-            )  # its credit is spent, and it has read nothing of the end
+                len(peer.received) == MAX_UNPROCESSED
+            )  # its read credit is used up, so it has not read the end
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize("more", [0, 1, 2 * MAX_UNPROCESSED])
-def test_who_waits_hears_once_what_lay_there_was_taken_whatever_comes_meanwhile(more: int) -> None:
-    async def play() -> None:
-        async with Peer() as peer:
-            told: list[int] = []
+def test_callbacks_run_once_earlier_input_is_processed_whatever_arrives_meanwhile(more: int) -> None:
+    async def run() -> None:
+        async with ConnectionPair() as peer:
+            calls: list[int] = []
             peer.writer.write(TEST * 3)
-            await peer.until_read(3)
-            peer.link.when_processed(lambda: told.append(len(peer.came)))
+            await peer.wait_until_read(3)
+            peer.link.when_processed(lambda: calls.append(len(peer.received)))
             peer.writer.write(TEST * more)
-            await peer.until_read(min(3 + more, MAX_UNPROCESSED))
-            peer.take(2)
-            assert not told
-            peer.take(1)
-            assert len(told) == 1
+            await peer.wait_until_read(min(3 + more, MAX_UNPROCESSED))
+            peer.process(2)
+            assert not calls
+            peer.process(1)
+            assert len(calls) == 1
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_half_a_message_is_nothing_that_was_said() -> None:
-    async def play() -> None:
-        async with Peer() as peer:
-            told: list[bool] = []
+def test_an_incomplete_message_is_no_unprocessed_input() -> None:
+    async def run() -> None:
+        async with ConnectionPair() as peer:
+            calls: list[bool] = []
             peer.writer.write(TEST + TEST[:5])
-            await peer.until_read(1)
-            peer.take(1)
-            peer.link.when_processed(lambda: told.append(True))
+            await peer.wait_until_read(1)
+            peer.process(1)
+            peer.link.when_processed(lambda: calls.append(True))
             peer.link._notify_processed()
-            assert told and peer.link.check_presence() is Presence.PRESENT
+            assert calls and peer.link.check_presence() is Presence.PRESENT
 
-    asyncio.run(play())
+    asyncio.run(run())
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -12,7 +12,7 @@
 
 from martentide.codec.messages import Code, Type, write_message
 from tests.net.support import LIMIT, Program, Wire
-from tests.net.test_rules_on_sockets import A, B, stand
+from tests.net.test_rules_on_sockets import A, B, set_up_call
 
 SET_UP: dict[int, bytes] = {
     Code.CLASS: b"voice",
@@ -38,14 +38,14 @@
         idle, caller, open_one = program.caller(), program.caller("127.0.0.2"), program.caller("127.0.0.3")
         server = program.servers[0].accept()
         assert passes(program) and program.call("GET", READY) == 200
-        stand(caller, server)
+        set_up_call(caller, server)
         open_one.set_up(B)
         server.receive(Type.SET_UP)
         began = time.monotonic()
         assert program.call("POST", OUT) == 200
         assert program.call("GET", READY) == 503 and not passes(program)
         late = program.caller("127.0.0.4")  # the front sends for a moment more
-        stand(late, server, bytes(7) + b"\1")
+        set_up_call(late, server, bytes(7) + b"\1")
         assert idle.closed() and time.monotonic() - began < 4.0
         server.send(Type.ANSWER, B, {Code.DESCRIPTION: b"x"})
         assert open_one.receive().type == Type.ANSWER
@@ -59,7 +59,7 @@
 def test_in_a_drain_that_has_settled_set_ups_are_refused_at_once(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         program.call("POST", OUT)
         time.sleep(2.2)  # set-ups taken now would be young at 4 s
         caller.set_up(B)
@@ -74,13 +74,13 @@
         program.call("POST", OUT)
         assert program.call("POST", IN) == 200 and program.call("GET", READY) == 200 and passes(program)
         time.sleep(2.2)  # past every step of the drain that was ended
-        stand(caller, server)
+        set_up_call(caller, server)
 
 
 def test_while_stopping_the_operator_is_told_no(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         program.terminate()
         program.logged("state=stopping")
         assert program.call("GET", READY) == 503
@@ -102,7 +102,7 @@
                 assert program.call("GET", READY) == 200
                 assert time.monotonic() - began < 1.0
         last = Wire(half[-1])
-        assert last.exactly(12) == b"HTTP/1.1 408"  # half a call has its answer too
+        assert last.receive_exactly(12) == b"HTTP/1.1 408"  # half a call has its answer too
         assert program.call("GET", READY) == 200
 
 
@@ -122,7 +122,7 @@
 def test_without_an_address_there_is_no_operators_listener(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         assert not [line for line in program.log if "operator" in line]
 
 
@@ -171,8 +171,8 @@
         program.logged("reloaded .*revision=1 settings=changed")
         program.reload(good)
         program.logged("reloaded .*revision=1 settings=same")
-        board.exactly(8)
-        stand(program.caller(), program.servers[0].accept())
+        board.receive_exactly(8)
+        set_up_call(program.caller(), program.servers[0].accept())
 
 
 def test_in_a_crowd_that_never_finishes_slow_callers_and_the_operator_are_served(tmp_path: Path) -> None:
--- a/tests/net/test_rules_on_sockets.py
+++ b/tests/net/test_rules_on_sockets.py
@@ -1,4 +1,4 @@
-"""The started program on real sockets: one test for each rule of the protocol."""
+"""The protocol's rules, one test each, on a started program with real sockets."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 A, B = bytes.fromhex("0123456789abcdef"), bytes.fromhex("fedcba9876543210")
 
 
-def stand(caller: Wire, server: Wire, call: bytes = A) -> Message:
-    """Set a call up, through to the caller's answer."""
+def set_up_call(caller: Wire, server: Wire, call: bytes = A) -> Message:
+    """Set a call up until the caller has its answer; return the set-up that the server received."""
     caller.set_up(call)
     set_up = server.receive(Type.SET_UP)
     server.send(Type.ANSWER, call, {Code.DESCRIPTION: DESCRIPTION[::-1]})
@@ -28,7 +28,7 @@
 def test_a_call_goes_on_unchanged_stands_and_is_released(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        set_up = stand(caller, server)
+        set_up = set_up_call(caller, server)
         assert set_up.call == A
         assert 0 < int(set_up.parameters.pop(Code.TIME_LEFT)) <= 3000
         assert set_up.parameters == {
@@ -41,7 +41,7 @@
 def test_a_caller_ends_its_standing_call_on_any_connection(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         first, server = program.caller(), program.servers[0].accept()
-        stand(first, server)
+        set_up_call(first, server)
         first.sock.close()
         program.logged("role=caller .*reason=peer-closed")
         second = program.caller()
@@ -50,17 +50,17 @@
         assert server.receive().call == A
 
 
-def test_a_release_waits_for_the_partys_next_connection(tmp_path: Path) -> None:
+def test_a_release_waits_for_the_hosts_next_connection(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         first, server = program.caller(), program.servers[0].accept()
-        stand(first, server)
+        set_up_call(first, server)
         first.sock.close()
         program.logged("role=caller .*reason=peer-closed")
         server.release(A, 16)
         assert program.caller().receive().call == A
 
 
-def test_a_test_of_the_front_passes(tmp_path: Path) -> None:
+def test_a_callers_health_check_passes(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller = program.caller()
         caller.send(Type.TEST, A, {Code.CAUSE: b"\0"})
@@ -77,7 +77,7 @@
         assert caller.receive().call == B  # nothing more about the first came before
 
 
-def test_a_call_given_up_is_given_up_at_the_server_and_owed_nothing(tmp_path: Path) -> None:
+def test_a_call_given_up_is_given_up_at_the_server_and_gets_no_answer(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A)
@@ -85,12 +85,14 @@
         caller.release(A, 16)
         assert caller.receive().type == Type.RELEASE_HEARD
         assert (give_up := server.receive()).call == A and give_up.cause() == 16
-        server.send(Type.ANSWER, A, {Code.DESCRIPTION: b"late"})  # crossing: not for the caller any more
-        stand(caller, server, B)
+        server.send(
+            Type.ANSWER, A, {Code.DESCRIPTION: b"late"}
+        )  # crosses the give-up, so it must not reach the caller
+        set_up_call(caller, server, B)
 
 
-def test_a_late_word_never_counts_for_the_next_attempt(tmp_path: Path) -> None:
-    """The first attempt is given up on time-out; its late answer must not answer the second attempt."""
+def test_a_late_answer_never_counts_for_the_next_attempt(tmp_path: Path) -> None:
+    """The first attempt is given up after its timeout; its late answer must not answer the second attempt."""
     with Program(tmp_path, servers=2) as program:
         caller = program.caller()
         servers = [listener.accept() for listener in program.servers]
@@ -100,7 +102,7 @@
         over = time.monotonic()
         assert (set_up.call, given_up.cause()) == (A, 16)
         second = servers[1].receive(Type.SET_UP)
-        assert second.call == A and time.monotonic() - over > 0.15  # the release is awaited: 200 ms
+        assert second.call == A and time.monotonic() - over > 0.15  # after the release wait of 200 ms
         servers[0].send(Type.ANSWER, A, {Code.DESCRIPTION: b"late"})
         servers[1].send(Type.ANSWER, A, {Code.DESCRIPTION: b"good"})
         assert caller.receive().parameters == {Code.DESCRIPTION: b"good"}
@@ -109,12 +111,12 @@
 def test_nothing_new_goes_to_a_draining_server(tmp_path: Path) -> None:
     with Program(tmp_path, servers=2) as program:
         caller, board = program.caller(), program.board.accept()
-        assert board.exactly(8) == (1).to_bytes(8, "big")
+        assert board.receive_exactly(8) == (1).to_bytes(8, "big")
         board.sock.sendall(frame(2, 2, (0, program.servers[0].port, 1)))
         program.logged("server-listed server=s-00000000 state=draining")
         other = program.servers[1].accept()
         for call in (A, B):
-            stand(caller, other, call)  # though both name the draining server first
+            set_up_call(caller, other, call)  # though both name the draining server first
 
 
 def test_a_refused_connection_is_no_attempt_that_ran(tmp_path: Path) -> None:
@@ -123,69 +125,73 @@
         program.servers[0].close()
         first.reset()
         program.logged("reason=dial-refused")
-        stand(caller, program.servers[1].accept())
+        set_up_call(caller, program.servers[1].accept())
 
 
 def test_calls_of_a_dead_process_are_released_to_the_caller(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         program.servers[0].close()
         server.reset()
         assert (released := caller.receive()).call == A and released.cause() == 41
 
 
 def test_a_reset_alone_cuts_no_call(tmp_path: Path) -> None:
-    """Guards against releasing calls that still stand: connections are reset for many reasons."""
+    """Calls that still stand must not be released: connections are reset for many reasons."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         server.reset()
         again = program.servers[0].accept()
         again.release(A, 16)
         assert (released := caller.receive()).call == A and released.cause() == 16
 
 
-@pytest.mark.parametrize("spoilt", [b"\xff\xf3\x09" + A, b"\0\x20\x09" + A])  # too long, cut short
-def test_a_spoilt_answer_costs_only_its_link(tmp_path: Path, spoilt: bytes) -> None:
-    """Guards against waiting on a link that can't be read any more, and against cutting what stands there."""
+@pytest.mark.parametrize(
+    "malformed", [b"\xff\xf3\x09" + A, b"\0\x20\x09" + A]
+)  # too long, incomplete parameter
+def test_a_malformed_answer_closes_only_its_connection(tmp_path: Path, malformed: bytes) -> None:
+    """A malformed answer must close its connection at once and must not end the standing calls on it."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         caller.set_up(B)
         server.receive(Type.SET_UP)
-        server.sock.sendall(spoilt)
+        server.sock.sendall(malformed)
         assert server.closed()
         again = program.servers[0].accept()
-        assert again.receive(Type.RELEASE).call == B  # the server may hold it: what was spoilt was an answer
+        assert (
+            again.receive(Type.RELEASE).call == B
+        )  # the server may hold the call: the malformed message was an answer
         assert again.receive(Type.SET_UP).call == B
         again.send(Type.ANSWER, B, {Code.DESCRIPTION: DESCRIPTION})
         again.release(A, 16)
         assert [caller.receive().call, caller.receive().call] == [B, A]
 
 
-def test_a_link_that_falls_silent_is_left_and_its_calls_stay(tmp_path: Path) -> None:
-    """Guards against taking the server for lost, and against waiting there, when one link of it is dead."""
+def test_a_connection_that_falls_silent_is_replaced_and_its_calls_stay(tmp_path: Path) -> None:
+    """A dead connection must be replaced; its server must not be treated as lost."""
     with Program(tmp_path) as program:
         caller, silent = program.caller(), program.servers[0].accept()
-        stand(caller, silent)
+        set_up_call(caller, silent)
         caller.set_up(B, left=400)
-        assert caller.receive().call == B  # nothing came for it
+        assert caller.receive().call == B  # it got no answer
         other = program.servers[0].accept()
         other.send(Type.GROUP_STATE, bytes(8), {Code.REPORT: b"x0:9"})
-        for _ in range(4):  # s, or so: the server is tested meanwhile, and is there
+        for _ in range(4):  # about 1 s each; meanwhile the server answers the keepalives
             other.send(Type.TEST_RESULT, other.receive(Type.TEST).call, {Code.CAUSE: b"\x01"})
         program.logged("role=server .*reason=silent")
         other.release(A, 16)
         assert (released := caller.receive()).call == A and released.cause() == 16
 
 
-def two_links(program: Program) -> tuple[Wire, Wire, Wire]:
-    """A caller whose call A stands over the first of two links to one server."""
+def open_two_connections(program: Program) -> tuple[Wire, Wire, Wire]:
+    """Return a caller whose call A stands on the first of two connections to one server, and both."""
     caller, first = program.caller(), program.servers[0].accept()
-    stand(caller, first)
+    set_up_call(caller, first)
     caller.set_up(B)
-    first.receive(Type.SET_UP)  # and no word: another link is opened beside
+    first.receive(Type.SET_UP)  # without a response, so that another connection is opened
     second = program.servers[0].accept()
     second.send(Type.GROUP_STATE, bytes(8))
     first.send(Type.ANSWER, B, {Code.DESCRIPTION: b"x"})
@@ -193,10 +199,10 @@
     return caller, first, second
 
 
-def test_a_quiet_server_is_tested_late_and_at_first_on_one_link(tmp_path: Path) -> None:
-    """Guards against tests that are few from one proxy and thousands from two hundred."""
+def test_keepalives_start_late_and_on_one_connection(tmp_path: Path) -> None:
+    """Keepalives must stay rare: each proxy sends few, but two hundred proxies together send thousands."""
     with Program(tmp_path) as program:
-        _, first, second = two_links(program)
+        _, first, second = open_two_connections(program)
         began = time.monotonic()
         links = [first.sock, second.sock]
         assert select.select(links, [], [], 10.0)[0]
@@ -205,52 +211,52 @@
         assert len(select.select(links, [], [], 0.0)[0]) == 1
 
 
-def test_another_link_is_opened_while_a_set_up_still_waits_on_a_silent_one(tmp_path: Path) -> None:
-    """Guards against sending into a dead link until the first set-up's whole time is over."""
+def test_another_connection_is_opened_while_a_set_up_still_waits_on_a_silent_one(tmp_path: Path) -> None:
+    """Set-ups must not be sent into a dead connection until the first one has timed out."""
     with Program(tmp_path) as program:
         caller, silent = program.caller(), program.servers[0].accept()
         caller.set_up(A, left=3000)
         silent.receive(Type.SET_UP)
         program.servers[0].accept()
         silent.sock.setblocking(False)
-        with pytest.raises(BlockingIOError):  # it has not been given up yet
+        with pytest.raises(BlockingIOError):  # the set-up has not been given up yet
             silent.sock.recv(1)
 
 
 @pytest.mark.parametrize(("data", "reason"), [(b"", "mute"), (b"\0\x20\x01", "stalled")])
-def test_a_caller_that_says_nothing_whole_is_closed(tmp_path: Path, data: bytes, reason: str) -> None:
+def test_a_caller_that_sends_no_complete_message_is_closed(tmp_path: Path, data: bytes, reason: str) -> None:
     with Program(tmp_path) as program:
         quiet, bad, server = program.caller(), program.caller(), program.servers[0].accept()
-        stand(quiet, server)
+        set_up_call(quiet, server)
         bad.sock.sendall(data)
         assert bad.closed()
         program.logged(f"role=caller .*reason={reason}")
         server.release(A, 16)
-        assert quiet.receive().call == A  # one that was answered may stay and say nothing
+        assert quiet.receive().call == A  # a connection that was answered may stay silent
 
 
 def test_a_flood_of_mute_connections_keeps_no_caller_out(tmp_path: Path) -> None:
-    """Guards against connections that take every descriptor of the callers: the oldest mute one goes."""
+    """Mute connections must not use up the callers' descriptors: the oldest one is closed."""
     with Program(tmp_path) as program:
         server, quiet = program.servers[0].accept(), program.caller()
-        stand(quiet, server, B)
+        set_up_call(quiet, server, B)
         flood = [program.caller() for _ in range(100)]  # of 64 descriptors, half are for callers
-        stand(program.caller(), server)
+        set_up_call(program.caller(), server)
         assert flood[0].closed()
         server.release(B, 16)
         assert quiet.receive().call == B
 
 
-def test_a_flood_takes_no_link_of_a_party_that_has_calls(tmp_path: Path) -> None:
-    """Guards against releases that reach nobody: a party may wait for them on a link that says nothing."""
+def test_a_flood_closes_no_connection_of_a_host_that_has_calls(tmp_path: Path) -> None:
+    """A calling host may wait for releases on a mute connection, which must then not be closed."""
     with Program(tmp_path) as program:
         server, first = program.servers[0].accept(), program.caller("127.0.0.2")
-        stand(first, server)
+        set_up_call(first, server)
         waiting = program.caller("127.0.0.2")
         first.sock.close()
         flood = [program.caller() for _ in range(100)]
         assert flood[0].closed() and flood[60].closed()
-        program.logged("role=caller .*reason=mute")  # so much later the waiting one is still there
+        program.logged("role=caller .*reason=mute")  # the waiting connection is still open then
         server.release(A, 16)
         assert waiting.receive().call == A
 
@@ -266,10 +272,10 @@
         assert server.receive(Type.RELEASE).call == A
 
 
-def test_an_idle_close_cuts_nothing_and_the_release_comes_on_the_next_link(tmp_path: Path) -> None:
+def test_an_idle_close_cuts_nothing_and_the_release_comes_on_the_next_connection(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         server.sock.close()
         again = program.servers[0].accept()
         again.release(A, 16)
@@ -279,7 +285,7 @@
 def test_calls_of_a_server_that_is_gone_are_released(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server, board = program.caller(), program.servers[0].accept(), program.board.accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         board.sock.sendall(frame(2, 2, (0, program.servers[0].port, 2)))
         assert caller.receive().cause() == 41
         assert server.closed()
@@ -289,51 +295,51 @@
 def test_calls_of_a_machine_cut_off_are_released_and_ended_there_once_it_is_back(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
-        assert server.receive().type == Type.TEST  # asked for a sign of life, it gives none
+        set_up_call(caller, server)
+        assert server.receive().type == Type.TEST  # the server does not answer the keepalive
         assert caller.receive().cause() == 41
-        assert program.servers[0].accept().closed()  # another link, which stays as silent
+        assert program.servers[0].accept().closed()  # another connection, which stays silent too
         assert program.servers[0].accept().receive(Type.RELEASE).call == A
 
 
 @pytest.mark.parametrize(("age", "cause"), [(60.0, 16), (-60.0, 41)])
-def test_a_restart_told_late_cuts_only_what_is_older(tmp_path: Path, age: float, cause: int) -> None:
+def test_a_restart_reported_late_cuts_only_older_calls(tmp_path: Path, age: float, cause: int) -> None:
     with Program(tmp_path) as program:
         caller, server, board = program.caller(), program.servers[0].accept(), program.board.accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         started = int((time.time() - age) * 1000)
         board.sock.sendall(frame(2, 2, (0, program.servers[0].port, 0), started=started))
-        if cause == 16:  # the link is younger than the start: it is the new process's
+        if cause == 16:  # the connection was opened after the restart and stays
             program.logged("server-listed .*number=2")
             server.release(A, 16)
         assert caller.receive().cause() == cause
 
 
-def test_a_silent_board_is_dialled_again_with_the_last_number(tmp_path: Path) -> None:
+def test_a_silent_discovery_service_is_dialled_again_with_the_last_number(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         board = program.board.accept()
-        board.exactly(8)
+        board.receive_exactly(8)
         board.sock.sendall(frame(5, 2, (1, program.servers[0].port, 0)))
         program.logged("role=board .*reason=silent")
-        assert program.board.accept().exactly(8) == (5).to_bytes(8, "big")
+        assert program.board.accept().receive_exactly(8) == (5).to_bytes(8, "big")
 
 
-def test_sighup_moves_the_board_at_once_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_moves_the_discovery_service_at_once_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         old, new = program.board.accept(), Listener()
-        old.exactly(8)
+        old.receive_exactly(8)
         old.sock.sendall(frame(5, 2, (1, program.servers[0].port, 0)))
         program.logged("server-listed .*number=5")
         good = program.config.read_text()
-        program.reload(good[:-9])  # cut short
+        program.reload(good[:-9])  # truncated
         program.logged("reload-failed detail=")
         program.reload(good.replace(f":{program.board.port}", f":{new.port}"))
         moved = new.accept()
-        assert moved.exactly(8) == (5).to_bytes(8, "big")  # its numbers continue
+        assert moved.receive_exactly(8) == (5).to_bytes(8, "big")  # the numbering continues
         moved.sock.sendall(frame(6, 2, (1, program.servers[0].port, 2)))
         program.logged("server-listed .*state=gone number=6")
         assert old.closed()
-        stand(program.caller(), program.servers[0].accept())
+        set_up_call(program.caller(), program.servers[0].accept())
         new.close()
 
 
@@ -346,8 +352,8 @@
         bad.sock.sendall(data)
         assert bad.closed()
         program.logged("role=caller .*reason=malformed")
-        assert server.receive(Type.RELEASE).call == B  # its open call is settled
-        stand(good, server)
+        assert server.receive(Type.RELEASE).call == B  # its open call has been given up
+        set_up_call(good, server)
 
 
 def test_a_set_up_that_lacks_a_field_fails_and_unknown_ones_are_skipped(tmp_path: Path) -> None:
@@ -355,29 +361,29 @@
         caller, server = program.caller(), program.servers[0].accept()
         caller.send(Type.SET_UP, A, {Code.CLASS: b"voice"})
         assert caller.receive().cause() == 100
-        caller.set_up(bytes(8))  # no id: what a server can't read costs its other set-ups their connection
+        caller.set_up(bytes(8))  # an all-zero id would make the server close the connection
         assert caller.receive().cause() == 100
         caller.send(99, A, {7: b"?"})
         caller.set_up(B, name=b"no such class")
         assert caller.receive().cause() == 47
-        stand(caller, server)
+        set_up_call(caller, server)
 
 
 def test_a_blocked_caller_delays_only_itself(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         blocked, good, server = program.caller(), program.caller(), program.servers[0].accept()
         blocked.sock.setblocking(False)
-        test = b"\0\x09\x34" + A  # its answers are never read
+        test = b"\0\x09\x34" + A  # the results are never read
         try:
             while True:
                 blocked.sock.send(test * 1000)
         except OSError:
             pass
-        stand(good, server)
+        set_up_call(good, server)
         program.logged("role=caller .*reason=blocked")
 
 
-def test_calls_past_the_limit_are_refused(tmp_path: Path) -> None:
+def test_calls_above_the_limit_are_refused(tmp_path: Path) -> None:
     with Program(tmp_path, max_open=1) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A)
@@ -389,11 +395,11 @@
 def test_after_sigterm_late_arrivals_are_served_and_standing_calls_awaited(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         early, server = program.caller(), program.servers[0].accept()
-        stand(early, server)
+        set_up_call(early, server)
         program.terminate()
         program.logged("state=stopping .*calls=1")
         late = program.caller()  # a new connection, after the signal
-        stand(late, server, B)
+        set_up_call(late, server, B)
         server.release(B, 16)
         server.release(A, 16)
         assert (early.receive().call, late.receive().call) == (A, B)
@@ -405,17 +411,19 @@
     with Program(tmp_path, servers=0) as program:
         caller, board, late = program.caller(), program.board.accept(), Listener()
         board.sock.sendall(frame(2, 2, (0, late.port, 0)))
-        stand(caller, late.accept())
+        set_up_call(caller, late.accept())
         late.close()
 
 
-def test_a_release_lost_with_its_link_is_heard_on_the_next_though_another_is_open(tmp_path: Path) -> None:
-    """A server stops in the middle of a call's release; its other link is no reason not to open a third."""
+def test_a_release_lost_with_its_connection_comes_on_the_next_though_another_is_open(tmp_path: Path) -> None:
+    """A connection closes within a release; another one is opened although a second one is still open."""
     with Program(tmp_path) as program:
-        caller, first, _ = two_links(program)
+        caller, first, _ = open_two_connections(program)
         first.sock.sendall(write_release(A, 16)[:7])
         assert first.closed()
         began = time.monotonic()
         program.servers[0].accept().release(A, 16)
         assert caller.receive(Type.RELEASE).call == A
-        assert time.monotonic() - began < 1.0  # the rule's second; silence would be looked into after 3.5 s
+        assert (
+            time.monotonic() - began < 1.0
+        )  # required by the protocol; a keepalive would be sent only after 3.5 s
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -19,7 +19,7 @@
 from martentide.net.config import Address
 from martentide.net.handover import MOST_HEARD, Channel
 from tests.net.support import LIMIT, ROOT, Program, Wire
-from tests.net.test_rules_on_sockets import A, B, stand
+from tests.net.test_rules_on_sockets import A, B, set_up_call
 
 PROGRESS = 6
 C = bytes.fromhex("00000000000000c3")
@@ -27,7 +27,7 @@
 
 @contextmanager
 def upgrade(old: Program) -> Iterator[Program]:
-    new = old.beside()
+    new = old.start_successor()
     try:
         yield new
     finally:
@@ -57,7 +57,7 @@
     with Program(tmp_path, operated=True) as old:
         caller, other, half = old.caller(), old.caller("127.0.0.2"), old.caller("127.0.0.3")
         server = old.servers[0].accept()
-        stand(caller, server, A)
+        set_up_call(caller, server, A)
         other.set_up(B)
         server.receive(Type.SET_UP)
         server.send(PROGRESS, B)  # or another connection would be opened beside a silent one
@@ -76,7 +76,7 @@
             server.release(A, 16)
             assert (over := caller.receive()).type == Type.RELEASE and over.call == A
             fresh = old.servers[0].accept()
-            stand(caller, fresh, C)  # a new call, on the same connection, is the new process's
+            set_up_call(caller, fresh, C)  # a new call, on the same connection, is the new process's
             other.release(B, 16)  # one that stands in the old process is ended through the new one
             assert server.receive(Type.RELEASE).call == B
             assert old.process.wait(LIMIT) == 0  # it leaves early: all is over
@@ -92,18 +92,18 @@
         with upgrade(old) as new:
             fresh = old.servers[0].accept()
             after = new.caller("127.0.0.2")
-            stand(after, fresh, A)
-            stand(before, server, B)  # not told to end yet: its own connections go on
+            set_up_call(after, fresh, A)
+            set_up_call(before, server, B)  # not told to end yet: its own connections go on
 
 
 def test_a_successor_that_dies_before_the_end_gives_all_back(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
-        stand(caller, server, A)
+        set_up_call(caller, server, A)
         with upgrade(old) as new:
             new.kill()
             old.logged("step=accepting-again")
-        stand(old.caller("127.0.0.2"), server, B)
+        set_up_call(old.caller("127.0.0.2"), server, B)
         with upgrade(old) as new:  # and the next try finds it
             old.logged("step=yielded")
             assert new.call("GET", "/control/ready") == 200
@@ -116,7 +116,7 @@
             new.terminate()
             old.logged("step=accepting-again")
             assert new.process.wait(LIMIT) == 0
-            stand(old.caller(), server, A)
+            set_up_call(old.caller(), server, A)
 
 
 def test_an_old_process_killed_in_the_hand_over_leaves_no_call_without_an_answer(tmp_path: Path) -> None:
@@ -137,7 +137,7 @@
 def test_two_upgrades_in_a_row_and_a_third_process_is_turned_away(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as first:
         caller, server = first.caller(), first.servers[0].accept()
-        stand(caller, server, A)
+        set_up_call(caller, server, A)
         with upgrade(first) as second:
             third = subprocess.run(
                 [sys.executable, "-B", "-m", "martentide", "serve", "--config", str(first.config)],
@@ -161,7 +161,7 @@
 def test_an_upgrade_in_a_drain_ends_in_service(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
-        stand(caller, server, A)
+        set_up_call(caller, server, A)
         old.call("POST", "/control/out-of-service")
         with upgrade(old) as new:
             assert new.call("GET", "/control/ready") == 200
@@ -182,7 +182,7 @@
     else:
         path.mkdir()
     with Program(tmp_path, operated=True) as program:
-        stand(program.caller(), program.servers[0].accept())
+        set_up_call(program.caller(), program.servers[0].accept())
     assert kind != "foreign" or path.read_bytes() == b"not ours"
 
 
@@ -191,7 +191,7 @@
     if name != "missing":
         (tmp_path / name).mkdir()
     with Program(tmp_path, operated=True, temporary=tmp_path / name) as program:
-        stand(program.caller(), program.servers[0].accept())
+        set_up_call(program.caller(), program.servers[0].accept())
 
 
 def test_another_version_is_turned_away(tmp_path: Path) -> None:
@@ -202,7 +202,7 @@
             stranger.connect(str(path))
             stranger.send(write_frame(Hello(99, "n0", "127.0.0.1:0")))
             assert b"version" in stranger.recv(1024) and stranger.recv(1024) == b""
-        stand(program.caller(), program.servers[0].accept())
+        set_up_call(program.caller(), program.servers[0].accept())
 
 
 def test_both_processes_have_one_budget_of_descriptors() -> None:
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -22,8 +22,8 @@
 from martentide.net.dispatcher import ANSWER_MARGIN
 from martentide.net.links import Link
 from tests.net.support import LIMIT, Program, Wire
-from tests.net.test_gone_clients import GOES, A, B
-from tests.net.test_rules_on_sockets import stand
+from tests.net.test_gone_clients import LEAVE_KINDS, A, B
+from tests.net.test_rules_on_sockets import set_up_call
 
 LEFT = 2000  # ms that the callers of these tests wait
 PROGRESS = 6
@@ -32,7 +32,7 @@
 
 @contextmanager
 def upgrade(old: Program) -> Iterator[Program]:
-    new = old.beside()
+    new = old.start_successor()
     try:
         yield new
     finally:
@@ -87,7 +87,7 @@
 # ---- the caller -----------------------------------------------------------------------------------------
 
 
-@GOES
+@LEAVE_KINDS
 def test_a_caller_that_leaves_at_the_successor_has_left_its_attempt(
     tmp_path: Path, goes: Callable[[Wire], None]
 ) -> None:
@@ -104,7 +104,7 @@
             assert old.process.wait(LIMIT) == 0
 
 
-@GOES
+@LEAVE_KINDS
 def test_a_caller_that_leaves_in_the_turn_of_the_hand_over_has_left_its_attempt(
     tmp_path: Path, goes: Callable[[Wire], None]
 ) -> None:
@@ -220,11 +220,11 @@
 def at_step(old: Program, step: str) -> Program:
     """A second process, with the first one at that step of the hand-over or a little later."""
     if step in ("moving", "handed-over"):
-        new = old.beside()
+        new = old.start_successor()
         old.terminate()
         old.logged(step)
         return new
-    process = old.beside()
+    process = old.start_successor()
     old.logged(f"step={step}")
     return process
 
@@ -276,7 +276,7 @@
     """Who connects while both stand still is accepted by one of them, once they go on."""
     with Program(tmp_path, operated=True) as old:
         server = old.servers[0].accept()
-        stand(old.caller(), server, A)
+        set_up_call(old.caller(), server, A)
         with upgrade(old) as new:
             with old.stopped(), new.stopped():
                 caller = old.caller("127.0.0.2")
