--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -282,7 +282,7 @@
             # connection still waits in the mailbox.
             self._notify_owner(message.call, known)
         elif known is not None:
-            # With one id for two set-ups, their answers could not be told apart.
+            # With one id for two set-ups, their answers could not be distinguished.
             log_event("duplicate-call", party=self.host, call=message.call.hex())
             link.close(CloseReason.DUPLICATE_ID)
             return
@@ -507,7 +507,7 @@
 
 
 def read_milliseconds(text: str | None) -> float:
-    """Parse a time in whole ms of at most 9 digits; raises CodecError."""
+    """Parse a time in ms of at most 9 digits; raises CodecError."""
     if text is None or not text.isdecimal() or len(text) > 9:
         raise CodecError(f"time left is not a number of ms with at most 9 digits: {text!r}")
     return float(text)
--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -152,9 +152,8 @@
         self.dial_task: asyncio.Task[None] | None = None
         self.reconnect_timer: asyncio.TimerHandle | None = None
         self.last_received_at = self.loop.time()
-        self.awaiting_since: float | None = (
-            None  # when the first message without a later byte in return was sent
-        )
+        # Loop time of the first sent message after which no byte was received; None if there is none.
+        self.awaiting_since: float | None = None
         self.keepalive_timer = self.loop.call_later(KEEPALIVE_IDLE, self.post, QuietDue())
         self.task = self.loop.create_task(self._run(), name=f"server {self.name}")
 
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -182,7 +182,7 @@
         **limits: Any,
     ) -> None:
         self.servers = [Listener() for _ in range(servers)]
-        self.board = Listener()
+        self.discovery = Listener()
         self.arguments = arguments  # further command-line arguments
         self.descriptors = descriptors  # descriptor limit of the process; None: inherited
         settings = {**SETTINGS, **(settings or {}), "limits": {**SETTINGS["limits"], **limits}}
@@ -195,7 +195,7 @@
                     "listen": "127.0.0.1:0",
                     "seed": "8c1f30d27a5be964",
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-                    "board": f"127.0.0.1:{self.board.port}",
+                    "board": f"127.0.0.1:{self.discovery.port}",
                     **({"operator": "127.0.0.1:0"} if operated else {}),
                     "known": {
                         "rev": 1,
@@ -303,5 +303,5 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.kill()
-        for listener in [*self.servers, self.board]:
+        for listener in [*self.servers, self.discovery]:
             listener.close()
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -87,10 +87,10 @@
 
 def test_sigterm_while_the_discovery_service_is_down_ends_in_good_order(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
-        caller, server, board = program.caller(), program.servers[0].accept(), program.board.accept()
+        caller, server, discovery = program.caller(), program.servers[0].accept(), program.discovery.accept()
         set_up_call(caller, server, A)
-        program.board.close()
-        board.reset()
+        program.discovery.close()
+        discovery.reset()
         program.logged("role=board .*reason=dial-refused")
         program.terminate()
         server.release(A, 16)
@@ -103,13 +103,13 @@
 
 def test_a_watch_that_breaks_inside_a_frame_resumes_after_the_last_complete_one(tmp_path: Path) -> None:
     with Program(tmp_path, servers=2) as program:
-        board, port = program.board.accept(), program.servers[0].port
-        board.receive_exactly(8)
-        board.sock.sendall(frame(2, 2, (0, port, READY)) + frame(3, 2, (0, port, DRAINING))[:20])
+        discovery, port = program.discovery.accept(), program.servers[0].port
+        discovery.receive_exactly(8)
+        discovery.sock.sendall(frame(2, 2, (0, port, READY)) + frame(3, 2, (0, port, DRAINING))[:20])
         program.logged("server-listed .*number=2")
-        board.sock.close()
+        discovery.sock.close()
         program.logged("role=board .*reason=truncated")
-        again = program.board.accept()
+        again = program.discovery.accept()
         assert again.receive_exactly(8) == (2).to_bytes(8, "big")
         again.sock.sendall(frame(3, 2, (0, port, DRAINING)))
         program.logged("server-listed .*state=draining number=3")
@@ -119,12 +119,12 @@
 def test_a_repeated_or_late_event_undoes_nothing(tmp_path: Path, number: int) -> None:
     """A discovery service that returns repeats old events: a drain must stay in force."""
     with Program(tmp_path, servers=2) as program:
-        board, ports = program.board.accept(), [one.port for one in program.servers]
+        discovery, ports = program.discovery.accept(), [one.port for one in program.servers]
         caller, other = program.caller(), program.servers[1].accept()
-        board.sock.sendall(frame(2, 2, (0, ports[0], DRAINING)))
+        discovery.sock.sendall(frame(2, 2, (0, ports[0], DRAINING)))
         program.logged("state=draining number=2")
-        board.reset()
-        again = program.board.accept()
+        discovery.reset()
+        again = program.discovery.accept()
         again.sock.sendall(frame(number, 1, (0, ports[0], READY), (1, ports[1], READY)))
         again.sock.sendall(frame(3, 2, (1, ports[1], READY)))
         program.logged("server-listed server=s-00000001 .*number=3")
@@ -135,10 +135,10 @@
 def test_a_new_server_at_the_address_of_one_that_is_gone(tmp_path: Path) -> None:
     """Both events come in one read; calls of the old server are cut, and new ones go to the new server."""
     with Program(tmp_path) as program:
-        board, old, caller = program.board.accept(), program.servers[0].accept(), program.caller()
+        discovery, old, caller = program.discovery.accept(), program.servers[0].accept(), program.caller()
         set_up_call(caller, old, A)
         port = program.servers[0].port
-        board.sock.sendall(frame(2, 2, (0, port, GONE)) + frame(3, 2, (1, port, READY)))
+        discovery.sock.sendall(frame(2, 2, (0, port, GONE)) + frame(3, 2, (1, port, READY)))
         assert (cut := caller.receive(Type.RELEASE)).call == A and cut.cause() == 41
         assert old.closed()
         new = program.servers[0].accept()
@@ -150,13 +150,13 @@
     full, other = Listener(backlog=0), Listener()
     filling = Wire(socket.create_connection(("127.0.0.1", full.port)))
     with Program(tmp_path, servers=0, connect_timeout_ms=10_000.0) as program:
-        board, caller = program.board.accept(), program.caller()
-        board.sock.sendall(frame(2, 2, (0, full.port, READY)))
+        discovery, caller = program.discovery.accept(), program.caller()
+        discovery.sock.sendall(frame(2, 2, (0, full.port, READY)))
         program.logged("state=open number=2")
         caller.set_up(A)
         caller.send(Type.TEST, B, {Code.CAUSE: b"\0"})
         caller.receive(Type.TEST_RESULT)  # the set-up before it has been processed
-        board.sock.sendall(frame(3, 2, (0, full.port, DRAINING), (1, other.port, READY)))
+        discovery.sock.sendall(frame(3, 2, (0, full.port, DRAINING), (1, other.port, READY)))
         program.logged("state=draining number=3")
         full.accept()  # of the filling connection: the dial, which the kernel retries, succeeds
         drained = full.accept()
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -46,28 +46,28 @@
 
 
 @pytest.mark.parametrize("does", [idle, half_a_message, sends_one_test, reads_nothing])
-@pytest.mark.parametrize(("told", "limit"), [(48, 48), (1024, 48), (64, 40)])
+@pytest.mark.parametrize(("configured", "limit"), [(48, 48), (1024, 48), (64, 40)])
 def test_a_flood_of_connections_keeps_out_neither_discovery_nor_servers_nor_callers(
-    tmp_path: Path, does: Callable[[Wire], None], told: int, limit: int
+    tmp_path: Path, does: Callable[[Wire], None], configured: int, limit: int
 ) -> None:
     """The system's limit holds whatever the configuration says; the discovery service returns meanwhile."""
-    with Program(tmp_path, operated=True, sockets=told, descriptors=limit) as program:
-        board, server = program.board.accept(), program.servers[0].accept()
+    with Program(tmp_path, operated=True, sockets=configured, descriptors=limit) as program:
+        discovery, server = program.discovery.accept(), program.servers[0].accept()
         standing = set_up_call(program, server, B)
-        port = program.board.port
-        program.board.close()
-        board.reset()
+        port = program.discovery.port
+        program.discovery.close()
+        discovery.reset()
         program.logged("role=board .*reason=dial-refused")
         flood = []
         for at in range(FLOOD):
             flood.append(program.caller(f"127.0.1.{at % 50 + 1}"))
             does(flood[-1])
-        program.board = again = Listener(port=port)
+        program.discovery = again = Listener(port=port)
         assert again.accept().receive_exactly(8) == (1).to_bytes(8, "big")
         set_up_call(program, server, A)
         assert program.call("GET", "/control/ready") == 200
         server.reset()
-        other = program.servers[0].accept()  # dialled anew
+        other = program.servers[0].accept()  # dialled again
         other.release(B, 16)
         assert standing.receive(Type.RELEASE).call == B  # the standing call has kept its connection
         for one in flood:
@@ -77,14 +77,14 @@
 def test_a_lack_of_descriptors_closes_connections_and_logs_no_traceback(tmp_path: Path) -> None:
     """The limit is lowered while the process runs below its computed share, so that accepting fails."""
     with Program(tmp_path) as program:
-        board, server = program.board.accept(), program.servers[0].accept()
+        discovery, server = program.discovery.accept(), program.servers[0].accept()
         standing = set_up_call(program, server, B)
         held = len(list(Path(f"/proc/{program.process.pid}/fd").iterdir()))
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (held + 4, held + 4))
         flood = [program.caller(f"127.0.1.{at + 1}") for at in range(6)]
         program.logged("descriptors-short times=")
-        board.reset()
-        assert program.board.accept().receive_exactly(8) == (1).to_bytes(8, "big")
+        discovery.reset()
+        assert program.discovery.accept().receive_exactly(8) == (1).to_bytes(8, "big")
         set_up_call(program, server, A)
         server.release(B, 16)
         assert standing.receive(Type.RELEASE).call == B
--- a/tests/net/test_gone_clients.py
+++ b/tests/net/test_gone_clients.py
@@ -37,7 +37,7 @@
     caller.sock.shutdown(socket.SHUT_WR)
 
 
-LEAVE_KINDS = pytest.mark.parametrize("goes", [close, reset, cancel, half_close])
+WAYS_TO_LEAVE = pytest.mark.parametrize("leave", [close, reset, cancel, half_close])
 
 
 def assert_nothing_sent(program: Program, *servers: Wire) -> None:
@@ -60,9 +60,9 @@
     assert all(server.has_no_input() for server in servers)
 
 
-@LEAVE_KINDS
+@WAYS_TO_LEAVE
 def test_no_retry_though_the_release_wait_ends_in_the_same_turn(
-    tmp_path: Path, goes: Callable[[Wire], None]
+    tmp_path: Path, leave: Callable[[Wire], None]
 ) -> None:
     with Program(
         tmp_path, servers=2, settings=RELEASE_WAIT_SETTINGS, arguments=("--log-level", "debug")
@@ -74,14 +74,14 @@
         servers[0].release(A, 41)
         program.logged("heard=AttemptEnded")
         with program.stopped():
-            goes(caller)
+            leave(caller)
             time.sleep(RELEASE_WAIT + 0.2)
         assert_nothing_sent(program, *servers)
 
 
-@LEAVE_KINDS
+@WAYS_TO_LEAVE
 def test_no_first_attempt_for_a_set_up_that_was_unread_when_its_caller_left(
-    tmp_path: Path, goes: Callable[[Wire], None]
+    tmp_path: Path, leave: Callable[[Wire], None]
 ) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
@@ -89,13 +89,13 @@
         caller.receive(Type.TEST_RESULT)
         with program.stopped():
             caller.set_up(A)
-            goes(caller)
+            leave(caller)
         assert_nothing_sent(program, server)
 
 
-@LEAVE_KINDS
+@WAYS_TO_LEAVE
 def test_no_attempt_for_a_call_that_waits_for_room_at_a_server(
-    tmp_path: Path, goes: Callable[[Wire], None]
+    tmp_path: Path, leave: Callable[[Wire], None]
 ) -> None:
     """Two set-ups are unanswered, so the third waits; they are answered as its caller leaves."""
     with Program(tmp_path, arguments=("--log-level", "debug")) as program:
@@ -106,7 +106,7 @@
         caller.set_up(A)
         program.logged(r"heard=SetUpOffered\(ref=3,")
         with program.stopped():
-            goes(caller)
+            leave(caller)
             for call in (C, D):
                 server.send(Type.ANSWER, call, {Code.DESCRIPTION: DESCRIPTION})
         for call in (C, D):
@@ -114,22 +114,22 @@
         assert_nothing_sent(program, server)
 
 
-@LEAVE_KINDS
-def test_no_attempt_for_a_call_that_waits_for_a_dial(tmp_path: Path, goes: Callable[[Wire], None]) -> None:
+@WAYS_TO_LEAVE
+def test_no_attempt_for_a_call_that_waits_for_a_dial(tmp_path: Path, leave: Callable[[Wire], None]) -> None:
     """The server's accept queue is full, so the dial waits; it succeeds after the caller has gone."""
     full = Listener(backlog=0)
     fill = [socket.create_connection(("127.0.0.1", full.port)) for _ in range(1)]
     with Program(tmp_path, servers=0, connect_timeout_ms=10_000.0) as program:
         program.servers.append(full)
-        board = program.board.accept()
-        board.sock.sendall(frame(2, 2, (0, full.port, 0)))
+        discovery = program.discovery.accept()
+        discovery.sock.sendall(frame(2, 2, (0, full.port, 0)))
         program.logged("server-listed .*state=open")
         caller = program.caller()
         caller.set_up(A)
         caller.send(Type.TEST, B, {Code.CAUSE: b"\0"})
         caller.receive(Type.TEST_RESULT)  # the set-up before it has been processed
         with program.stopped():
-            goes(caller)
+            leave(caller)
             full.accept()  # of the filling connection: the dial, which the kernel retries, succeeds
         server = full.accept()
         assert_nothing_sent(program, server)
--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -52,9 +52,8 @@
             peer.writer.close()
             await peer.writer.wait_closed()
             assert peer.link.check_presence() is Presence.LEFT
-            assert (
-                len(peer.received) == MAX_UNPROCESSED
-            )  # its read credit is used up, so it has not read the end
+            # Its read credit is used up, so it has not read the end.
+            assert len(peer.received) == MAX_UNPROCESSED
 
     asyncio.run(run())
 
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -156,9 +156,9 @@
 
 def test_a_bad_file_is_turned_down_whole_and_the_last_good_one_holds(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
-        board = program.board.accept()
+        board = program.discovery.accept()
         good = retuned(program)
-        bad = good.replace(f":{program.board.port}", ":9")
+        bad = good.replace(f":{program.discovery.port}", ":9")
         program.reload(bad.replace('"max_attempts": 5', '"max_attempts": 0'))
         program.logged(
             "reload-failed detail='settings: limits.max_attempts: expected a whole number .*, found 0'"
--- a/tests/net/test_rules_on_sockets.py
+++ b/tests/net/test_rules_on_sockets.py
@@ -110,9 +110,9 @@
 
 def test_nothing_new_goes_to_a_draining_server(tmp_path: Path) -> None:
     with Program(tmp_path, servers=2) as program:
-        caller, board = program.caller(), program.board.accept()
-        assert board.receive_exactly(8) == (1).to_bytes(8, "big")
-        board.sock.sendall(frame(2, 2, (0, program.servers[0].port, 1)))
+        caller, discovery = program.caller(), program.discovery.accept()
+        assert discovery.receive_exactly(8) == (1).to_bytes(8, "big")
+        discovery.sock.sendall(frame(2, 2, (0, program.servers[0].port, 1)))
         program.logged("server-listed server=s-00000000 state=draining")
         other = program.servers[1].accept()
         for call in (A, B):
@@ -284,9 +284,9 @@
 
 def test_calls_of_a_server_that_is_gone_are_released(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
-        caller, server, board = program.caller(), program.servers[0].accept(), program.board.accept()
+        caller, server, discovery = program.caller(), program.servers[0].accept(), program.discovery.accept()
         set_up_call(caller, server)
-        board.sock.sendall(frame(2, 2, (0, program.servers[0].port, 2)))
+        discovery.sock.sendall(frame(2, 2, (0, program.servers[0].port, 2)))
         assert caller.receive().cause() == 41
         assert server.closed()
         program.logged("role=server peer=s-00000000 reason=server-gone")
@@ -305,10 +305,10 @@
 @pytest.mark.parametrize(("age", "cause"), [(60.0, 16), (-60.0, 41)])
 def test_a_restart_reported_late_cuts_only_older_calls(tmp_path: Path, age: float, cause: int) -> None:
     with Program(tmp_path) as program:
-        caller, server, board = program.caller(), program.servers[0].accept(), program.board.accept()
+        caller, server, discovery = program.caller(), program.servers[0].accept(), program.discovery.accept()
         set_up_call(caller, server)
         started = int((time.time() - age) * 1000)
-        board.sock.sendall(frame(2, 2, (0, program.servers[0].port, 0), started=started))
+        discovery.sock.sendall(frame(2, 2, (0, program.servers[0].port, 0), started=started))
         if cause == 16:  # the connection was opened after the restart and stays
             program.logged("server-listed .*number=2")
             server.release(A, 16)
@@ -317,23 +317,23 @@
 
 def test_a_silent_discovery_service_is_dialled_again_with_the_last_number(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
-        board = program.board.accept()
-        board.receive_exactly(8)
-        board.sock.sendall(frame(5, 2, (1, program.servers[0].port, 0)))
+        discovery = program.discovery.accept()
+        discovery.receive_exactly(8)
+        discovery.sock.sendall(frame(5, 2, (1, program.servers[0].port, 0)))
         program.logged("role=board .*reason=silent")
-        assert program.board.accept().receive_exactly(8) == (5).to_bytes(8, "big")
+        assert program.discovery.accept().receive_exactly(8) == (5).to_bytes(8, "big")
 
 
 def test_sighup_moves_the_discovery_service_at_once_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
-        old, new = program.board.accept(), Listener()
+        old, new = program.discovery.accept(), Listener()
         old.receive_exactly(8)
         old.sock.sendall(frame(5, 2, (1, program.servers[0].port, 0)))
         program.logged("server-listed .*number=5")
         good = program.config.read_text()
         program.reload(good[:-9])  # truncated
         program.logged("reload-failed detail=")
-        program.reload(good.replace(f":{program.board.port}", f":{new.port}"))
+        program.reload(good.replace(f":{program.discovery.port}", f":{new.port}"))
         moved = new.accept()
         assert moved.receive_exactly(8) == (5).to_bytes(8, "big")  # the numbering continues
         moved.sock.sendall(frame(6, 2, (1, program.servers[0].port, 2)))
@@ -409,8 +409,8 @@
 
 def test_a_server_that_appears_is_used(tmp_path: Path) -> None:
     with Program(tmp_path, servers=0) as program:
-        caller, board, late = program.caller(), program.board.accept(), Listener()
-        board.sock.sendall(frame(2, 2, (0, late.port, 0)))
+        caller, discovery, late = program.caller(), program.discovery.accept(), Listener()
+        discovery.sock.sendall(frame(2, 2, (0, late.port, 0)))
         set_up_call(caller, late.accept())
         late.close()
 
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -22,7 +22,7 @@
 from martentide.net.dispatcher import ANSWER_MARGIN
 from martentide.net.links import Link
 from tests.net.support import LIMIT, Program, Wire
-from tests.net.test_gone_clients import LEAVE_KINDS, A, B
+from tests.net.test_gone_clients import WAYS_TO_LEAVE, A, B
 from tests.net.test_rules_on_sockets import set_up_call
 
 LEFT = 2000  # ms that the callers of these tests wait
@@ -87,9 +87,9 @@
 # ---- the caller -----------------------------------------------------------------------------------------
 
 
-@LEAVE_KINDS
+@WAYS_TO_LEAVE
 def test_a_caller_that_leaves_at_the_successor_has_left_its_attempt(
-    tmp_path: Path, goes: Callable[[Wire], None]
+    tmp_path: Path, leave: Callable[[Wire], None]
 ) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
@@ -99,14 +99,14 @@
         with upgrade(old):
             old.terminate()
             old.logged("reason=handed-over")
-            goes(caller)
+            leave(caller)
             assert server.receive(Type.RELEASE).call == A
             assert old.process.wait(LIMIT) == 0
 
 
-@LEAVE_KINDS
+@WAYS_TO_LEAVE
 def test_a_caller_that_leaves_in_the_turn_of_the_hand_over_has_left_its_attempt(
-    tmp_path: Path, goes: Callable[[Wire], None]
+    tmp_path: Path, leave: Callable[[Wire], None]
 ) -> None:
     """Its last bytes and SIGTERM come while the old process stands still; either may be taken first."""
     with Program(tmp_path, operated=True) as old:
@@ -116,7 +116,7 @@
         server.send(PROGRESS, A)
         with upgrade(old):
             with old.stopped():
-                goes(caller)
+                leave(caller)
                 old.terminate()
             assert server.receive(Type.RELEASE).call == A
             assert old.process.wait(LIMIT) == 0
