--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -147,7 +147,7 @@
         self.attempts: dict[bytes, Attempt] = {}
         # By id: loop time of the start, timeout timer, and connection (None while waiting for a dial).
         self.health_checks: dict[bytes, tuple[float, asyncio.TimerHandle, Link | None]] = {}
-        self.check_numbers = itertools.count(1)
+        self.check_numbers = itertools.count(1)  # for ids of health checks and keepalives
         self.pending_releases: dict[bytes, bytes] = {}  # release messages to write on the next connection
         self.dial_task: asyncio.Task[None] | None = None
         self.reconnect_timer: asyncio.TimerHandle | None = None
@@ -472,19 +472,19 @@
     # ---- health checks ----------------------------------------------------------------------------------
 
     def _send_health_check(self) -> None:
-        number = next(self.check_numbers).to_bytes(8, "big")
-        timer = self.loop.call_later(HEALTH_CHECK_TIMEOUT, self.post, TestOver(number))
+        check_id = next(self.check_numbers).to_bytes(8, "big")
+        timer = self.loop.call_later(HEALTH_CHECK_TIMEOUT, self.post, TestOver(check_id))
         link = next(
             (connection.link for connection in reversed(self.connections) if not connection.suspect), None
         )
-        self.health_checks[number] = (self.loop.time(), timer, link)
+        self.health_checks[check_id] = (self.loop.time(), timer, link)
         if link is not None:
-            link.write(write_message(Type.TEST, number, {Code.CAUSE: b"\x01"}))
+            link.write(write_message(Type.TEST, check_id, {Code.CAUSE: b"\x01"}))
         else:
             self._dial()
 
-    def _end_health_check(self, number: bytes, ending: Ending, report: Report | None) -> None:
-        check = self.health_checks.pop(number, None)
+    def _end_health_check(self, check_id: bytes, ending: Ending, report: Report | None) -> None:
+        check = self.health_checks.pop(check_id, None)
         if check is None:
             return
         check[1].cancel()
@@ -538,9 +538,9 @@
             return
         for attempt in [attempt for attempt in self.attempts.values() if attempt.sent_at is None]:
             self._end_attempt(attempt, Ending.UNREACHABLE)
-        for number, check in list(self.health_checks.items()):
+        for check_id, check in list(self.health_checks.items()):
             if check[2] is None:
-                self._end_health_check(number, Ending.UNREACHABLE, None)
+                self._end_health_check(check_id, Ending.UNREACHABLE, None)
         if item.reason is CloseReason.DIAL_REFUSED and not self.connections:
             self._cut_standing()  # no process listens there, so the one that held the calls is dead
         self._schedule_reconnect()
@@ -563,9 +563,9 @@
                 # The server may hold the call: its answer may be among the bytes that could not be read.
                 self._release(attempt)
             self._end_attempt(attempt, Ending.TIMED_OUT if given_up else Ending.CUT)
-        for number, check in list(self.health_checks.items()):
+        for check_id, check in list(self.health_checks.items()):
             if check[2] is link:
-                self._end_health_check(number, Ending.CUT, None)
+                self._end_health_check(check_id, Ending.CUT, None)
         # The end of a connection, even by a reset, ends no standing call. That the server process is dead
         # shows when a dial is refused, or when the server list reports a restart.
         if any(attempt.stands and attempt.link is link for attempt in self.attempts.values()):
@@ -638,8 +638,8 @@
                 self.reconnect_timer.cancel()
             for attempt in list(self.attempts.values()):
                 self._end_attempt(attempt, Ending.UNREACHABLE if attempt.sent_at is None else Ending.CUT)
-            for number in list(self.health_checks):
-                self._end_health_check(number, Ending.UNREACHABLE, None)
+            for check_id in list(self.health_checks):
+                self._end_health_check(check_id, Ending.UNREACHABLE, None)
             for connection in self.connections:
                 connection.link.close(CloseReason.SERVER_GONE)
         elif restarted and listed.entry.started is not None:
