--- a/martentide/net/dispatcher.py
+++ b/martentide/net/dispatcher.py
@@ -242,7 +242,7 @@
         self.controller, self.start_server, self.max_open = controller, start_server, max_open
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
         self.loop = asyncio.get_running_loop()
-        self.now = self.monotonic_at = 0.0  # ms at the last reading of the clocks
+        self.now = self.monotonic_at = 0.0  # ms (Unix, monotonic) at the last reading of the clocks
         self.asking: bytes | None = None  # id of the call that the decisions are being asked about
         self.refs = itertools.count(1)
         self.calls: dict[int, Call] = {}
