--- a/martentide/net/links.py
+++ b/martentide/net/links.py
@@ -235,7 +235,7 @@
 
     @property
     def movable(self) -> bool:
-        """Whether a paused connection can move to another process: only ``partial_message`` is left to do."""
+        """Whether a paused connection can move: ``partial_message`` is its only unprocessed input."""
         return self.alive and not (self.unprocessed or self._buffered or self.blocked)
 
     @property
