--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -1,7 +1,8 @@
-"""The front for today's protocol: the listener, and one actor for each party that calls.
+"""The callers' side of the signalling protocol: the listener, and one actor for each calling host.
 
-A party is a machine that callers' connections come from. A call that stands belongs to the party, not to one
-of its connections. The actor hears its links and the dispatcher through its mailbox.
+A calling host is a machine that callers' connections come from, identified by its IP address. A standing call
+belongs to the host, not to one of its connections. The actor receives everything from its connections and
+from the dispatcher through its mailbox.
 """
 
 from __future__ import annotations
@@ -16,79 +17,85 @@
 from martentide.codec.messages import MOST_BYTES, Cause, Code, Message, Type, write_message, write_release
 from martentide.handover.wire import MOST_RECORDS, Left, MovedCalls, MovedLink, Said
 from martentide.net.call_trace import CALL_TRACE, CallStep
-from martentide.net.client_connections import ClientConnections, Send
+from martentide.net.client_connections import ClientConnections, SendFrame
 from martentide.net.close_reason import LOG, CloseReason, log_event
 from martentide.net.config import Address
 from martentide.net.dispatcher import GiveUp, Offer, ReleaseIn, time_for_answer
 from martentide.net.links import Link, LinkEnded, Received
 from martentide.net.listeners import bound
 
-MOST_OWED = 20_000  # releases kept for a party without a connection
-ACCEPTED_AT_A_TIME = 32  # connections that are accepted before the client connections look at them, at most
-# And at most one in so many of the callers' descriptors: the client connections hear of them three turns
-# later.
-ACCEPTED_OF = 12
-FREED_AT_A_TIME = 4  # idle connections that are closed when the system has no descriptor left
-LEAST_DOOR = 8  # descriptors that callers have at least, beside a predecessor's connections
-ACCEPTED_BY = 0.1  # s for what was accepted to reach its party, before the listener is closed
-MOVE_LIMIT = 1.0  # s in which a link must be ready to go to the successor
-MOVE_AGAIN = 0.005  # s until the next look at one that is not
-WAITING = 1024  # connections that wait in the system to be accepted
-FIRST_WINDOW = 64  # set-ups that may be open on a link, besides one for each that has stood
-OWED_FOR = 30.0  # s such a release is kept
+MAX_PENDING_RELEASES = 20_000  # releases kept for a calling host that has no connection
+ACCEPT_BATCH = 32  # maximum number of connections accepted in one turn of the event loop
+# A batch is at most this fraction (1/n) of the callers' descriptors, because ``ClientConnections`` learns of
+# accepted connections only three turns of the event loop later.
+ACCEPT_BATCH_DIVISOR = 12
+CLOSED_PER_SHORTAGE = 4  # idle connections closed when the system has no descriptor left
+MIN_CALLER_CONNECTIONS = 8  # descriptors reserved for callers while a predecessor still holds connections
+ACCEPT_GRACE = 0.1  # s for accepted connections to reach their calling host before the listener is closed
+MOVE_TIMEOUT = 1.0  # s within which a connection must become ready to move to the successor
+MOVE_POLL_INTERVAL = 0.005  # s between checks whether a connection is ready to move
+LISTEN_BACKLOG = 1024  # connections that may wait in the kernel to be accepted
+INITIAL_WINDOW = 64  # open set-ups allowed on a connection, plus one for each of its calls that was answered
+PENDING_RELEASE_EXPIRY = 30.0  # s that a pending release is kept
 
 
 @dataclass(slots=True)
-class Record:
-    """A call of this party: the link its set-up came on, and whether it has been answered.
+class CallRecord:
+    """A call of this host: the connection on which its set-up arrived, and whether it has been answered.
 
-    ``foreign``: it is the predecessor's, which hears what its caller says of it. ``moved``: its caller's
-    connection is the successor's by now, which passes on what is said of it.
+    ``predecessor_owned``: the predecessor owns the call and is notified of its caller's messages about it.
+    ``moved``: the caller's connection has moved to the successor, which forwards messages about the call.
     """
 
     link: Link | None
     stands: bool = False
-    foreign: bool = False
+    predecessor_owned: bool = False
     moved: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
+    """A caller's connection was accepted."""
+
     link: Link
 
 
 @dataclass(frozen=True, slots=True)
 class Say:
-    """What the dispatcher tells about a call: ``message`` for the caller, ``stands`` if it is an answer.
+    """An outgoing message for the caller of a call; ``stands`` if it is an answer, otherwise it is final.
 
-    ``foreign``: the predecessor says so.
+    ``from_predecessor``: the message comes from the predecessor instead of this process's dispatcher.
     """
 
     call: bytes
     message: bytes
     stands: bool = False
-    foreign: bool = False
+    from_predecessor: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class NoLongerOwed:
+    """A pending release has expired undelivered."""
+
     call: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class MoveOut:
-    """The successor takes this party over."""
+    """Move this host's calls and connections to the successor."""
 
 
 @dataclass(frozen=True, slots=True)
 class MoveLink:
+    """Move one connection to the successor once it is ready; close it if it isn't by ``deadline``."""
+
     link: Link
-    until: float  # loop time
+    deadline: float  # loop time
 
 
 @dataclass(frozen=True, slots=True)
 class MoveIn:
-    """Calls of the predecessor: on a link that it handed over, or on none; releases that it owed."""
+    """Calls taken over from the predecessor, on a connection or on none, and its pending releases."""
 
     frame: MovedLink | MovedCalls
     link: Link | None
@@ -96,19 +103,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LeftHere:
-    """The successor tells that the caller gave up or ended the call, or is gone."""
+    """The successor reports that the caller gave up or released the call, or is gone."""
 
     call: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Orphaned:
-    """The predecessor is gone; its calls that had no answer fail, and nothing more is known of the others."""
+    """The predecessor is gone; its unanswered calls fail, and its standing calls are forgotten."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deserted:
-    """The successor is gone, and with it the connections that it had taken over."""
+    """The successor is gone, and with it the connections that moved to it."""
 
 
 Item = (
@@ -126,51 +133,59 @@
 )
 
 
-class Party:
-    """The actor of one calling party; ``tell`` is the dispatcher's mailbox."""
+class CallingHost:
+    """The actor of one calling host; implements ``Caller``.
+
+    ``notify_dispatcher`` posts to the dispatcher's mailbox; ``unregister`` removes the actor by its host.
+    """
 
     def __init__(
         self,
         host: str,
-        tell: Callable[[Offer | GiveUp | ReleaseIn], None],
-        leave: Callable[[str], None],
+        notify_dispatcher: Callable[[Offer | GiveUp | ReleaseIn], None],
+        unregister: Callable[[str], None],
         client_connections: ClientConnections,
     ) -> None:
-        self.host, self.tell, self.leave, self.client_connections = host, tell, leave, client_connections
+        self.host, self.notify_dispatcher, self.unregister, self.client_connections = (
+            host,
+            notify_dispatcher,
+            unregister,
+            client_connections,
+        )
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
-        self.links: dict[Link, int] = {}  # and how many calls stood that came on it
-        self.records: dict[bytes, Record] = {}
-        self.owed: dict[bytes, bytes] = {}
+        self.links: dict[Link, int] = {}  # value: number of calls set up on the connection that were answered
+        self.records: dict[bytes, CallRecord] = {}
+        self.pending_releases: dict[bytes, bytes] = {}  # release messages to write on the next connection
         self.task = self.loop.create_task(self._run(), name=f"party {host}")
 
     def post(self, item: Item) -> None:
+        """Put an item into the actor's mailbox."""
         self.mailbox.put_nowait(item)
 
     async def _run(self) -> None:
         while True:
             item = await self.mailbox.get()
             try:
-                self._take(item)
+                self._handle(item)
             except Exception:
                 LOG.exception("internal-error", party=self.host, item=type(item).__name__)
                 if isinstance(item, Received):
                     item.link.close(CloseReason.INTERNAL)
             if isinstance(item, Received):
-                item.link.taken()
-            self.client_connections.calls(self.host, bool(self.records or self.owed))
-            if not (self.links or self.records or self.owed) and self.mailbox.empty():
-                self.leave(
-                    self.host
-                )  # nothing is known of the party any more: its next connection starts anew
+                item.link.message_processed()
+            self.client_connections.set_has_calls(self.host, bool(self.records or self.pending_releases))
+            if not (self.links or self.records or self.pending_releases) and self.mailbox.empty():
+                # No state is left for the host; its next connection creates a new actor.
+                self.unregister(self.host)
                 return
 
-    def _take(self, item: Item) -> None:
+    def _handle(self, item: Item) -> None:
         match item:
             case Received():
                 self._received(item)
             case Say():
-                self._say(item)
+                self._deliver(item)
             case Opened(link):
                 self._opened(link)
             case LinkEnded(link):
@@ -184,89 +199,101 @@
             case LeftHere(call):
                 record = self.records.pop(call, None)
                 if record is not None:
-                    self.tell(ReleaseIn(call) if record.stands else GiveUp(call))
+                    self.notify_dispatcher(ReleaseIn(call) if record.stands else GiveUp(call))
             case Orphaned():
-                self._orphaned()
+                self._predecessor_gone()
             case Deserted():
-                self._deserted()
+                self._successor_gone()
             case NoLongerOwed(call):
-                if self.owed.pop(call, None) is not None:
+                if self.pending_releases.pop(call, None) is not None:
                     log_event("release-not-delivered", party=self.host, call=call.hex())
 
-    # ---- links ------------------------------------------------------------------------------------------
+    # ---- connections ------------------------------------------------------------------------------------
 
-    def welcome(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def add_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Add a connection that was just accepted."""
         port = (writer.get_extra_info("peername") or (self.host, 0))[1]
         link = Link(
-            "caller", f"{self.host}:{port}", (reader, writer), self.post, self.client_connections.stall
+            "caller",
+            f"{self.host}:{port}",
+            (reader, writer),
+            self.post,
+            self.client_connections.message_timeout,
         )
         self.post(Opened(link))
-        self.client_connections.arrived(link, self.host)
+        self.client_connections.add(link, self.host)
 
-    def take_over(self, frame: MovedLink, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A link of the predecessor's, with what it had read of a message."""
+    def adopt_connection(
+        self, frame: MovedLink, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Adopt a connection of the predecessor, with the part of a message that it had already read."""
         peer = f"{self.host}:{frame.port}"
-        link = Link("caller", peer, (reader, writer), self.post, self.client_connections.stall, frame.begun)
+        link = Link(
+            "caller", peer, (reader, writer), self.post, self.client_connections.message_timeout, frame.begun
+        )
         self.post(MoveIn(frame, link))
-        self.client_connections.arrived(link, self.host)
+        self.client_connections.add(link, self.host)
 
     def _opened(self, link: Link) -> None:
         self.links[link] = 0
-        for release in self.owed.values():
+        for release in self.pending_releases.values():
             link.write(release)
-        self.owed.clear()
+        self.pending_releases.clear()
 
     def _link_ended(self, link: Link) -> None:
         del self.links[link]
-        self.client_connections.left(link)
+        self.client_connections.remove(link)
         for call, record in [(call, record) for call, record in self.records.items() if record.link is link]:
             if record.stands:
                 record.link = None
             else:
                 del self.records[call]
-                self._end(call, record)
+                self._notify_owner(call, record)
 
-    # ---- what callers say -------------------------------------------------------------------------------
+    # ---- messages from callers --------------------------------------------------------------------------
 
     def _received(self, item: Received) -> None:
         link, message = item.link, item.message
         match message.type:
             case Type.SET_UP:
-                self._set_up(link, message, item.at)
+                self._set_up(link, message, item.received_at)
             case Type.RELEASE:
                 link.write(write_message(Type.RELEASE_HEARD, message.call))
                 record = self.records.pop(message.call, None)
                 if record is None and self.client_connections.predecessor is not None:
-                    self.client_connections.predecessor(Left(self.host, message.call))  # it may stand there
+                    # The call may stand at the predecessor.
+                    self.client_connections.predecessor(Left(self.host, message.call))
                 if record is not None:
-                    self._over(record)
-                    self._end(message.call, record)
+                    self._uncount_standing(record)
+                    self._notify_owner(message.call, record)
                     if not record.stands and record.link is not None:
-                        self.client_connections.ended(record.link, answered=False)
+                        self.client_connections.set_up_ended(record.link, answered=False)
                     elif record.stands:
-                        self.client_connections.of_use(link)
+                        self.client_connections.mark_answered(link)
             case Type.TEST:
-                self.client_connections.of_use(link)
+                self.client_connections.mark_answered(link)
                 passed = b"\x01" if self.client_connections.ready() else b"\0"
                 link.write(write_message(Type.TEST_RESULT, message.call, {Code.CAUSE: passed}))
 
-    def _set_up(self, link: Link, message: Message, at: float) -> None:
+    def _set_up(self, link: Link, message: Message, received_at: float) -> None:
         known = self.records.get(message.call)
         if known is not None and known.link is not None and not known.link.alive and not known.stands:
-            # Sent once more, since its connection was closed as it came: that end is yet to be taken here.
-            self._end(message.call, known)
+            # The caller sent the set-up again because its connection was closed; the LinkEnded of that
+            # connection still waits in the mailbox.
+            self._notify_owner(message.call, known)
         elif known is not None:
-            # Guards against one answer for two set-ups, or two for one: which is whose could not be told.
+            # With one id for two set-ups, their answers could not be distinguished.
             log_event("duplicate-call", party=self.host, call=message.call.hex())
             link.close(CloseReason.DUPLICATE_ID)
             return
         parts = message.parameters
         LOG.debug("set-up", party=self.host, call=message.call.hex(), parameters=parts)
         time_left = parts.get(Code.TIME_LEFT, b"").decode("ascii", "replace")
-        CALL_TRACE.step(message.call, CallStep.RECEIVED, peer=link.peer, at=at, time_left=time_left)
+        CALL_TRACE.step(message.call, CallStep.RECEIVED, peer=link.peer, at=received_at, time_left=time_left)
         try:
             if not any(message.call):
-                raise CodecError("no id")  # servers can't read it and close, whatever else is open there
+                # Servers reject an all-zero id by closing the connection, with all other set-ups on it.
+                raise CodecError("call id is all zeros")
             offer = Offer(
                 caller=self,
                 call=message.call,
@@ -275,62 +302,67 @@
                 description=parts[Code.DESCRIPTION],
                 time_left=read_milliseconds(message.text(Code.TIME_LEFT)),
                 first_choice=read_first_choice(message.text(Code.FIGURES) or ""),
-                at=at,
+                at=received_at,
                 client=link,
             )
         except (KeyError, CodecError) as error:
-            # The message is whole, so the connection stays; the call can't be set up and gets its answer.
+            # The message is well framed, so the connection stays open; only this call is rejected.
             log_event("bad-set-up", party=self.host, call=message.call.hex(), detail=repr(str(error)))
             link.write(write_release(message.call, Cause.INVALID_CONTENTS))
             return
         if time_for_answer(offer.time_left) <= 0.0:
-            # At once: on its way through the mailboxes its time would be over.
+            # Refuse here: the time left would expire while the call passes through the mailboxes.
             CALL_TRACE.step(message.call, CallStep.WRITTEN, stands=False, peer=link.peer)
             link.write(write_release(message.call, Cause.CONGESTION))
             return
-        if self.client_connections.open.get(link, 0) >= FIRST_WINDOW + self.links[link]:
-            # Guards against hundreds of set-ups at once from one that has brought none that stood: a caller's
-            # window grows with what it has set up.
+        if self.client_connections.open.get(link, 0) >= INITIAL_WINDOW + self.links[link]:
+            # Prevents a new connection from opening hundreds of set-ups at once: the window grows with the
+            # number of calls that were answered on it.
             link.write(write_release(message.call, Cause.CONGESTION))
             return
-        self.records[message.call] = Record(link)
-        self.client_connections.opened(link)
-        self.tell(offer)
-
-    def _end(self, call: bytes, record: Record) -> None:
-        """The caller gave the call up, or ended it: its owner hears of it."""
-        CALL_TRACE.step(call, CallStep.CALLER_LEFT, stands=record.stands, foreign=record.foreign)
-        if not record.foreign:
-            self.tell(ReleaseIn(call) if record.stands else GiveUp(call))
+        self.records[message.call] = CallRecord(link)
+        self.client_connections.set_up_opened(link)
+        self.notify_dispatcher(offer)
+
+    def _notify_owner(self, call: bytes, record: CallRecord) -> None:
+        """Notify the owner of the call, dispatcher or predecessor, that the caller gave it up or ended it."""
+        CALL_TRACE.step(call, CallStep.CALLER_LEFT, stands=record.stands, foreign=record.predecessor_owned)
+        if not record.predecessor_owned:
+            self.notify_dispatcher(ReleaseIn(call) if record.stands else GiveUp(call))
         elif self.client_connections.predecessor is not None:
             self.client_connections.predecessor(Left(self.host, call))
 
-    def _over(self, record: Record) -> None:
+    def _uncount_standing(self, record: CallRecord) -> None:
         if record.stands and record.link is not None:
-            self.client_connections.stands(record.link, -1)
+            self.client_connections.change_standing(record.link, -1)
 
-    # ---- what the dispatcher says -----------------------------------------------------------------------
+    # ---- messages from the dispatcher -------------------------------------------------------------------
 
     def answer(self, call: bytes, description: bytes) -> None:
+        """Send the answer with the server's description: the call stands."""
         message = write_message(Type.ANSWER, call, {Code.DESCRIPTION: description})
         self.post(Say(call, message, stands=True))
 
     def refuse(self, call: bytes, hold_off: float) -> None:
+        """Refuse the call with cause congestion; the caller should wait ``hold_off`` ms before a redial."""
         self.post(Say(call, write_release(call, Cause.CONGESTION, hold_off)))
 
     def fail(self, call: bytes) -> None:
+        """Fail the call with cause resource unavailable."""
         self.post(Say(call, write_release(call, Cause.RESOURCE_UNAVAILABLE)))
 
     def release(self, call: bytes, cut: bool) -> None:
+        """Release a standing call; ``cut``: it was lost with its server instead of ended normally."""
         self.post(Say(call, write_release(call, Cause.TEMPORARY_FAILURE if cut else Cause.NORMAL)))
 
-    def _say(self, item: Say) -> None:
+    def _deliver(self, item: Say) -> None:
         record = self.records.get(item.call)
-        if record is None and item.foreign and not item.stands:
-            record = Record(None, stands=True, foreign=True)  # its caller came back after its link had ended
+        if record is None and item.from_predecessor and not item.stands:
+            # The caller reconnected after the connection of its call had closed.
+            record = CallRecord(None, stands=True, predecessor_owned=True)
             self.records[item.call] = record
         if record is None:
-            return  # the caller has left; the dispatcher is being told
+            return  # the caller has left, and the dispatcher has been notified or is about to be
         if record.moved and self.client_connections.successor is not None:
             CALL_TRACE.step(item.call, CallStep.PASSED_ON, stands=item.stands)
             self.client_connections.successor(Said(self.host, item.call, item.message, item.stands), None)
@@ -340,20 +372,21 @@
             return
         link = record.link if record.link is not None and record.link.alive else None
         if item.stands and link is None:
-            # Guards against a call that stands for nobody: its link ended as the answer was on its way.
+            # The connection closed while the answer was in the mailbox: without a caller the call must not
+            # stand.
             CALL_TRACE.step(item.call, CallStep.NO_CONNECTION, stands=item.stands)
             del self.records[item.call]
-            self._end(item.call, record)
+            self._notify_owner(item.call, record)
             return
         if not record.stands and record.link is not None:
-            self.client_connections.ended(record.link, answered=True)
+            self.client_connections.set_up_ended(record.link, answered=True)
         if item.stands and link is not None:
             record.stands = True
             self.links[link] += 1
-            self.client_connections.stands(link, 1)
+            self.client_connections.change_standing(link, 1)
         else:
             del self.records[item.call]
-            self._over(record)
+            self._uncount_standing(record)
         if link is None and record.stands and not item.stands:
             link = next((link for link in reversed(self.links) if link.alive), None)
         step = CallStep.NO_CONNECTION if link is None else CallStep.WRITTEN
@@ -364,37 +397,36 @@
             record.stands
             and not item.stands
             and self.client_connections.successor is not None
-            and not record.foreign
+            and not record.predecessor_owned
         ):
-            self.client_connections.successor(
-                Said(self.host, item.call, item.message, False), None
-            )  # it may come there
+            # The caller may reconnect at the successor.
+            self.client_connections.successor(Said(self.host, item.call, item.message, False), None)
         elif record.stands and not item.stands:
-            self._owe(item.call, item.message)
+            self._keep_release(item.call, item.message)
 
-    def _owe(self, call: bytes, message: bytes) -> None:
-        if len(self.owed) < MOST_OWED:
-            self.owed[call] = message
-            self.loop.call_later(OWED_FOR, self.post, NoLongerOwed(call))
+    def _keep_release(self, call: bytes, message: bytes) -> None:
+        if len(self.pending_releases) < MAX_PENDING_RELEASES:
+            self.pending_releases[call] = message
+            self.loop.call_later(PENDING_RELEASE_EXPIRY, self.post, NoLongerOwed(call))
 
     # ---- upgrade ----------------------------------------------------------------------------------------
 
     def _move_out(self) -> None:
-        """Hand the party over: first what belongs to no link, then each link as soon as it can go."""
+        """Move the host to the successor: calls without a connection at once, then connections."""
         if self.client_connections.successor is None:
             return
-        linkless = {call: record for call, record in self.records.items() if record.link is None}
-        standing = [call for call, record in linkless.items() if record.stands and not record.moved]
-        owed = list(self.owed.items())
-        self.owed.clear()
-        for at in range(0, max(len(standing), len(owed)), MOST_RECORDS):
+        unconnected = {call: record for call, record in self.records.items() if record.link is None}
+        standing = [call for call, record in unconnected.items() if record.stands and not record.moved]
+        pending = list(self.pending_releases.items())
+        self.pending_releases.clear()
+        for at in range(0, max(len(standing), len(pending)), MOST_RECORDS):
             part = slice(at, at + MOST_RECORDS)
             self.client_connections.successor(
-                MovedCalls(self.host, tuple(standing[part]), tuple(owed[part])), None
+                MovedCalls(self.host, tuple(standing[part]), tuple(pending[part])), None
             )
         for call in standing:
             self.records[call].moved = True
-        until = self.loop.time() + MOVE_LIMIT
+        until = self.loop.time() + MOVE_TIMEOUT
         for link in list(self.links):
             self._move_link(MoveLink(link, until))
 
@@ -405,9 +437,10 @@
             return
         link.pause()
         if not link.movable:
-            # Messages that were read are taken here first; a peer that takes no bytes can't go along.
-            if self.loop.time() < item.until:
-                self.loop.call_later(MOVE_AGAIN, self.post, item)
+            # Messages that were read must be processed here first. A connection whose peer doesn't read can't
+            # be moved, because its unsent bytes are buffered in this process.
+            if self.loop.time() < item.deadline:
+                self.loop.call_later(MOVE_POLL_INTERVAL, self.post, item)
             else:
                 link.close(CloseReason.BLOCKED)
             return
@@ -416,7 +449,7 @@
         frame = MovedLink(
             host=self.host,
             port=int(link.peer.rpartition(":")[2]),
-            begun=bytes(link.begun),
+            begun=bytes(link.partial_message),
             mute=link in self.client_connections.mute,
             stood=self.links[link],
             open=tuple(calls[0]),
@@ -431,113 +464,131 @@
         link.hand_over()
 
     def _move_in(self, frame: MovedLink | MovedCalls, link: Link | None) -> None:
-        """Take over what the predecessor handed over; its calls stay its own."""
+        """Take over the host's state from the predecessor, which still owns the calls."""
         for call in frame.standing:
-            self.records[call] = Record(link, stands=True, foreign=True)
+            self.records[call] = CallRecord(link, stands=True, predecessor_owned=True)
         if isinstance(frame, MovedCalls):
             for call, message in frame.owed:
                 if (alive := next((one for one in reversed(self.links) if one.alive), None)) is not None:
                     alive.write(message)
                 else:
-                    self._owe(call, message)
+                    self._keep_release(call, message)
             return
         assert link is not None
         self.links[link] = frame.stood
         for call in frame.open:
             CALL_TRACE.step(call, CallStep.MOVED_IN, peer=link.peer)
-            self.records[call] = Record(link, foreign=True)
-            self.client_connections.opened(link)
-        self.client_connections.stands(link, len(frame.standing))
+            self.records[call] = CallRecord(link, predecessor_owned=True)
+            self.client_connections.set_up_opened(link)
+        self.client_connections.change_standing(link, len(frame.standing))
         if not frame.mute:
-            self.client_connections.of_use(link)
+            self.client_connections.mark_answered(link)
 
-    def _deserted(self) -> None:
-        """Calls that stand have no connection until their callers come back; the others are given up."""
+    def _successor_gone(self) -> None:
+        """Keep moved standing calls, without a connection until their callers reconnect; give up others."""
         for call, record in [(call, record) for call, record in self.records.items() if record.moved]:
             record.moved = False
             if not record.stands:
                 del self.records[call]
-                self._end(call, record)
+                self._notify_owner(call, record)
 
-    def _orphaned(self) -> None:
-        """Guards against calls that nobody answers, once the process that had them is gone."""
-        for call, record in [(call, record) for call, record in self.records.items() if record.foreign]:
+    def _predecessor_gone(self) -> None:
+        """Fail the predecessor's unanswered calls, which nobody else would answer; forget standing ones."""
+        for call, record in [
+            (call, record) for call, record in self.records.items() if record.predecessor_owned
+        ]:
             if record.stands:
                 del self.records[call]
-                self._over(record)
+                self._uncount_standing(record)
             else:
-                self._say(Say(call, write_release(call, Cause.RESOURCE_UNAVAILABLE), foreign=True))
+                self._deliver(
+                    Say(call, write_release(call, Cause.RESOURCE_UNAVAILABLE), from_predecessor=True)
+                )
 
 
 def read_milliseconds(text: str | None) -> float:
+    """Parse a time in ms of at most 9 digits; raises CodecError."""
     if text is None or not text.isdecimal() or len(text) > 9:
-        raise CodecError(f"time left: {text!r}")
+        raise CodecError(f"time left is not a number of ms with at most 9 digits: {text!r}")
     return float(text)
 
 
 class Callers:
-    """The listener: hands each connection to its party's actor."""
+    """The callers' listener and the actors of all calling hosts; passes each connection to its host's actor.
+
+    ``max_connections`` is the number of descriptors that callers may use.
+    """
 
-    def __init__(self, most: int, tell: Callable[[Offer | GiveUp | ReleaseIn], None]) -> None:
-        self.client_connections, self.tell, self.most = ClientConnections(most), tell, most
-        self.parties: dict[str, Party] = {}
+    def __init__(
+        self, max_connections: int, notify_dispatcher: Callable[[Offer | GiveUp | ReleaseIn], None]
+    ) -> None:
+        self.client_connections, self.notify_dispatcher, self.max_connections = (
+            ClientConnections(max_connections),
+            notify_dispatcher,
+            max_connections,
+        )
+        self.calling_hosts: dict[str, CallingHost] = {}
         self.socket: socket.socket | None = None
         self.server: asyncio.Server | None = None
-        self.moving = False  # whether all parties go to the successor
+        self.moving = False  # whether all calling hosts are moving to the successor
 
     def bind(self, address: Address, shared: bool = False) -> None:
         """Bind the listening socket; ``shared``: a second process may bind the same address beside it."""
         self.socket = bound(address, shared)
 
     async def accept(self) -> None:
-        """Accept on the socket that was bound, or taken over."""
+        """Accept connections on the socket that was bound or taken over."""
         if self.socket is None or self.server is not None:
             return
-        # So many are accepted at a time, whatever waits: a flood must not use up the descriptors before the
-        # client connections have closed any. Then the queue of those that wait is made long again. The server
-        # gets a descriptor of its own, so that it can be ended and another begun on the same queue.
+        # asyncio accepts up to ``backlog`` connections in one turn. The limit keeps a flood from using up all
+        # descriptors before ``ClientConnections`` can close any. The kernel's queue is made long again below.
+        # The server gets a duplicate descriptor, so that it can be closed and another one started later on
+        # the same queue.
         self.server = await asyncio.start_server(
             self._accept,
             sock=self.socket.dup(),
-            backlog=max(1, min(ACCEPTED_AT_A_TIME, self.most // ACCEPTED_OF)),
+            backlog=max(1, min(ACCEPT_BATCH, self.max_connections // ACCEPT_BATCH_DIVISOR)),
             limit=MOST_BYTES,
         )
-        self.socket.listen(WAITING)
+        self.socket.listen(LISTEN_BACKLOG)
 
     def addresses(self) -> list[tuple[str, int]]:
+        """Return the host and port of the listening socket; empty if there is none."""
         return [self.socket.getsockname()[:2]] if self.socket is not None else []
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         host = (writer.get_extra_info("peername") or ("unknown", 0))[0]
-        party = self._party(host)
-        party.welcome(reader, writer)
+        calling_host = self._calling_host(host)
+        calling_host.add_connection(reader, writer)
         if self.moving:
-            party.post(MoveOut())
+            calling_host.post(MoveOut())
 
     def make_room(self) -> int:
-        """Close a few connections that are cheapest to lose; how many were."""
-        return self.client_connections.free(FREED_AT_A_TIME)
+        """Close a few of the idle connections that cost least to lose; return how many were closed."""
+        return self.client_connections.close_idle(CLOSED_PER_SHORTAGE)
 
-    def _party(self, host: str) -> Party:
-        if host not in self.parties:
-            self.parties[host] = Party(host, self.tell, self.parties.__delitem__, self.client_connections)
-        return self.parties[host]
+    def _calling_host(self, host: str) -> CallingHost:
+        if host not in self.calling_hosts:
+            self.calling_hosts[host] = CallingHost(
+                host, self.notify_dispatcher, self.calling_hosts.__delitem__, self.client_connections
+            )
+        return self.calling_hosts[host]
 
     def pause(self) -> None:
-        """Accept no more; who connects waits in the queue of the socket, which is kept.
+        """Stop accepting; new connections wait in the queue of the socket, which is kept.
 
-        Guards against the reset of a connection that was accepted in this very turn: asyncio makes its
-        transport a turn later, and can't once the server is closed.
+        The server is closed only after ``ACCEPT_GRACE``: asyncio creates the transport of an accepted
+        connection one turn later, and would reset the connection if the server were closed by then.
         """
         if self.server is not None:
             loop = asyncio.get_running_loop()
             for sock in self.server.sockets:
                 loop.remove_reader(sock.fileno())
-            loop.call_later(ACCEPTED_BY, self.server.close)
+            loop.call_later(ACCEPT_GRACE, self.server.close)
             self.server = None
 
     def close(self) -> None:
-        """Accept no more, and leave the socket (to the successor, if it has it too)."""
+        """Stop accepting and close the socket, which stays open in a successor that has it too."""
         self.pause()
         if self.socket is not None:
             self.socket.close()
@@ -546,57 +597,62 @@
     # ---- upgrade ----------------------------------------------------------------------------------------
 
     def move_out(self) -> None:
-        """Hand all parties over; MovedLink comes for each link as soon as it can go."""
+        """Move all calling hosts to the successor; each connection becomes a MovedLink once ready."""
         self.moving = True
-        for party in list(self.parties.values()):
-            party.post(MoveOut())
+        for calling_host in list(self.calling_hosts.values()):
+            calling_host.post(MoveOut())
 
     async def move_in(self, frame: MovedLink | MovedCalls, descriptor: int | None) -> None:
-        """Take up what the predecessor handed over."""
+        """Take over connections and calls from the predecessor; ``descriptor`` comes with a MovedLink."""
         if isinstance(frame, MovedCalls):
-            self._party(frame.host).post(MoveIn(frame, None))
+            self._calling_host(frame.host).post(MoveIn(frame, None))
             return
         if descriptor is None:
             return
-        self.client_connections.most = min(self.most, self.client_connections.most + 1)
+        self.client_connections.max_connections = min(
+            self.max_connections, self.client_connections.max_connections + 1
+        )
         reader, writer = await asyncio.open_connection(
             sock=socket.socket(fileno=descriptor), limit=MOST_BYTES
         )
-        self._party(frame.host).take_over(frame, reader, writer)
+        self._calling_host(frame.host).adopt_connection(frame, reader, writer)
 
     def said(self, frame: Said) -> None:
-        """The predecessor has something to say to a caller."""
-        if frame.host in self.parties or not frame.stands:
-            say = Say(frame.call, frame.message, frame.stands, foreign=True)
-            self._party(frame.host).post(say)
+        """Deliver a message from the predecessor to a caller."""
+        if frame.host in self.calling_hosts or not frame.stands:
+            say = Say(frame.call, frame.message, frame.stands, from_predecessor=True)
+            self._calling_host(frame.host).post(say)
         elif self.client_connections.predecessor is not None:
             self.client_connections.predecessor(Left(frame.host, frame.call))
 
     def left(self, frame: Left) -> None:
-        """The successor tells what a caller said of a call of this process."""
-        if frame.host in self.parties:
-            self.parties[frame.host].post(LeftHere(frame.call))
+        """Handle the successor's report that a caller gave up or released a call of this process."""
+        if frame.host in self.calling_hosts:
+            self.calling_hosts[frame.host].post(LeftHere(frame.call))
 
     def beside(self, predecessor: Callable[[Left], None], links: int) -> None:
-        """A predecessor is there, with so many links: both together have one budget of descriptors."""
-        self.client_connections.predecessor, self.client_connections.most = (
+        """Register a predecessor with ``links`` connections: both processes share one descriptor budget."""
+        self.client_connections.predecessor, self.client_connections.max_connections = (
             predecessor,
-            max(LEAST_DOOR, self.most - links),
+            max(MIN_CALLER_CONNECTIONS, self.max_connections - links),
         )
 
-    def yield_to(self, successor: Send) -> None:
-        """The successor accepts from now on, this process no more."""
+    def yield_to(self, successor: SendFrame) -> None:
+        """Stop accepting, because ``successor`` accepts from now on."""
         self.pause()
         self.client_connections.successor = successor
 
     def successor_gone(self) -> None:
-        """Connections that it had are over."""
+        """Handle the loss of the successor and of the connections that moved to it."""
         self.client_connections.successor, self.moving = None, False
-        for party in list(self.parties.values()):
-            party.post(Deserted())
+        for calling_host in list(self.calling_hosts.values()):
+            calling_host.post(Deserted())
 
     def orphaned(self) -> None:
-        """The predecessor is gone."""
-        self.client_connections.predecessor, self.client_connections.most = None, self.most
-        for party in list(self.parties.values()):
-            party.post(Orphaned())
+        """Handle the loss of the predecessor: fail its unanswered calls, use the whole descriptor budget."""
+        self.client_connections.predecessor, self.client_connections.max_connections = (
+            None,
+            self.max_connections,
+        )
+        for calling_host in list(self.calling_hosts.values()):
+            calling_host.post(Orphaned())
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -12,7 +12,7 @@
 
 from martentide.codec.messages import Code, Type, write_message
 from tests.net.support import LIMIT, Program, Wire
-from tests.net.test_rules_on_sockets import A, B, stand
+from tests.net.test_rules_on_sockets import A, B, set_up_call
 
 SET_UP: dict[int, bytes] = {
     Code.CLASS: b"voice",
@@ -38,14 +38,14 @@
         idle, caller, open_one = program.caller(), program.caller("127.0.0.2"), program.caller("127.0.0.3")
         server = program.servers[0].accept()
         assert health_check_passes(program) and program.call("GET", READY) == 200
-        stand(caller, server)
+        set_up_call(caller, server)
         open_one.set_up(B)
         server.receive(Type.SET_UP)
         began = time.monotonic()
         assert program.call("POST", OUT) == 200
         assert program.call("GET", READY) == 503 and not health_check_passes(program)
         late = program.caller("127.0.0.4")  # the front still sends for a moment
-        stand(late, server, bytes(7) + b"\1")
+        set_up_call(late, server, bytes(7) + b"\1")
         assert idle.closed() and time.monotonic() - began < 4.0
         server.send(Type.ANSWER, B, {Code.DESCRIPTION: b"x"})
         assert open_one.receive().type == Type.ANSWER
@@ -59,7 +59,7 @@
 def test_set_ups_late_in_a_drain_are_refused_at_once(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         program.call("POST", OUT)
         time.sleep(2.2)  # past the part of a drain in which set-ups are accepted
         caller.set_up(B)
@@ -78,13 +78,13 @@
             and health_check_passes(program)
         )
         time.sleep(2.2)  # past every timer of the ended drain
-        stand(caller, server)
+        set_up_call(caller, server)
 
 
 def test_operator_calls_are_rejected_while_stopping(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         program.terminate()
         program.logged("state=stopping")
         assert program.call("GET", READY) == 503
@@ -106,7 +106,7 @@
                 assert program.call("GET", READY) == 200
                 assert time.monotonic() - began < 1.0
         last = Wire(half[-1])
-        assert last.exactly(12) == b"HTTP/1.1 408"  # an incomplete call gets an answer too
+        assert last.receive_exactly(12) == b"HTTP/1.1 408"  # an incomplete call gets an answer too
         assert program.call("GET", READY) == 200
 
 
@@ -126,7 +126,7 @@
 def test_without_an_operator_address_there_is_no_listener(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
-        stand(caller, server)
+        set_up_call(caller, server)
         assert not [line for line in program.log if "operator" in line]
 
 
@@ -162,9 +162,9 @@
 
 def test_invalid_file_is_rejected_and_the_last_valid_one_stays_in_force(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
-        board = program.board.accept()
+        board = program.discovery.accept()
         good = changed_settings(program)
-        bad = good.replace(f":{program.board.port}", ":9")
+        bad = good.replace(f":{program.discovery.port}", ":9")
         program.reload(bad.replace('"max_attempts": 5', '"max_attempts": 0'))
         program.logged(
             "reload-failed detail='settings: limits.max_attempts: expected a whole number .*, found 0'"
@@ -177,8 +177,8 @@
         program.logged("reloaded .*revision=1 settings=changed")
         program.reload(good)
         program.logged("reloaded .*revision=1 settings=same")
-        board.exactly(8)
-        stand(program.caller(), program.servers[0].accept())
+        board.receive_exactly(8)
+        set_up_call(program.caller(), program.servers[0].accept())
 
 
 def test_slow_callers_and_the_operator_are_served_among_many_incomplete_set_ups(tmp_path: Path) -> None:
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -15,11 +15,11 @@
 
 from martentide.codec.messages import Code, Type, write_message
 from martentide.handover.wire import Hello, Left, write_frame
-from martentide.net.callers import LEAST_DOOR, Callers
+from martentide.net.callers import MIN_CALLER_CONNECTIONS, Callers
 from martentide.net.config import Address
 from martentide.net.handover import MAX_RECEIVED_FRAMES, Channel
 from tests.net.support import LIMIT, ROOT, Program, Wire
-from tests.net.test_rules_on_sockets import A, B, stand
+from tests.net.test_rules_on_sockets import A, B, set_up_call
 
 PROGRESS = 6
 C = bytes.fromhex("00000000000000c3")
@@ -27,7 +27,7 @@
 
 @contextmanager
 def upgrade(old: Program) -> Iterator[Program]:
-    new = old.beside()
+    new = old.start_successor()
     try:
         yield new
     finally:
@@ -57,7 +57,7 @@
     with Program(tmp_path, operated=True) as old:
         caller, other, partial = old.caller(), old.caller("127.0.0.2"), old.caller("127.0.0.3")
         server = old.servers[0].accept()
-        stand(caller, server, A)
+        set_up_call(caller, server, A)
         other.set_up(B)
         server.receive(Type.SET_UP)
         server.send(PROGRESS, B)  # otherwise a second connection is opened beside a silent one
@@ -76,7 +76,7 @@
             server.release(A, 16)
             assert (over := caller.receive()).type == Type.RELEASE and over.call == A
             fresh = old.servers[0].accept()
-            stand(caller, fresh, C)  # the new process handles a new call on the same connection
+            set_up_call(caller, fresh, C)  # the new process handles a new call on the same connection
             other.release(B, 16)  # release of the old process's call through the new process
             assert server.receive(Type.RELEASE).call == B
             assert old.process.wait(LIMIT) == 0  # all calls are over, so it ends early
@@ -92,18 +92,18 @@
         with upgrade(old) as new:
             fresh = old.servers[0].accept()
             after = new.caller("127.0.0.2")
-            stand(after, fresh, A)
-            stand(before, server, B)  # the old process, not told to end yet, keeps its own connections
+            set_up_call(after, fresh, A)
+            set_up_call(before, server, B)  # the old process, not told to end yet, keeps its own connections
 
 
 def test_predecessor_resumes_after_its_successor_dies(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
-        stand(caller, server, A)
+        set_up_call(caller, server, A)
         with upgrade(old) as new:
             new.kill()
             old.logged("step=accepting-again")
-        stand(old.caller("127.0.0.2"), server, B)
+        set_up_call(old.caller("127.0.0.2"), server, B)
         with upgrade(old) as new:  # a later successor finds the process again
             old.logged("step=yielded")
             assert new.call("GET", "/control/ready") == 200
@@ -116,7 +116,7 @@
             new.terminate()
             old.logged("step=accepting-again")
             assert new.process.wait(LIMIT) == 0
-            stand(old.caller(), server, A)
+            set_up_call(old.caller(), server, A)
 
 
 def test_calls_of_a_predecessor_killed_during_handover_are_answered(tmp_path: Path) -> None:
@@ -137,7 +137,7 @@
 def test_consecutive_upgrades_and_rejection_of_a_third_process(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as first:
         caller, server = first.caller(), first.servers[0].accept()
-        stand(caller, server, A)
+        set_up_call(caller, server, A)
         with upgrade(first) as second:
             third = subprocess.run(
                 [sys.executable, "-B", "-m", "martentide", "serve", "--config", str(first.config)],
@@ -161,7 +161,7 @@
 def test_upgrade_during_a_drain_ends_in_service(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
-        stand(caller, server, A)
+        set_up_call(caller, server, A)
         old.call("POST", "/control/out-of-service")
         with upgrade(old) as new:
             assert new.call("GET", "/control/ready") == 200
@@ -182,7 +182,7 @@
     else:
         path.mkdir()
     with Program(tmp_path, operated=True) as program:
-        stand(program.caller(), program.servers[0].accept())
+        set_up_call(program.caller(), program.servers[0].accept())
     assert kind != "foreign" or path.read_bytes() == b"not ours"
 
 
@@ -191,7 +191,7 @@
     if name != "missing":
         (tmp_path / name).mkdir()
     with Program(tmp_path, operated=True, temporary=tmp_path / name) as program:
-        stand(program.caller(), program.servers[0].accept())
+        set_up_call(program.caller(), program.servers[0].accept())
 
 
 def test_another_version_is_rejected(tmp_path: Path) -> None:
@@ -202,18 +202,18 @@
             stranger.connect(str(path))
             stranger.send(write_frame(Hello(99, "n0", "127.0.0.1:0")))
             assert b"version" in stranger.recv(1024) and stranger.recv(1024) == b""
-        stand(program.caller(), program.servers[0].accept())
+        set_up_call(program.caller(), program.servers[0].accept())
 
 
 def test_both_processes_share_one_limit_of_descriptors() -> None:
     async def scenario() -> None:
         callers = Callers(100, lambda item: None)
         callers.beside(lambda left: None, 70)
-        assert callers.client_connections.most == 30
+        assert callers.client_connections.max_connections == 30
         callers.beside(lambda left: None, 99)
-        assert callers.client_connections.most == LEAST_DOOR
+        assert callers.client_connections.max_connections == MIN_CALLER_CONNECTIONS
         callers.orphaned()
-        assert callers.client_connections.most == 100
+        assert callers.client_connections.max_connections == 100
 
     asyncio.run(scenario())
 
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -19,11 +19,11 @@
 from martentide.net.callers import Callers
 from martentide.net.client_connections import ClientConnections
 from martentide.net.close_reason import CloseReason
-from martentide.net.dispatcher import ANSWER_AHEAD
+from martentide.net.dispatcher import ANSWER_MARGIN
 from martentide.net.links import Link
 from tests.net.support import LIMIT, Program, Wire
-from tests.net.test_gone_clients import GOES, A, B
-from tests.net.test_rules_on_sockets import stand
+from tests.net.test_gone_clients import WAYS_TO_LEAVE, A, B
+from tests.net.test_rules_on_sockets import set_up_call
 
 TIME_LEFT = 2000  # ms that callers wait for a final answer
 PROGRESS = 6
@@ -32,7 +32,7 @@
 
 @contextmanager
 def upgrade(old: Program) -> Iterator[Program]:
-    new = old.beside()
+    new = old.start_successor()
     try:
         yield new
     finally:
@@ -57,7 +57,7 @@
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A, left=TIME_LEFT)
-        assert time_left_sent(server.receive(Type.SET_UP)) <= TIME_LEFT - ANSWER_AHEAD
+        assert time_left_sent(server.receive(Type.SET_UP)) <= TIME_LEFT - ANSWER_MARGIN
         assert_released(caller, A)
 
 
@@ -66,7 +66,7 @@
     with Program(tmp_path, operated=True) as old:
         moved, server = old.caller(), old.servers[0].accept()
         moved.set_up(A, left=TIME_LEFT)
-        assert time_left_sent(server.receive(Type.SET_UP)) <= TIME_LEFT - ANSWER_AHEAD
+        assert time_left_sent(server.receive(Type.SET_UP)) <= TIME_LEFT - ANSWER_MARGIN
         with upgrade(old):
             old.terminate()
             old.logged("reason=handed-over")
@@ -79,7 +79,7 @@
                     break
                 except TimeoutError:
                     fresh = old.servers[0].accept()
-            assert set_up.call == B and time_left_sent(set_up) <= TIME_LEFT - ANSWER_AHEAD
+            assert set_up.call == B and time_left_sent(set_up) <= TIME_LEFT - ANSWER_MARGIN
             assert_released(moved, A)
             assert_released(moved, B)
 
@@ -87,9 +87,9 @@
 # ---- the caller -----------------------------------------------------------------------------------------
 
 
-@GOES
+@WAYS_TO_LEAVE
 def test_caller_gone_at_the_successor_cancels_its_attempt(
-    tmp_path: Path, goes: Callable[[Wire], None]
+    tmp_path: Path, leave: Callable[[Wire], None]
 ) -> None:
     with Program(tmp_path, operated=True) as old:
         caller, server = old.caller(), old.servers[0].accept()
@@ -99,14 +99,14 @@
         with upgrade(old):
             old.terminate()
             old.logged("reason=handed-over")
-            goes(caller)
+            leave(caller)
             assert server.receive(Type.RELEASE).call == A
             assert old.process.wait(LIMIT) == 0
 
 
-@GOES
+@WAYS_TO_LEAVE
 def test_caller_gone_in_the_loop_iteration_of_the_handover_cancels_its_attempt(
-    tmp_path: Path, goes: Callable[[Wire], None]
+    tmp_path: Path, leave: Callable[[Wire], None]
 ) -> None:
     """The end of the connection and SIGTERM arrive while the old process is stopped, in either order."""
     with Program(tmp_path, operated=True) as old:
@@ -116,7 +116,7 @@
         server.send(PROGRESS, A)
         with upgrade(old):
             with old.stopped():
-                goes(caller)
+                leave(caller)
                 old.terminate()
             assert server.receive(Type.RELEASE).call == A
             assert old.process.wait(LIMIT) == 0
@@ -143,7 +143,7 @@
         peer.setblocking(False)
         await asyncio.get_running_loop().sock_connect(peer, self.server.sockets[0].getsockname())
         self.reader, self.writer = await asyncio.open_connection(sock=peer, limit=1)
-        self.callers._party("127.0.0.1").welcome(*await accepted)
+        self.callers._calling_host("127.0.0.1").add_connection(*await accepted)
         await self.wait_until(lambda: bool(self.client_connections.open))
         return self
 
@@ -152,7 +152,7 @@
         self.server.close()
         for link in list(self.client_connections.open):
             link.close(CloseReason.SHUTDOWN)
-        await self.wait_until(lambda: not self.callers.parties)
+        await self.wait_until(lambda: not self.callers.calling_hosts)
 
     @property
     def client_connections(self) -> ClientConnections:
@@ -203,7 +203,7 @@
                 link.pause()
                 give_up = write_release(A, Cause.NORMAL)
                 client.writer.write(give_up)
-                await client.wait_until(lambda: link._in_the_system() == len(give_up))
+                await client.wait_until(lambda: link._kernel_buffered_bytes() == len(give_up))
                 client.move_out()
                 await client.wait_until(lambda: bool(client.moved_frames))
                 assert client.moved_frames[0].begun == b"" and not client.posted
@@ -220,11 +220,11 @@
 def start_successor_at(old: Program, step: str) -> Program:
     """Start a second process and return once the first one has reached that step of the handover."""
     if step in ("moving", "handed-over"):
-        new = old.beside()
+        new = old.start_successor()
         old.terminate()
         old.logged(step)
         return new
-    process = old.beside()
+    process = old.start_successor()
     old.logged(f"step={step}")
     return process
 
@@ -276,7 +276,7 @@
     """A connection made while both processes are stopped is accepted by one of them afterwards."""
     with Program(tmp_path, operated=True) as old:
         server = old.servers[0].accept()
-        stand(old.caller(), server, A)
+        set_up_call(old.caller(), server, A)
         with upgrade(old) as new:
             with old.stopped(), new.stopped():
                 caller = old.caller("127.0.0.2")
