--- a/martentide/overload/core.py
+++ b/martentide/overload/core.py
@@ -51,7 +51,7 @@
     read_load,
     write_load,
 )
-from martentide.rules import FULL_HOLD_BACK, LEVELS, LINK_LAG, LINK_NOISE
+from martentide.rules import FULL_HOLD_BACK, HOLD_BACK_LEVELS, MAX_NETWORK_LAG, NETWORK_JITTER
 
 WORDS_S = 10.0  # words a second that all members together say while there is pressure
 QUIET_WORDS_S = 0.5  # and in calm
@@ -167,7 +167,7 @@
                 self.stood.add(now)
                 least, seen = self.least.get(server, (delay, 0))
                 self.least[server] = (min(delay, least), seen + 1)
-                wait = max(0.0, delay - self._unpressed(server) * (1.0 + LINK_NOISE))
+                wait = max(0.0, delay - self._unpressed(server) * (1.0 + NETWORK_JITTER))
                 self._saw(server, self._level(wait), now - wait)  # a wait that is over tells of its begin
             case AttemptEnded(server=server, ending=Ending.TIMED_OUT, lag=lag):
                 self._saw(server, self._level(lag), now - lag)
@@ -192,11 +192,11 @@
     def _unpressed(self, server: str) -> float:
         """ms to an answer without a line: the least seen there, or of a server of which little was seen, the
         least seen anywhere. Else the first answer of a line would be taken for one without."""
-        least, seen = self.least.get(server, (LINK_LAG, 0))
+        least, seen = self.least.get(server, (MAX_NETWORK_LAG, 0))
         return least if seen >= SEEN_ENOUGH else min(one for one, _ in [(least, 0), *self.least.values()])
 
     def _level(self, wait: float) -> float:
-        return max((share for bound, share in LEVELS if wait >= bound * self.tolerable), default=0.0)
+        return max((share for bound, share in HOLD_BACK_LEVELS if wait >= bound * self.tolerable), default=0.0)
 
     # ---- one look -----------------------------------------------------------------------------------------
 
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -26,7 +26,7 @@
 from martentide.learned.schema import ServerState as Saved
 from martentide.learned.snapshot import SLICE, Snapshots, take
 from martentide.overload import slow_start
-from martentide.rules import BOUND_FLOOR, IMAGE_LIFE, Server
+from martentide.rules import BOUND_FLOOR, IMAGE_LIFETIME, Server
 from tests.support import SETTINGS, Bench, entry, sends
 
 PRINT = fingerprint(SETTINGS)
@@ -298,11 +298,11 @@
 
 
 def test_an_image_lapses_by_its_report_and_a_way_is_forgotten_slowly() -> None:
-    image = ImageState(0.8, 2.0, NOW + IMAGE_LIFE, NOW)
+    image = ImageState(0.8, 2.0, NOW + IMAGE_LIFETIME, NOW)
     assert aged_image(image, 0.0, NOW) == image
     later = aged_image(image, 1500.0, NOW + 1500.0)
     assert later is not None and later.hold_back == pytest.approx(0.4) and later.rate == pytest.approx(6.0)
-    assert aged_image(image, 0.0, NOW + IMAGE_LIFE) is None
+    assert aged_image(image, 0.0, NOW + IMAGE_LIFETIME) is None
     assert least_lag(20.0, 600_000.0) == pytest.approx(40.0) and least_lag(20.0, 1e9) is None
 
 
@@ -337,8 +337,8 @@
     before.press("s0", 0.9)
     fresh, counts, _ = restarted(before, 300.0)
     image = fresh.controller.servers["s0"].image
-    assert counts.images == 1 and image is not None and image.expires == before.now + IMAGE_LIFE
-    assert restarted(before, IMAGE_LIFE + 1.0)[1].images == 0
+    assert counts.images == 1 and image is not None and image.expires == before.now + IMAGE_LIFETIME
+    assert restarted(before, IMAGE_LIFETIME + 1.0)[1].images == 0
     assert all(server.image is None for name, server in fresh.controller.servers.items() if name != "s0")
 
 
@@ -355,7 +355,7 @@
             for life in range(6):
                 fresh = Bench(servers=0, now=begun + life * 2000.0, seed=100 * play + life)
                 fresh.controller.servers.clear()
-                fresh.controller._add(fresh.now, cold)
+                fresh.controller._add_server(fresh.now, cold)
                 if keep and life:
                     state = age_state(take(bench.controller, bench.now), fresh.now)
                     restore(fresh.controller, state, fresh.now, random.Random(100 * play + life))
@@ -374,8 +374,8 @@
     before.press("s0", 0.9)
     state = age_state(take(before.controller, before.now), before.now)
     fresh = Bench(servers=0, now=before.now)
-    fresh.controller._add(fresh.now, entry("s0", 0, started=before.now - 10.0))
-    fresh.controller._add(fresh.now, entry("s9", 9))
+    fresh.controller._add_server(fresh.now, entry("s0", 0, started=before.now - 10.0))
+    fresh.controller._add_server(fresh.now, entry("s9", 9))
     counts, _ = restore(fresh.controller, state, fresh.now, random.Random(1))
     assert (counts.servers, counts.restarted, counts.unknown) == (0, 1, 2)
     assert fresh.controller.servers["s0"].image is None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -119,7 +119,7 @@
     bench = one_of(proxies)
     bench.press("s0", 0.99)
     image = bench.controller.servers["s0"].image
-    assert image is not None and image.rate * proxies == pytest.approx(rules.FEW * rules.BOUND_FLOOR)
+    assert image is not None and image.rate * proxies == pytest.approx(rules.SMALL_FLEET * rules.BOUND_FLOOR)
 
 
 def test_a_tightened_image_keeps_only_part_of_its_bucket() -> None:
@@ -138,7 +138,7 @@
         bench.press("s0", share)
         bench.advance(500.0)
     image = bench.controller.servers["s0"].image
-    assert image is not None and image.hold_back <= rules.MOST_HELD_BACK and image.rate > 0.0
+    assert image is not None and image.hold_back <= rules.MAX_HOLD_BACK and image.rate > 0.0
 
 
 def test_what_is_unanswered_at_all_servers_is_bounded_in_a_large_fleet() -> None:
@@ -151,7 +151,7 @@
 def test_a_redrawn_call_counts_as_offered_at_the_first_server_and_where_it_goes() -> None:
     bench = one_of(3000)
     servers = bench.controller.servers
-    servers["s0"].lines_due = servers["s1"].lines_due = bench.now + 1000.0
+    servers["s0"].lines_paused_until = servers["s1"].lines_paused_until = bench.now + 1000.0
     [send] = sends(bench.offer(first=0))
     assert send.server == "s2"
     assert [len(servers[name].offered) for name in ("s0", "s1", "s2")] == [1, 0, 1]
@@ -169,11 +169,11 @@
 
 
 def test_a_large_fleet_tells_few_peers_and_small_ones_all() -> None:
-    for proxies, told in ((4, 3), (300, rules.PEERS_TOLD)):
+    for proxies, told in ((4, 3), (300, rules.GOSSIP_FANOUT)):
         bench = one_of(proxies, may_tell_peers=True)
         [send] = sends(bench.offer())
         bench.stand(send)
-        got = [action for action in bench.advance(rules.PEER_GAP) if isinstance(action, TellPeer)]
+        got = [action for action in bench.advance(rules.GOSSIP_INTERVAL) if isinstance(action, TellPeer)]
         assert len({action.peer for action in got}) == len(got) == told
         assert bench.settings.own_slot not in {action.peer for action in got}
 
@@ -182,10 +182,10 @@
     bench = one_of(300, may_tell_peers=True)
     bench.feed(PeerMessage(7, bytes([1, 0, 60])))
     assert bench.controller.servers["s1"].image is not None
-    got = [action for action in bench.advance(rules.PEER_GAP) if isinstance(action, TellPeer)]
+    got = [action for action in bench.advance(rules.GOSSIP_INTERVAL) if isinstance(action, TellPeer)]
     assert got and all(action.body[0] == 1 and action.body[2] == 60 for action in got)
-    bench.advance(rules.OLD_NEWS)
-    assert not [action for action in bench.advance(rules.PEER_GAP) if isinstance(action, TellPeer)]
+    bench.advance(rules.WAIT_MAX_AGE)
+    assert not [action for action in bench.advance(rules.GOSSIP_INTERVAL) if isinstance(action, TellPeer)]
 
 
 @pytest.mark.parametrize("body", [b"", b"\x01", b"\x01\x02", b"\x01\x02\x03\x04", b"\xff\xff\xff"])
@@ -194,7 +194,7 @@
     for sender in (-1, 7, 300):
         bench.feed(PeerMessage(sender, body))
     assert all(
-        server.image is None and server.news_at is None for server in bench.controller.servers.values()
+        server.image is None and server.seen_at is None for server in bench.controller.servers.values()
     )
 
 
@@ -203,18 +203,18 @@
     for seed in range(200):
         bench = Bench(settings=replace(SETTINGS, proxies=200), servers=1, seed=seed)
         server = bench.controller.servers["s0"]
-        server.lines_due = bench.now + 5000.0
+        server.lines_paused_until = bench.now + 5000.0
         bench.feed(ProbeEnded("s0", Ending.DELIVERED, True, 0.0, Report(50.0, None, None)))
-        ended += server.lines_due <= bench.now
+        ended += server.lines_paused_until <= bench.now
     assert 30 <= ended <= 70
 
 
 def test_timers_run_only_while_calls_wait() -> None:
     bench = one_of(6)
     quiet = [action for action in bench.advance(10_000.0) if isinstance(action, SetTimer)]
-    assert len(quiet) == 10_000.0 / rules.CARE_GAP
+    assert len(quiet) == 10_000.0 / rules.MAINTENANCE_PERIOD
     bench.controller.servers.clear()
-    assert SetTimer(rules.TICK_TOKEN, bench.controller.tick) in bench.offer()
+    assert SetTimer(rules.TICK_TOKEN, bench.controller.tick_interval) in bench.offer()
 
 
 def test_probes_of_all_proxies_grow_with_the_root_of_the_fleet() -> None:
@@ -223,7 +223,7 @@
         bench = one_of(proxies, may_probe=True, report_by=ReportBy.PROBES)
         asked = 0
         for _ in range(240):
-            for action in bench.advance(rules.CARE_GAP):
+            for action in bench.advance(rules.MAINTENANCE_PERIOD):
                 if isinstance(action, Probe):
                     asked += 1
                     bench.feed(ProbeEnded(action.server, Ending.DELIVERED, False, 10.0, None))
@@ -237,7 +237,7 @@
     [send] = sends(bench.offer())
     bench.end(send.ref, send.server, Ending.TIMED_OUT)
     assert bench.controller.servers[send.server].suspect
-    asked = [action for action in bench.advance(rules.CARE_GAP) if isinstance(action, Probe)]
+    asked = [action for action in bench.advance(rules.MAINTENANCE_PERIOD) if isinstance(action, Probe)]
     assert asked == [Probe(send.server)]
     bench.feed(ProbeEnded(send.server, Ending.DELIVERED, False, 10.0, None))
     later = [action for action in bench.advance(30_000.0) if isinstance(action, Probe)]
@@ -247,7 +247,7 @@
 def test_the_window_of_one_that_serves_more_is_wider() -> None:
     def out(pace: float) -> int:
         bench = Bench(settings=replace(SETTINGS, proxies=200), servers=24)
-        bench.controller.pace = pace  # set-ups/s of a server of size 1
+        bench.controller.throughput = pace  # set-ups/s of a server of size 1
         return sum(len(sends(bench.offer(first=at % 24))) for at in range(40))
 
     light, heavy = out(0.1), out(2.0)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -146,7 +146,7 @@
         seen.see(bench.feed(PeerMessage(pick, bytes([pick]) * (pick % 9))))
     else:
         for _ in range(1 + pick % 8):
-            end = bench.now + bench.controller.tick
+            end = bench.now + bench.controller.tick_interval
             out = [(call.deadline, ref) for ref, call in seen.calls.items() if call.out]
             for deadline, ref in sorted(item for item in out if item[0] <= end):
                 bench.now = max(bench.now, deadline)  # a time-out cut to the caller's time comes with it
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -79,8 +79,8 @@
     bench.press("s0", 0.9)
     image = bench.controller.servers["s0"].image
     assert image is not None
-    assert image.expires == bench.now + rules.IMAGE_LIFE
-    bench.advance(rules.IMAGE_LIFE + 1.0)
+    assert image.expires == bench.now + rules.IMAGE_LIFETIME
+    bench.advance(rules.IMAGE_LIFETIME + 1.0)
     assert len(steady(bench, 10, gap=100.0)) == 10
 
 
@@ -108,8 +108,10 @@
 @pytest.mark.parametrize("wait", [0.0, 60.0, 125.0, 250.0, 400.0, 600.0, 5000.0])
 def test_level_table_rises_with_the_wait(wait: float) -> None:
     controller = Bench().controller
-    assert controller._level(wait) <= controller._level(wait + 50.0) < 1.0
-    assert (controller._level(wait) > 0) == (wait >= rules.LEVELS[0][0] * controller.tolerable)
+    assert controller._hold_back_for(wait) <= controller._hold_back_for(wait + 50.0) < 1.0
+    assert (controller._hold_back_for(wait) > 0) == (
+        wait >= rules.HOLD_BACK_LEVELS[0][0] * controller.tolerable
+    )
 
 
 def test_a_wait_alone_makes_an_image() -> None:
@@ -289,7 +291,7 @@
 def test_nothing_is_added_while_a_set_up_stays_unanswered() -> None:
     bench = Bench(servers=1)
     assert sends(bench.offer())
-    bench.advance(rules.UNANSWERED * bench.controller.tolerable + 60.0)
+    bench.advance(rules.UNANSWERED_SHARE * bench.controller.tolerable + 60.0)
     assert sends(bench.offer())  # one more tells whether the first was lost
     assert not sends(bench.offer())
 
@@ -300,7 +302,7 @@
     bench.stand(send, delay=400.0)
     sent = sends(bench.advance(700.0) + bench.offer(name="urgent"))
     assert len(sent) == 1
-    bench.advance(rules.UNANSWERED * bench.controller.tolerable + 60.0)
+    bench.advance(rules.UNANSWERED_SHARE * bench.controller.tolerable + 60.0)
     assert not sends(bench.offer(name="urgent"))
 
 
@@ -337,7 +339,9 @@
         for action in bench.offer()
         if isinstance(action, SetTimer) and action.token == rules.TICK_TOKEN
     ]
-    assert tick.delay == pytest.approx(rules.TICK * rules.TOLERABLE_OF_AIM * 300.0 / rules.TRIALS_FOR)
+    assert tick.delay == pytest.approx(
+        rules.TICK * rules.TOLERABLE_SHARE_OF_AIM * 300.0 / rules.TRIAL_REFERENCE_WAIT
+    )
 
 
 def test_answers_without_a_wait_ease_an_earlier_asked_share() -> None:
@@ -348,7 +352,7 @@
         bench.offer(first=0, name="urgent")
         bench.stand(SendSetUp(bench.ref, "s0", 1.0))
     image = bench.controller.servers["s0"].image
-    assert image is not None and image.hold_back == pytest.approx(0.7 * rules.QUICK_EASE**10)
+    assert image is not None and image.hold_back == pytest.approx(0.7 * rules.HOLD_BACK_DECAY**10)
 
 
 def test_one_stray_error_does_not_make_a_server_suspect() -> None:
@@ -380,7 +384,7 @@
             attempts[send.ref] += 1
     gaps = [later - earlier for earlier, later in pairwise(trials)]
     assert 7 <= len(trials) <= 14
-    assert gaps[-1] > gaps[0] and gaps[-1] <= rules.LONGEST_TRIAL_GAP + rules.TRIAL_SPREAD + 100.0
+    assert gaps[-1] > gaps[0] and gaps[-1] <= rules.MAX_TRIAL_GAP + rules.TRIAL_SPREAD + 100.0
 
 
 def test_a_suspect_server_is_tried_by_a_call_only_after_a_probe_came_back() -> None:
@@ -437,7 +441,7 @@
     [send] = sends(bench.offer())
     bench.end(send.ref, "s0", Ending.UNREACHABLE)
     server = bench.controller.servers["s0"]
-    server.suspect_from = bench.now - rules.LONG_SILENCE - 1.0
+    server.suspect_from = bench.now - rules.COLD_AFTER_SILENCE - 1.0
     bench.feed(Stands(77, 0, "s0", 40.0))
     assert server.cold_from == bench.now and not server.suspect
 
@@ -450,7 +454,7 @@
     [later] = sends(bench.offer())
     assert CancelAttempt(lost.ref, 0) in bench.stand(later)
     server = bench.controller.servers["s0"]
-    assert not server.out
+    assert not server.unanswered
     bench.end(lost.ref, "s0", Ending.CANCELLED)
     assert not server.suspect
     again = sends(bench.advance(SETTINGS.release + 50.0))
@@ -492,9 +496,9 @@
     first = bench.now
     bench.advance(600.0)
     bench.offer(number="n1")
-    assert [call.began for call in bench.controller.calls.values()] == [first]
+    assert [call.first_tried_at for call in bench.controller.calls.values()] == [first]
     bench.offer(number="n2")
-    assert bench.controller.calls[bench.ref].began == bench.now
+    assert bench.controller.calls[bench.ref].first_tried_at == bench.now
 
 
 # ---- restart, probes, odd input -------------------------------------------------------------------------
@@ -593,7 +597,7 @@
     bench.end(send.ref, "s0", Ending.TIMED_OUT)
     server = bench.controller.servers["s0"]
     assert server.suspect
-    scale = bench.controller.tolerable / rules.TRIALS_FOR
+    scale = bench.controller.tolerable / rules.TRIAL_REFERENCE_WAIT
     assert scale < 0.5
     assert server.trial_due - bench.now <= (rules.TRIAL_GAP + rules.TRIAL_SPREAD) * scale
 
@@ -602,7 +606,7 @@
     """Guards against a look that takes longer than the held calls have."""
     bench = Bench(servers=1)
     bench.press("s0", 0.98)
-    first = [bench.offer() for _ in range(3 * rules.MOST_TRIED)]
+    first = [bench.offer() for _ in range(3 * rules.MAX_HELD_CALLS_PER_TICK)]
     held = bench.ref - sum(bool(sends(actions)) for actions in first)
     tried = 0
     route = bench.controller._route
@@ -614,6 +618,6 @@
 
     bench.controller._route = counted  # type: ignore[method-assign]
     got = bench.advance(60.0)
-    assert 0 < tried <= 2 * rules.MOST_TRIED and not finals(got)
+    assert 0 < tried <= 2 * rules.MAX_HELD_CALLS_PER_TICK and not finals(got)
     got += bench.advance(2000.0)
     assert len(finals(got)) + len(sends(got)) == held, "each is sent or answered once"
