--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -56,16 +56,16 @@
 def test_every_learned_field_is_kept_or_not_for_a_reason() -> None:
     told = {
         "settings",
-        "random",
+        "rng",
         "classes",
         "top_worth",
         "tolerable",
         "trial_scale",
-        "tick",
-        "window",
-        "part",
+        "tick_interval",
+        "offered_window",
+        "scale",
     }
-    loop = {"actions", "ticking", "tenants_due", "peers_due", "servers"}
+    loop = {"actions", "tick_scheduled", "tenants_due", "gossip_due", "servers"}
     assert set(SERVER_FIELDS) == {field.name for field in dataclasses.fields(Server)}
     assert set(CONTROLLER_FIELDS) == set(vars(Bench().controller)) - told - loop
     kept = {name for name, field in SERVER_FIELDS.items() if field.kept}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -91,7 +91,7 @@
 def test_a_whole_first_token_for_each_proxy_would_push_it_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """The check above can fail: with a first token that waits for each proxy, 240 of them break the limit."""
     monkeypatch.setattr(slow_start, "refilled", saturated)
-    monkeypatch.setattr(rules.Controller, "_cool", cool_with_a_token)
+    monkeypatch.setattr(rules.Controller, "_mark_cold", cool_with_a_token)
     seen = sent_to_cold(240)
     limit = SETTINGS.fall_multiple * SETTINGS.cold_share * RATE * SETTINGS.fall_time / 1000.0
     assert sum(1 for at in seen if at < seen[0] + SETTINGS.fall_time) > limit
