--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -19,7 +19,7 @@
 
 import click
 
-from martentide.overload.core import PARTS
+from martentide.overload.core import ABLATION_PARTS
 from martentide.settings import settings_from
 from martentide_lab.fleet.rig import Rig
 from martentide_lab.fleet.simulated import SimulatedFleet
@@ -151,7 +151,7 @@
     machines = [Processor(f"s{at}", at, RATE) for at in range(servers)]
     site = Site(settings, proxies, machines, seed)
     if variant != "alone":
-        without = frozenset({variant.removeprefix("without-")} & set(PARTS))
+        without = frozenset({variant.removeprefix("without-")} & set(ABLATION_PARTS))
         site.join(SimulatedFleet(proxies, seed, wire=False), sheds=variant != "duty", without=without)
     planned = USE * RATE * servers
     site.offer(1000 * END, planned, SHARES)
@@ -246,7 +246,7 @@
             plays = [simulated(int(size), 8, variant, seed) for seed in range(1, count + 1)]
             found = result[f"simulated-{size}-{variant}"] = summary(*zip(*plays, strict=True))
             print(json.dumps({"size": size, "variant": variant, **found}), flush=True)
-    for part in PARTS if parts else ():
+    for part in ABLATION_PARTS if parts else ():
         plays = [simulated(parts, 8, f"without-{part}", seed) for seed in range(1, 6)]
         found = result[f"simulated-{parts}-without-{part}"] = summary(*zip(*plays, strict=True))
         print(json.dumps({"size": parts, "without": part, **found}), flush=True)
--- a/martentide/overload/__init__.py
+++ b/martentide/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Overload handled by the fleet as one: pure, like ``martentide/fleet/`` on whose facets it rests."""
+"""Fleet-wide overload control without I/O, built on the gossiped state of ``martentide/fleet/``."""
--- a/martentide/overload/core.py
+++ b/martentide/overload/core.py
@@ -1,8 +1,9 @@
-"""One member's part in the fleet's handling of overload: events and words in, events and one word out.
+"""Fleet-wide overload control at one member: events and messages in, decision events and one message out.
 
-Pure. Alone, in a minority and from nothing it decides by what it sees itself, from the share it had last: a
-share of what is offered to whoever holds it, so that it can't add up to harm by a wrong guess at the fleet's
-size. On waking it keeps its share, takes no credit for the time it stood, and empties its purse.
+Performs no I/O. An isolated member, one in a minority and one that just started decide from their own
+observations, beginning with the last admitted share. It is a share of the offered calls, not a rate, so a
+wrong estimate of the fleet size cannot make the members together admit too much. After the process was
+suspended, the member keeps its share, gets no recovery for the suspended time, and discards its tokens.
 """
 
 from __future__ import annotations
@@ -26,410 +27,492 @@
     SetUpOffered,
     Stands,
 )
-from martentide.overload.admission_threshold import shares
+from martentide.overload.admission_threshold import admitted_shares
 from martentide.overload.escrow import Escrow
 from martentide.overload.level import (
-    PRESSED,
-    STORM_REDIALS,
-    STORM_STOOD,
-    SWIFT,
-    SWIFT_MOST,
+    PRESSURE_THRESHOLD,
+    STORM_REDIAL_RATIO,
+    STORM_STANDING_SHARE,
+    PROPORTIONAL_GAIN,
+    PROPORTIONAL_GAIN_LARGE,
     Level,
     Phase,
-    largeness,
-    pressure_of,
+    size_factor,
+    fleet_pressure,
 )
 from martentide.overload.messages import (
     END,
     LOAD,
-    MOST_CLASSES,
-    MOST_GIFTS,
-    MOST_SERVERS,
+    MAX_CLASSES,
+    MAX_TRANSFERS,
+    MAX_SERVERS,
     SCHEMA,
     Load,
-    Pressed,
+    ServerPressure,
     read_load,
     write_load,
 )
 from martentide.rules import FULL_HOLD_BACK, HOLD_BACK_LEVELS, MAX_NETWORK_LAG, NETWORK_JITTER
 
-WORDS_S = 10.0  # words a second that all members together say while there is pressure
-QUIET_WORDS_S = 0.5  # and in calm
-LEAST_GAP = 400.0  # ms between two words of one member
-URGENT_GAP = 200.0  # ms within which a member tells of new pressure, if nobody else did
-FADE, FADE_MOST = 1_500.0, 4_000.0  # ms in which the share that a server asked for halves; in large fleets
-OLD = 2_500.0  # ms after which word of a server counts no more
-APART = 0.25  # share by which the newest claim may differ from the next member's
-CLAIMANTS = 4  # whose claims on one server are kept
-WINDOW = 4_000.0  # ms over which rates fade
-MIX_STEP = 0.1  # weight of one word in the mix of classes
-TURN = 5_000.0  # ms; a number's verdict holds for TURNS of them
-TURN_OFF = 700.0  # ms by which the own turn may differ from the median of what is heard
-SHARE_STEP = 0.01  # change of a class's share that the decisions are told of
-REPEAT_SHARE = 0.15  # further attempts to first ones
-PURSE = 3  # tokens that the decisions hold
-PURSE_LIFE = 1_500.0  # ms for which they may spend them
-DEPTH = 6.0  # tokens an account keeps
-SPARE = 3.0  # tokens above which it gives
-MOST_NUMBERS = 4_096
-REDIAL = 10_000.0  # ms within which a number that is dialled again is a redial: about a class's deadline
-MOST_HEARD = 4_096  # members whose last word is remembered
-ALONE = 10_000.0  # ms without anybody's word: in calm each member says one only now and then
-WOKEN = 2_000.0  # ms between two looks that show that the process stood still
-RETURN_FROM = 0.2  # of the longest advice: callers come back between it and the whole, at random
+ACTIVE_MESSAGES_PER_S = 10.0  # messages/s of all members together under pressure
+IDLE_MESSAGES_PER_S = 0.5  # messages/s of all members together without pressure
+MIN_MESSAGE_GAP = 400.0  # ms between two messages of one member
+URGENT_GAP = 200.0  # ms within which a member reports new pressure, unless another member has done so
+# ms in which the share requested by a server halves, in small and in large fleets
+PRESSURE_HALF_LIFE, PRESSURE_HALF_LIFE_LARGE = 1_500.0, 4_000.0
+MAX_CLAIM_AGE = 2_500.0  # ms after which a claim about a server is ignored
+MAX_CLAIM_DEVIATION = 0.25  # share by which the newest claim may differ from the next member's
+MAX_CLAIMS = 4  # claims kept per server, each from another member
+RATE_WINDOW = 4_000.0  # ms over which rates decay
+MIX_WEIGHT = 0.1  # weight of one message in the mix of classes
+TURN_LENGTH = 5_000.0  # ms; the verdict on a number holds for TURNS_PER_VERDICT turns
+MAX_TURN_OFFSET = 700.0  # ms by which the own epoch may differ from the median of those received
+MIN_SHARE_CHANGE = 0.01  # smaller changes of a class's share are not passed to the decisions
+RETRY_RATIO = 0.15  # retry tokens earned per first try
+ALLOTMENT = 3  # tokens that the decision module holds
+ALLOTMENT_LIFETIME = 1_500.0  # ms after which unspent tokens of the allotment expire
+MAX_BALANCE = 6.0  # tokens that an account holds
+TRANSFER_THRESHOLD = 3.0  # tokens; an account above it transfers to members short of tokens
+MAX_NUMBERS = 4_096  # called numbers remembered to recognise redials
+REDIAL_WINDOW = 10_000.0  # ms in which a number called again is a redial: about the deadline of a class
+MAX_SENDERS = 4_096  # members whose last message is remembered
+ISOLATION_TIMEOUT = 10_000.0  # ms without any message; long, because idle members seldom send one
+MAX_POLL_GAP = 2_000.0  # ms between two polls beyond which the process must have been suspended
+MIN_RETURN_SHARE = 0.2  # of the longest hold-off: shed callers return at random between it and the whole
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
+    """Result of one poll: events for the decisions and the encoded message to publish, if one is due."""
+
     events: tuple[Admission | RepeatBudget, ...]
     word: bytes | None
 
 
-SEEN_ENOUGH = 8  # answers of a server, after which the shortest tells how long one takes without a line
-PARTS = ("cut", "budget", "late", "word")  # "late": late redials stay out; "word": others' is heard
+MIN_ANSWERS = 8  # answers of a server after which the shortest one shows its lag without a queue
+# Mechanisms that a measurement can disable: "late" refuses late redials, "word" applies received messages.
+ABLATION_PARTS = ("cut", "budget", "late", "word")
 
 
 class Rate:
-    """Events a second, fading."""
+    """An exponentially decaying rate of events."""
 
-    __slots__ = ("at", "count")
+    __slots__ = ("updated_at", "count")
 
     def __init__(self) -> None:
-        self.count, self.at = 0.0, 0.0
+        self.count, self.updated_at = 0.0, 0.0
 
     def add(self, now: float) -> None:
-        self.count = self._faded(now) + 1.0
-        self.at = now
+        """Count one event at ``now`` (ms)."""
+        self.count = self._decayed(now) + 1.0
+        self.updated_at = now
 
-    def _faded(self, now: float) -> float:
-        return float(self.count * 0.5 ** ((now - self.at) / WINDOW * 2.0)) if self.count else 0.0
+    def _decayed(self, now: float) -> float:
+        return float(self.count * 0.5 ** ((now - self.updated_at) / RATE_WINDOW * 2.0)) if self.count else 0.0
 
-    def read(self, now: float) -> float:
-        # An event's weight has the integral WINDOW / 2 / ln 2.
-        return self._faded(now) * 2.0 * 0.6931 / WINDOW * 1_000.0
+    def per_second(self, now: float) -> float:
+        """Return the rate at ``now`` (ms) in events per second."""
+        # The integral of an event's decaying weight is RATE_WINDOW / 2 / ln 2, hence the factor.
+        return self._decayed(now) * 2.0 * 0.6931 / RATE_WINDOW * 1_000.0
 
 
 class Overload:
-    """``worths`` by class; ``longest`` ms of advice to a refused caller, 0 for none; ``tolerable`` ms of wait
-    at a server that the table of levels is a share of."""
+    """Overload control of one member.
+
+    ``worths`` by class; ``max_hold_off`` in ms is the longest hold-off for a refused caller, 0 for none;
+    ``tolerable_wait`` in ms is the wait at a server that the level table refers to.
+    """
 
     def __init__(
-        self, name: str, life: int, worths: Mapping[str, float], longest: float, tolerable: float, seed: int
+        self,
+        name: str,
+        life: int,
+        worths: Mapping[str, float],
+        max_hold_off: float,
+        tolerable_wait: float,
+        seed: int,
     ) -> None:
-        self.name, self.worths, self.longest, self.tolerable = name, dict(worths), longest, tolerable
-        self.without: frozenset[str] = frozenset()  # of PARTS, to measure what each brings
-        self.own: dict[str, tuple[float, float]] = {}  # as ``known``, by what this proxy saw itself
-        self.least: dict[str, tuple[float, int]] = {}  # shortest time to an answer, and answers, by server
-        self.random = random.Random(seed)
+        self.name, self.worths, self.max_hold_off, self.tolerable_wait = (
+            name,
+            dict(worths),
+            max_hold_off,
+            tolerable_wait,
+        )
+        self.disabled: frozenset[str] = frozenset()  # of ABLATION_PARTS, to measure their effect
+        self.own_claims: dict[str, tuple[float, float]] = {}  # as ``hold_backs``, observed by this proxy
+        self.shortest_answers: dict[str, tuple[float, int]] = {}  # by server: shortest lag, number of answers
+        self.rng = random.Random(seed)
         self.level = Level()
-        self.escrow = Escrow(name, life, DEPTH)
-        self.offered = {kind: Rate() for kind in self.worths}
-        self.redials, self.firsts, self.stood = Rate(), Rate(), Rate()
-        self.numbers: OrderedDict[str, float] = OrderedDict()
-        self.mix: dict[str, float] = {}
-        self.known: dict[str, tuple[float, float]] = {}  # by server: share asked, when by the own clock
-        self.claims: dict[str, dict[str, tuple[float, float]]] = {}  # by server and who saw it so
-        self.counters: dict[str, tuple[int, int, float]] = {}  # last word of each: life, counter, when
-        self.began: float | None = None  # own time at which turn 0 began
-        self.looked: float | None = None
-        self.word_due = 0.0
-        self.word_of_pressure = -1e9  # when anybody told of pressure last
-        self.said: Admission | None = None
-        self.wants = 0
-        self.pressure, self.fade = 0.0, FADE
-        self.active = False  # whether words are said as often as under pressure
-        self.heard_at: float | None = None
-
-    def settle(self, worths: Mapping[str, float], longest: float, tolerable: float) -> None:
-        """Other settings."""
-        self.worths, self.longest, self.tolerable = dict(worths), longest, tolerable
-        self.offered = {kind: self.offered.get(kind, Rate()) for kind in self.worths}
-
-    # ---- what the own decisions see ---------------------------------------------------------------------
+        self.escrow = Escrow(name, life, MAX_BALANCE)
+        self.offered_rates = {kind: Rate() for kind in self.worths}
+        self.redial_rate, self.first_try_rate, self.standing_rate = Rate(), Rate(), Rate()
+        self.recent_numbers: OrderedDict[str, float] = OrderedDict()
+        self.class_mix: dict[str, float] = {}
+        self.hold_backs: dict[str, tuple[float, float]] = {}  # by server: requested share, local time
+        self.claims: dict[str, dict[str, tuple[float, float]]] = {}  # by server and observing member
+        self.last_messages: dict[str, tuple[int, int, float]] = {}  # by member: life, counter, time
+        self.epoch_start: float | None = None  # local time at which turn 0 began
+        self.polled_at: float | None = None
+        self.message_due = 0.0
+        self.pressure_reported_at = -1e9  # when any member last reported pressure
+        self.last_admission: Admission | None = None
+        self.tokens_wanted = 0
+        self.pressure, self.pressure_half_life = 0.0, PRESSURE_HALF_LIFE
+        self.active = False  # whether messages are sent at the rate used under pressure
+        self.last_received_at: float | None = None
+
+    def settle(self, worths: Mapping[str, float], max_hold_off: float, tolerable_wait: float) -> None:
+        """Apply changed settings; rates of classes that remain are kept."""
+        self.worths, self.max_hold_off, self.tolerable_wait = dict(worths), max_hold_off, tolerable_wait
+        self.offered_rates = {kind: self.offered_rates.get(kind, Rate()) for kind in self.worths}
+
+    # ---- own observations -------------------------------------------------------------------------------
 
     def observe(self, now: float, event: Event) -> None:
+        """Record an event that the local decisions received at ``now`` (ms)."""
         match event:
             case SetUpOffered(call_class=kind, number=number, redial=redial):
-                again = redial or (number is not None and now - self.numbers.get(number, -1e18) <= REDIAL)
+                again = redial or (
+                    number is not None and now - self.recent_numbers.get(number, -1e18) <= REDIAL_WINDOW
+                )
                 if number is not None:
-                    self.numbers[number] = now
-                    self.numbers.move_to_end(number)
-                    if len(self.numbers) > MOST_NUMBERS:
-                        self.numbers.popitem(last=False)
+                    self.recent_numbers[number] = now
+                    self.recent_numbers.move_to_end(number)
+                    if len(self.recent_numbers) > MAX_NUMBERS:
+                        self.recent_numbers.popitem(last=False)
                 if again:
-                    self.redials.add(now)
+                    self.redial_rate.add(now)
                     return
-                self.firsts.add(now)
-                if kind in self.offered:
-                    self.offered[kind].add(now)
-                self.escrow.earn(REPEAT_SHARE)
+                self.first_try_rate.add(now)
+                if kind in self.offered_rates:
+                    self.offered_rates[kind].add(now)
+                self.escrow.earn(RETRY_RATIO)
             case Stands(server=server, delay=delay):
-                self.stood.add(now)
-                least, seen = self.least.get(server, (delay, 0))
-                self.least[server] = (min(delay, least), seen + 1)
-                wait = max(0.0, delay - self._unpressed(server) * (1.0 + NETWORK_JITTER))
-                self._saw(server, self._level(wait), now - wait)  # a wait that is over tells of its begin
+                self.standing_rate.add(now)
+                least, seen = self.shortest_answers.get(server, (delay, 0))
+                self.shortest_answers[server] = (min(delay, least), seen + 1)
+                wait = max(0.0, delay - self._unloaded_lag(server) * (1.0 + NETWORK_JITTER))
+                self._record_claim(
+                    server, self._hold_back_for(wait), now - wait
+                )  # the claim is dated to the start of the wait
             case AttemptEnded(server=server, ending=Ending.TIMED_OUT, lag=lag):
-                self._saw(server, self._level(lag), now - lag)
+                self._record_claim(server, self._hold_back_for(lag), now - lag)
             case AttemptEnded(server=server, ending=ending, lines_full=lines, report=report):
                 if ending is Ending.FULL and not lines:
-                    self._saw(server, FULL_HOLD_BACK, now)
+                    self._record_claim(server, FULL_HOLD_BACK, now)
                 else:
-                    self._reported(server, report, now)
+                    self._apply_report(server, report, now)
             case ProbeEnded(server=server, report=report):
-                self._reported(server, report, now)
+                self._apply_report(server, report, now)
 
-    def _reported(self, server: str, report: Report | None, now: float) -> None:
+    def _apply_report(self, server: str, report: Report | None, now: float) -> None:
         if report is not None and report.hold_back is not None:
-            self._saw(server, min(1.0, max(0.0, report.hold_back)), now)
+            self._record_claim(server, min(1.0, max(0.0, report.hold_back)), now)
         elif report is not None and report.wait is not None:
-            self._saw(server, self._level(report.wait), now)
-
-    def _saw(self, server: str, share: float, at: float) -> None:
-        if at > self.own.get(server, (0.0, -1e18))[1]:
-            self.own[server] = (share, at)
-
-    def _unpressed(self, server: str) -> float:
-        """ms to an answer without a line: the least seen there, or of a server of which little was seen, the
-        least seen anywhere. Else the first answer of a line would be taken for one without."""
-        least, seen = self.least.get(server, (MAX_NETWORK_LAG, 0))
-        return least if seen >= SEEN_ENOUGH else min(one for one, _ in [(least, 0), *self.least.values()])
+            self._record_claim(server, self._hold_back_for(report.wait), now)
+
+    def _record_claim(self, server: str, share: float, at: float) -> None:
+        if at > self.own_claims.get(server, (0.0, -1e18))[1]:
+            self.own_claims[server] = (share, at)
+
+    def _unloaded_lag(self, server: str) -> float:
+        """Return a server's lag without a queue, in ms: the shortest lag observed there.
+
+        With few answers of the server, the shortest lag at any server is used as well: otherwise the first
+        answer out of a queue would be taken for the lag without one.
+        """
+        least, seen = self.shortest_answers.get(server, (MAX_NETWORK_LAG, 0))
+        return (
+            least
+            if seen >= MIN_ANSWERS
+            else min(one for one, _ in [(least, 0), *self.shortest_answers.values()])
+        )
 
-    def _level(self, wait: float) -> float:
-        return max((share for bound, share in HOLD_BACK_LEVELS if wait >= bound * self.tolerable), default=0.0)
+    def _hold_back_for(self, wait: float) -> float:
+        return max(
+            (share for bound, share in HOLD_BACK_LEVELS if wait >= bound * self.tolerable_wait), default=0.0
+        )
 
-    # ---- one look -----------------------------------------------------------------------------------------
+    # ---- polling ------------------------------------------------------------------------------------------
 
     def look(
         self,
         now: float,
         servers: Collection[str],
-        heard: Iterable[tuple[str, int, int, Load, float]],
+        received: Iterable[tuple[str, int, int, Load, float]],
         living: Mapping[str, int],
-        purse: float,
+        allotment: float,
     ) -> Outcome:
-        """``heard``: owner, its life, counter, word and age; ``living``: life by name, with the own;
-        ``purse``: tokens that the decisions still hold."""
-        woken = self.looked is not None and now - self.looked > WOKEN
-        self.looked = now
-        if self.began is None:
-            self.began = now
-        if woken:
+        """Update the admitted share and return events for the decisions and the message to publish.
+
+        ``received`` holds owner, its life, counter, message and age in ms; ``living`` the life of each living
+        member by name, including this one; ``allotment`` the tokens that the decisions still hold.
+        """
+        stalled = self.polled_at is not None and now - self.polled_at > MAX_POLL_GAP
+        self.polled_at = now
+        if self.epoch_start is None:
+            self.epoch_start = now
+        if stalled:
             self.escrow.tokens = 0.0
-        for table in (self.own, self.least):
+        for table in (self.own_claims, self.shortest_answers):
             for name in [name for name in table if name not in servers]:
                 del table[name]
-        for name, seen in self.own.items():
+        for name, seen in self.own_claims.items():
             self.claims.setdefault(name, {})[self.name] = seen
-        words = list(heard)
+        messages = list(received)
         events: list[Admission | RepeatBudget] = []
         turns = []
-        for owner, life, counter, load, age in words:
-            turns.append(load.turn * TURN + load.turn_age + age)
-            mine = owner == self.name or "word" in self.without
-            if not mine and owner in living and self._newer(owner, life, counter, now):
-                self._hear(now, owner, load, age, servers)
-        self._turn(now, turns)
-        self._weigh(now, servers)
-        # Where word is old by the time it comes, it is taken for more, and for longer: lines grow meanwhile.
-        large = largeness(len(living))
-        self.level.swift = SWIFT + (SWIFT_MOST - SWIFT) * large
-        self.fade = FADE + (FADE_MOST - FADE) * large
-        self.pressure = pressure_of(
-            hold * 0.5 ** ((now - at) / self.fade) for hold, at in self.known.values()
+        for owner, life, counter, load, age in messages:
+            turns.append(load.turn * TURN_LENGTH + load.turn_age + age)
+            mine = owner == self.name or "word" in self.disabled
+            if not mine and owner in living and self._is_new_message(owner, life, counter, now):
+                self._apply_message(now, owner, load, age, servers)
+        self._synchronise_epoch(now, turns)
+        self._update_hold_backs(now, servers)
+        # In a large fleet messages arrive late and queues grow meanwhile: react more strongly and for longer.
+        large = size_factor(len(living))
+        self.level.gain = PROPORTIONAL_GAIN + (PROPORTIONAL_GAIN_LARGE - PROPORTIONAL_GAIN) * large
+        self.pressure_half_life = PRESSURE_HALF_LIFE + (PRESSURE_HALF_LIFE_LARGE - PRESSURE_HALF_LIFE) * large
+        self.pressure = fleet_pressure(
+            hold * 0.5 ** ((now - at) / self.pressure_half_life) for hold, at in self.hold_backs.values()
         )
-        self.level.look(now, self.pressure, self._storm(now))
-        if "budget" not in self.without:
-            self._budget(now, words, living, purse, events)
-        admission = None if "cut" in self.without else self._admission(now)
+        self.level.update(now, self.pressure, self._is_storm(now))
+        if "budget" not in self.disabled:
+            self._update_budget(now, messages, living, allotment, events)
+        admission = None if "cut" in self.disabled else self._next_admission(now)
         if admission is not None:
             events.append(admission)
-        return Outcome(tuple(events), self._word(now, living))
+        return Outcome(tuple(events), self._next_message(now, living))
 
-    def _weigh(self, now: float, servers: Collection[str]) -> None:
-        """What is held of each server: the newest claim, as far as somebody else's bears it out. So one that
-        claims what is not so moves it by ``APART`` at most, and its word is not passed on as another's."""
-        self.known.clear()
+    def _update_hold_backs(self, now: float, servers: Collection[str]) -> None:
+        """Choose the requested share of each server: the newest claim, limited by the next member's claim.
+
+        A false claim can therefore shift it by at most MAX_CLAIM_DEVIATION, and since only own observations
+        are published, no other member repeats it.
+        """
+        self.hold_backs.clear()
         for name, claims in list(self.claims.items()):
-            fresh = sorted(
-                ((at, hold, owner) for owner, (hold, at) in claims.items() if now - at <= OLD), reverse=True
-            )[:CLAIMANTS]
-            if not fresh or name not in servers:
+            recent_claims = sorted(
+                ((at, hold, owner) for owner, (hold, at) in claims.items() if now - at <= MAX_CLAIM_AGE),
+                reverse=True,
+            )[:MAX_CLAIMS]
+            if not recent_claims or name not in servers:
                 del self.claims[name]
                 continue
-            self.claims[name] = {owner: (hold, at) for at, hold, owner in fresh}
-            at, hold, owner = fresh[0]
-            if len(fresh) > 1 and owner != self.name:
-                hold = max(fresh[1][1] - APART, min(fresh[1][1] + APART, hold))
-            self.known[name] = (hold, at)
-
-    def _newer(self, owner: str, life: int, counter: int, now: float) -> bool:
-        """Whether the word is a new one; of an owner that says too many, not all are heard."""
-        last = self.counters.get(owner)
+            self.claims[name] = {owner: (hold, at) for at, hold, owner in recent_claims}
+            at, hold, owner = recent_claims[0]
+            if len(recent_claims) > 1 and owner != self.name:
+                hold = max(
+                    recent_claims[1][1] - MAX_CLAIM_DEVIATION,
+                    min(recent_claims[1][1] + MAX_CLAIM_DEVIATION, hold),
+                )
+            self.hold_backs[name] = (hold, at)
+
+    def _is_new_message(self, owner: str, life: int, counter: int, now: float) -> bool:
+        """Return whether the message is new; messages above an owner's rate limit are ignored."""
+        last = self.last_messages.get(owner)
         if last is not None and last[:2] == (life, counter):
             return False
-        if last is not None and now - last[2] < LEAST_GAP / 2:
+        if last is not None and now - last[2] < MIN_MESSAGE_GAP / 2:
             return False
-        self.counters[owner] = (life, counter, now)
-        if len(self.counters) > MOST_HEARD:
-            self.counters.pop(next(iter(self.counters)))
+        self.last_messages[owner] = (life, counter, now)
+        if len(self.last_messages) > MAX_SENDERS:
+            self.last_messages.pop(next(iter(self.last_messages)))
         return True
 
-    def _hear(self, now: float, owner: str, load: Load, age: float, servers: Collection[str]) -> None:
-        self.heard_at = now
+    def _apply_message(
+        self, now: float, owner: str, load: Load, age: float, servers: Collection[str]
+    ) -> None:
+        self.last_received_at = now
         for one in load.pressed:
-            at = now - age - one.ago
-            if one.server in servers and now - at <= OLD:
-                self.claims.setdefault(one.server, {})[owner] = (one.hold / 1_000.0, at)
-        if age < OLD:
-            self.level.hear(load.lasting / 1_000.0)
-            if load.lasting < 1_000 or any(one.hold >= PRESSED * 1_000 for one in load.pressed):
-                self.word_of_pressure = now
-        self._blend({kind: rate / 100.0 for kind, rate in load.offered.items() if kind in self.worths})
-
-    def _blend(self, offered: Mapping[str, float]) -> None:
+            at = now - age - one.age
+            if one.server in servers and now - at <= MAX_CLAIM_AGE:
+                self.claims.setdefault(one.server, {})[owner] = (one.hold_back / 1_000.0, at)
+        if age < MAX_CLAIM_AGE:
+            self.level.merge(load.baseline / 1_000.0)
+            if load.baseline < 1_000 or any(
+                one.hold_back >= PRESSURE_THRESHOLD * 1_000 for one in load.pressed
+            ):
+                self.pressure_reported_at = now
+        self._update_class_mix(
+            {kind: rate / 100.0 for kind, rate in load.offered.items() if kind in self.worths}
+        )
+
+    def _update_class_mix(self, offered: Mapping[str, float]) -> None:
         total = sum(offered.values())
         if total > 0.0:
             for kind in self.worths:
-                part, known = offered.get(kind, 0.0) / total, self.mix.get(kind)
-                self.mix[kind] = part if known is None else known + MIX_STEP * (part - known)
+                part, known = offered.get(kind, 0.0) / total, self.class_mix.get(kind)
+                self.class_mix[kind] = part if known is None else known + MIX_WEIGHT * (part - known)
 
-    def _turn(self, now: float, turns: list[float]) -> None:
-        """The epoch in common: the median of what is heard, so that one liar does not move it."""
-        assert self.began is not None
+    def _synchronise_epoch(self, now: float, turns: list[float]) -> None:
+        """Follow the median of the received epochs, so that a single faulty member cannot shift it."""
+        assert self.epoch_start is not None
         if turns:
-            middle = sorted([*turns, now - self.began])[(len(turns) + 1) // 2]
-            if abs(middle - (now - self.began)) > TURN_OFF:
-                self.began = now - middle
+            median = sorted([*turns, now - self.epoch_start])[(len(turns) + 1) // 2]
+            if abs(median - (now - self.epoch_start)) > MAX_TURN_OFFSET:
+                self.epoch_start = now - median
 
     def alone(self, now: float) -> bool:
-        """Whether no other member's word was heard for so long that this one decides by itself."""
-        return self.heard_at is None or now - self.heard_at > ALONE
+        """Return whether no message has arrived for so long that this member decides on its own."""
+        return self.last_received_at is None or now - self.last_received_at > ISOLATION_TIMEOUT
 
     def status(self, now: float) -> dict[str, object]:
-        """For people: shares in parts of 1, ages in ms."""
-        cut = {} if self.said is None else {kind: round(share, 3) for kind, share in self.said.shares}
+        """Return the state for operators: shares from 0 to 1, ages in ms."""
+        cut = (
+            {}
+            if self.last_admission is None
+            else {kind: round(share, 3) for kind, share in self.last_admission.shares}
+        )
         return {
             "phase": self.level.phase.name.lower(), "admitted": round(self.level.admitted, 3),
-            "lasting": round(self.level.lasting, 3), "pressure": round(self.level.pressure, 3),
+            "lasting": round(self.level.baseline, 3), "pressure": round(self.level.pressure, 3),
             "storms": self.level.storms, "alone": self.alone(now), "shares": cut,
-            "pressed": {name: [round(hold, 3), round(now - at)] for name, (hold, at) in self.known.items()},
-            "tokens": round(self.escrow.tokens, 2), "wants": self.wants,
+            "pressed": {
+                name: [round(hold, 3), round(now - at)] for name, (hold, at) in self.hold_backs.items()
+            },
+            "tokens": round(self.escrow.tokens, 2), "wants": self.tokens_wanted,
         }  # fmt: skip
 
-    def _storm(self, now: float) -> bool:
-        """Redials against first tries, and set-ups that stand against those let in: fed by itself."""
-        firsts = self.firsts.read(now)
-        coming = firsts + self.redials.read(now)
-        if coming * WINDOW / 1_000.0 < 4.0 or self.pressure < 2.0 * PRESSED:
+    def _is_storm(self, now: float) -> bool:
+        """Return whether the overload sustains itself: many redials per first try, few calls that stand."""
+        firsts = self.first_try_rate.per_second(now)
+        offered = firsts + self.redial_rate.per_second(now)
+        if offered * RATE_WINDOW / 1_000.0 < 4.0 or self.pressure < 2.0 * PRESSURE_THRESHOLD:
             return False
-        stood = self.stood.read(now) / max(1e-9, coming * self.level.admitted)
-        return stood < STORM_STOOD and self.redials.read(now) > STORM_REDIALS * firsts
+        standing = self.standing_rate.per_second(now) / max(1e-9, offered * self.level.admitted)
+        return (
+            standing < STORM_STANDING_SHARE and self.redial_rate.per_second(now) > STORM_REDIAL_RATIO * firsts
+        )
 
-    # ---- the budget ---------------------------------------------------------------------------------------
+    # ---- retry budget -------------------------------------------------------------------------------------
 
-    def _budget(
+    def _update_budget(
         self,
         now: float,
-        words: list[tuple[str, int, int, Load, float]],
+        messages: list[tuple[str, int, int, Load, float]],
         living: Mapping[str, int],
-        purse: float,
+        allotment: float,
         events: list[Admission | RepeatBudget],
     ) -> None:
         escrow = self.escrow
-        for owner, life, _, load, age in words:
+        for owner, life, _, load, age in messages:
             if owner == self.name:
                 continue
-            for gift in load.gifts:
-                escrow.take(owner, life, gift, age)
-            for giver, giver_life, last in load.taken:
-                if giver == self.name and giver_life == escrow.life:
+            for transfer in load.transfers:
+                escrow.receive(owner, life, transfer, age)
+            for sender, sender_life, last in load.received_transfers:
+                if sender == self.name and sender_life == escrow.life:
                     escrow.settle(now, owner, life, age, last)
-        escrow.forget(now, set(living))
-        purse = min(purse, float(PURSE))  # before the first budget there is no end to it
-        drawn = escrow.draw(PURSE - purse)
-        events.append(RepeatBudget(float(drawn), PURSE_LIFE))
-        self.wants = max(0, min(99, int(PURSE - purse - drawn)))
-        needy = [(owner, life, load.wants) for owner, life, _, load, _ in words if load.wants > 0]
-        if needy and escrow.tokens >= SPARE:
-            owner, life, wants = self.random.choice(needy)
-            if living.get(owner) == life and not any(one.gift.to == owner for one in escrow.given.values()):
-                escrow.give(now, owner, life, min(wants, int(escrow.tokens - SPARE) + 1))
-
-    # ---- what the decisions get ---------------------------------------------------------------------------
-
-    def _admission(self, now: float) -> Admission | None:
-        assert self.began is not None
-        turn = int((now - self.began) / TURN)
-        cut = shares(self.level.admitted, self.worths, self.mix or dict.fromkeys(self.worths, 1.0))
+        escrow.expire(now, set(living))
+        allotment = min(allotment, float(ALLOTMENT))  # it is infinite before the first budget
+        withdrawn = escrow.withdraw(ALLOTMENT - allotment)
+        events.append(RepeatBudget(float(withdrawn), ALLOTMENT_LIFETIME))
+        self.tokens_wanted = max(0, min(99, int(ALLOTMENT - allotment - withdrawn)))
+        short_members = [
+            (owner, life, load.tokens_wanted)
+            for owner, life, _, load, _ in messages
+            if load.tokens_wanted > 0
+        ]
+        if short_members and escrow.tokens >= TRANSFER_THRESHOLD:
+            owner, life, wanted = self.rng.choice(short_members)
+            if living.get(owner) == life and not any(
+                one.transfer.to == owner for one in escrow.outgoing.values()
+            ):
+                escrow.send(now, owner, life, min(wanted, int(escrow.tokens - TRANSFER_THRESHOLD) + 1))
+
+    # ---- output -------------------------------------------------------------------------------------------
+
+    def _next_admission(self, now: float) -> Admission | None:
+        assert self.epoch_start is not None
+        turn = int((now - self.epoch_start) / TURN_LENGTH)
+        shares = admitted_shares(
+            self.level.admitted, self.worths, self.class_mix or dict.fromkeys(self.worths, 1.0)
+        )
         floor = 0.0
-        if self.level.refrains(now) and "late" not in self.without:
-            floor = min((self.worths[kind] for kind, share in cut.items() if share > 0.0), default=0.0)
-        last = self.said
-        whole = min(cut.values(), default=1.0) >= 1.0
-        if last is not None and last.floor == floor and (whole or turn == last.turn):
-            told = dict(last.shares)
-            ends = any((told.get(kind) in (0.0, 1.0)) != (share in (0.0, 1.0)) for kind, share in cut.items())
-            if not ends and all(abs(share - told.get(kind, 2.0)) < SHARE_STEP for kind, share in cut.items()):
+        if self.level.refuses_late_redials(now) and "late" not in self.disabled:
+            floor = min((self.worths[kind] for kind, share in shares.items() if share > 0.0), default=0.0)
+        last = self.last_admission
+        all_admitted = min(shares.values(), default=1.0) >= 1.0
+        if last is not None and last.floor == floor and (all_admitted or turn == last.turn):
+            last_shares = dict(last.shares)
+            limit_reached = any(
+                (last_shares.get(kind) in (0.0, 1.0)) != (share in (0.0, 1.0))
+                for kind, share in shares.items()
+            )
+            if not limit_reached and all(
+                abs(share - last_shares.get(kind, 2.0)) < MIN_SHARE_CHANGE for kind, share in shares.items()
+            ):
                 return None
-        returns = (RETURN_FROM * self.longest, self.longest)
-        self.said = Admission(tuple(cut.items()), self.level.admitted, floor, turn, *returns)
-        return self.said
-
-    def _word(self, now: float, living: Mapping[str, int]) -> bytes | None:
-        """The own facet, if it is time: all members together say a few words a second, however many."""
-        active = self.level.phase is not Phase.NORMAL or self.pressure >= PRESSED / 2
-        gap = max(LEAST_GAP, 1_000.0 * len(living) / (WORDS_S if active else QUIET_WORDS_S))
-        if active and now - self.word_of_pressure > 2.0 * URGENT_GAP:
-            self.word_due = min(self.word_due, now + self.random.random() * URGENT_GAP)
-        giving = any(now - one.at < LEAST_GAP for one in self.escrow.given.values())
+        return_range = (MIN_RETURN_SHARE * self.max_hold_off, self.max_hold_off)
+        self.last_admission = Admission(
+            tuple(shares.items()), self.level.admitted, floor, turn, *return_range
+        )
+        return self.last_admission
+
+    def _next_message(self, now: float, living: Mapping[str, int]) -> bytes | None:
+        """Return the own message if one is due: the fleet sends a few per second, whatever its size."""
+        active = self.level.phase is not Phase.NORMAL or self.pressure >= PRESSURE_THRESHOLD / 2
+        interval = max(
+            MIN_MESSAGE_GAP,
+            1_000.0 * len(living) / (ACTIVE_MESSAGES_PER_S if active else IDLE_MESSAGES_PER_S),
+        )
+        if active and now - self.pressure_reported_at > 2.0 * URGENT_GAP:
+            self.message_due = min(self.message_due, now + self.rng.random() * URGENT_GAP)
+        transferring = any(now - one.sent_at < MIN_MESSAGE_GAP for one in self.escrow.outgoing.values())
         if active and not self.active:
-            self.word_due = min(self.word_due, now + self.random.random() * gap)
+            self.message_due = min(self.message_due, now + self.rng.random() * interval)
         self.active = active
-        if now < self.word_due and not giving:
+        if now < self.message_due and not transferring:
             return None
-        self.word_due = now + gap * self.random.uniform(0.7, 1.3)
-        offered = {kind: rate.read(now) for kind, rate in self.offered.items()}
-        self._blend(offered)
+        self.message_due = now + interval * self.rng.uniform(0.7, 1.3)
+        offered = {kind: rate.per_second(now) for kind, rate in self.offered_rates.items()}
+        self._update_class_mix(offered)
         if active:
-            self.word_of_pressure = now
-        assert self.began is not None
-        seen = [(name, one) for name, one in self.own.items() if now - one[1] <= OLD]
-        newest = sorted(seen, key=lambda one: -one[1][1])[:MOST_SERVERS]
+            self.pressure_reported_at = now
+        assert self.epoch_start is not None
+        recent_claims = [
+            (name, one) for name, one in self.own_claims.items() if now - one[1] <= MAX_CLAIM_AGE
+        ]
+        newest = sorted(recent_claims, key=lambda one: -one[1][1])[:MAX_SERVERS]
         pressed = [
-            Pressed(name, round(1_000 * min(1.0, hold)), int(now - at) + 1) for name, (hold, at) in newest
+            ServerPressure(name, round(1_000 * min(1.0, hold)), int(now - at) + 1)
+            for name, (hold, at) in newest
+        ]
+        received_transfers = [
+            (sender, life, number) for sender, (life, number) in self.escrow.last_received.items()
         ]
-        taken = [(giver, life, number) for giver, (life, number) in self.escrow.taken.items()]
-        passed = now - self.began
+        elapsed = now - self.epoch_start
         while True:
-            word = write_load(
+            message = write_load(
                 Load(
-                    round(1_000 * self.level.lasting), int(passed / TURN), int(passed % TURN),
-                    int(self.level.phase),
-                    {kind: int(100 * rate) for kind, rate in list(offered.items())[:MOST_CLASSES]}, pressed,
-                    self.wants, self.escrow.gifts(now)[:MOST_GIFTS], taken[-MOST_GIFTS:],
+                    round(1_000 * self.level.baseline), int(elapsed / TURN_LENGTH),
+                    int(elapsed % TURN_LENGTH), int(self.level.phase),
+                    {kind: int(100 * rate) for kind, rate in list(offered.items())[:MAX_CLASSES]}, pressed,
+                    self.tokens_wanted, self.escrow.pending_transfers(now)[:MAX_TRANSFERS],
+                    received_transfers[-MAX_TRANSFERS:],
                 )
             )  # fmt: skip
-            if len(word) <= 480 or not pressed:
-                return word
+            if len(message) <= 480 or not pressed:
+                return message
             pressed = pressed[:-2]
 
 
 def look(
-    core: Membership, part: Overload, now: float, servers: Collection[str], purse: float
+    membership: Membership, overload: Overload, now: float, servers: Collection[str], allotment: float
 ) -> tuple[Outcome, int]:
-    """One look with what the member holds of others; and how many facets could not be read."""
-    heard: list[tuple[str, int, int, Load, float]] = []
-    bad = 0
-    living = {part.name: core.me.life}
-    if not core.silent:
-        for word, facet, age in core.state_entries_of(LOAD, now):
+    """Poll ``overload`` with the member's state entries; also return how many of them were unreadable."""
+    received: list[tuple[str, int, int, Load, float]] = []
+    unreadable = 0
+    living = {overload.name: membership.me.life}
+    if not membership.silent:
+        for member, entry, age in membership.state_entries_of(LOAD, now):
             try:
-                heard.append((word.name, facet.life, facet.counter, read_load(facet.body), age))
+                received.append((member.name, entry.life, entry.counter, read_load(entry.body), age))
             except (msgspec.DecodeError, msgspec.ValidationError):
-                bad += 1
-        living |= {word.name: word.life for word in core.living()}
-    return part.look(now, servers, heard, living, purse), bad
+                unreadable += 1
+        living |= {word.name: word.life for word in membership.living()}
+    return overload.look(now, servers, received, living, allotment), unreadable
 
 
-__all__ = ["END", "LOAD", "PARTS", "SCHEMA", "Overload", "look"]
+__all__ = ["END", "LOAD", "ABLATION_PARTS", "SCHEMA", "Overload", "look"]
--- a/martentide/overload/escrow.py
+++ b/martentide/overload/escrow.py
@@ -1,99 +1,116 @@
-"""One budget for further attempts, held in parts that sum to no more than was earned (O'Neil's escrow method,
-1986, with parts that move as in Barbará-Millá and Garcia-Molina, "The demarcation protocol", 1994).
-
-Each first try earns its proxy a share of a token; a further attempt spends one. Tokens move by gifts to one
-process of one member: the giver is debited before the gift is told, the taker credits it once, and only while
-it is younger than ``GIFT_END`` by ages that are never too low. So whatever is lost, doubled, late, split or
-stopped, what is spent in the fleet is no more than what was earned. A gift goes back to its giver only when
-the taker itself has said, later than the gift's end, that it never took it; one to a dead member does not.
-Invariant, searched exhaustively in the tests: spent + held + given and not yet settled <= earned.
+"""A retry budget shared by the fleet, held in accounts whose sum never exceeds what was earned.
+
+Follows O'Neil's escrow method (1986) with movable shares as in Barbará-Millá and Garcia-Molina, "The
+demarcation protocol" (1994). Each first try earns its proxy a fraction of a token; a retry spends one token.
+Tokens move by transfers to one process of one member: the sender is debited before the transfer is published;
+the recipient credits it once, and only while it is younger than ``TRANSFER_EXPIRY``, by ages that are never
+underestimated. Messages may be lost, duplicated or late, and processes may stop or be partitioned: the fleet
+never spends more than was earned. A transfer returns to its sender only after the recipient has reported,
+later than the expiry, that it did not credit it; a transfer to a dead member does not return.
+Invariant, searched exhaustively in the tests: spent + held + sent and not yet settled <= earned.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from martentide.overload.messages import MOST_GIFTS, Gift
+from martentide.overload.messages import MAX_TRANSFERS, Transfer
 
-GIFT_END = 2_500.0  # ms from which a gift is taken by nobody
-SETTLE_AFTER = 4_000.0  # ms after which word that it was not taken counts: the end, and clocks' drift
-MOST_GIVERS = 256
+TRANSFER_EXPIRY = 2_500.0  # ms after which no recipient credits a transfer
+SETTLE_AFTER = 4_000.0  # ms from which a report of no credit counts: the expiry plus clock drift
+MAX_SENDERS = 256  # senders whose last transfer is remembered
 
 
 @dataclass(slots=True)
-class Given:
-    gift: Gift
-    at: float
+class OutgoingTransfer:
+    """A transfer that is not settled yet, sent at ``sent_at`` (ms)."""
+
+    transfer: Transfer
+    sent_at: float
 
 
 @dataclass
 class Escrow:
-    """The account of one process. Whole tokens are given and spent; parts of one are earned."""
+    """The account of one process. Tokens are earned in fractions, but transferred and spent whole."""
 
     name: str
     life: int
-    depth: float  # tokens kept at most; what is earned beyond is lost
+    max_balance: float  # tokens; earnings beyond it are lost
     tokens: float = 0.0
-    number: int = 0
-    given: dict[int, Given] = field(default_factory=dict)
-    taken: dict[str, tuple[int, int]] = field(default_factory=dict)  # by giver: its life, the last number
+    last_number: int = 0
+    outgoing: dict[int, OutgoingTransfer] = field(default_factory=dict)
+    last_received: dict[str, tuple[int, int]] = field(default_factory=dict)  # by sender: its life, number
 
     def earn(self, tokens: float) -> None:
-        self.tokens = min(self.depth, self.tokens + max(0.0, tokens))
+        """Credit earned tokens, up to ``max_balance``."""
+        self.tokens = min(self.max_balance, self.tokens + max(0.0, tokens))
 
-    def draw(self, most: float) -> int:
-        """Take out whole tokens, to be spent by the decisions; they do not come back."""
+    def withdraw(self, most: float) -> int:
+        """Debit up to ``most`` whole tokens for the decisions and return their number; they do not return."""
         tokens = int(max(0.0, min(most, self.tokens)))
         self.tokens -= tokens
         return tokens
 
-    def give(self, now: float, to: str, life: int, tokens: int) -> bool:
-        """Set tokens aside for another; whether that was possible."""
-        if tokens <= 0 or tokens > self.tokens or len(self.given) >= MOST_GIFTS or to == self.name:
+    def send(self, now: float, recipient: str, life: int, tokens: int) -> bool:
+        """Debit a transfer to another member; return whether that was possible."""
+        if (
+            tokens <= 0
+            or tokens > self.tokens
+            or len(self.outgoing) >= MAX_TRANSFERS
+            or recipient == self.name
+        ):
             return False
         self.tokens -= tokens
-        self.number += 1
-        self.given[self.number] = Given(Gift(to, life, self.number, tokens, 0), now)
+        self.last_number += 1
+        self.outgoing[self.last_number] = OutgoingTransfer(
+            Transfer(recipient, life, self.last_number, tokens, 0), now
+        )
         return True
 
-    def gifts(self, now: float) -> list[Gift]:
-        """What is to be told: gifts that may still be taken, with their age rounded up."""
+    def pending_transfers(self, now: float) -> list[Transfer]:
+        """Return the transfers to publish: those not expired, with their ages in ms rounded up."""
         return [
-            Gift(one.gift.to, one.gift.life, one.gift.number, one.gift.tokens, int(now - one.at) + 1)
-            for one in self.given.values()
-            if now - one.at < GIFT_END
+            Transfer(
+                one.transfer.to,
+                one.transfer.life,
+                one.transfer.number,
+                one.transfer.tokens,
+                int(now - one.sent_at) + 1,
+            )
+            for one in self.outgoing.values()
+            if now - one.sent_at < TRANSFER_EXPIRY
         ]
 
-    def take(self, giver: str, giver_life: int, gift: Gift, age: float) -> int:
-        """Tokens credited from one gift that was told ``age`` ms ago at most."""
-        if gift.to != self.name or gift.life != self.life or age + gift.ago >= GIFT_END:
+    def receive(self, sender: str, sender_life: int, transfer: Transfer, age: float) -> int:
+        """Credit a transfer published at most ``age`` ms ago; return the tokens credited."""
+        if transfer.to != self.name or transfer.life != self.life or age + transfer.age >= TRANSFER_EXPIRY:
             return 0
-        last_life, last = self.taken.get(giver, (0, 0))
-        if giver_life == last_life and gift.number <= last:
-            return 0  # doubled or overtaken by a later one: that one's giver may have it back
-        if giver not in self.taken and len(self.taken) >= MOST_GIVERS:
+        last_life, last = self.last_received.get(sender, (0, 0))
+        if sender_life == last_life and transfer.number <= last:
+            return 0  # a duplicate, or overtaken by a later one: its sender may have settled it
+        if sender not in self.last_received and len(self.last_received) >= MAX_SENDERS:
             return 0
-        self.taken[giver] = (giver_life, gift.number)
-        self.tokens += gift.tokens  # beyond the depth, else a gift would be lost to the full
-        return gift.tokens
-
-    def settle(self, now: float, taker: str, taker_life: int, age: float, last: int) -> None:
-        """Word of a taker, ``age`` ms old at most: the last gift that it took from this process."""
-        for number, one in list(self.given.items()):
-            gift = one.gift
-            if gift.to != taker or gift.life != taker_life:
+        self.last_received[sender] = (sender_life, transfer.number)
+        self.tokens += transfer.tokens  # may exceed max_balance: a full account would lose the transfer
+        return transfer.tokens
+
+    def settle(self, now: float, recipient: str, recipient_life: int, age: float, last: int) -> None:
+        """Settle transfers by a recipient's report, at most ``age`` ms old, of the last one it credited."""
+        for number, one in list(self.outgoing.items()):
+            transfer = one.transfer
+            if transfer.to != recipient or transfer.life != recipient_life:
                 continue
             if last >= number:
-                del self.given[number]  # taken, or passed over for a later one: spent, for all that is known
-            elif now - age - one.at >= SETTLE_AFTER:
-                del self.given[number]
-                self.tokens += gift.tokens
-
-    def forget(self, now: float, living: set[str]) -> None:
-        """Gifts whose taker says nothing more are gone; so is the book on givers that are gone."""
-        for number, one in list(self.given.items()):
-            if now - one.at >= 4.0 * SETTLE_AFTER:
-                del self.given[number]
-        if len(self.taken) >= MOST_GIVERS:
-            for giver in [giver for giver in self.taken if giver not in living]:
-                del self.taken[giver]
+                del self.outgoing[number]  # credited, or skipped for a later one: counts as spent
+            elif now - age - one.sent_at >= SETTLE_AFTER:
+                del self.outgoing[number]
+                self.tokens += transfer.tokens
+
+    def expire(self, now: float, living: set[str]) -> None:
+        """Drop transfers to silent recipients, and last-received records of members that are gone."""
+        for number, one in list(self.outgoing.items()):
+            if now - one.sent_at >= 4.0 * SETTLE_AFTER:
+                del self.outgoing[number]
+        if len(self.last_received) >= MAX_SENDERS:
+            for sender in [sender for sender in self.last_received if sender not in living]:
+                del self.last_received[sender]
--- a/martentide/overload/level.py
+++ b/martentide/overload/level.py
@@ -1,10 +1,10 @@
-"""How much of what is offered first is let in, by the pressure that all hear of: one member's copy.
+"""The admitted share of first tries, controlled by the fleet's pressure: one member's copy.
 
-A share of what is offered, not a rate: it needs no count of what the fleet is offered or can do, so that
-neither redials nor a wrong guess at the fleet's size raise it. It has a part that follows the pressure at
-once, and a slow one for what lasts (proportional and integral, on a logarithmic scale: a matter of ratios).
-Every member keeps a copy of the slow part and draws it towards those it hears of; no one leads.
-Phases: normal (all is let in), shedding, recovering (the ramp of the slow part).
+It is a share of the offered calls, not a rate: it needs no estimate of load or capacity, so neither redials
+nor a wrong estimate of the fleet size raise it. A proportional part follows the pressure at once; a slow
+integral part, the baseline, handles lasting pressure. Both act on a logarithmic scale, since load is a matter
+of ratios. Each member keeps its own baseline and moves it towards those received; there is no leader.
+Phases: normal (everything is admitted), shedding, recovering (the baseline rises again).
 """
 
 from __future__ import annotations
@@ -14,27 +14,30 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-PRESSED = 0.12  # share asked to be held back, below which nothing is shed at once
-SWIFT, SWIFT_MOST = 1.0, 4.0  # in the exponent, for pressure beyond it; the latter in large fleets
-SMALL, LARGE = (
-    12.0,
-    200.0,
-)  # members up to which, and from which: word gets older in between, and lines grow on
-LASTING = 0.5  # share asked to be held back beyond which the slow part falls, and below which it rises
-SLOW = 0.5  # in the exponent, a second
-RAMP = 0.25  # of everything, a second, at which the slow part rises at most
-STORM = 0.8  # in the exponent, a second, on top where a storm feeds itself
-LEAST = 0.05  # admitted at least: some calls must go to bring word
-REFRAIN = 4_000.0  # ms after the last pressure in which late redials stay out
-SMOOTH = 250.0  # ms over which pressure is smoothed: single reports are noisy
-PULL = 0.3  # of the way to what another member says, at once
-MOST_PULL = 0.05  # in one word: bounds what a liar does
-STORM_REDIALS = 0.5  # redials to first tries from which
-STORM_STOOD = 0.6  # ... and share of set-ups that stand below which the storm is held to feed itself
-LESS_PRESSED = 0.7  # of the servers: calls are redrawn among them, so those less pressed decide
+PRESSURE_THRESHOLD = 0.12  # requested share below which the proportional part sheds nothing
+PROPORTIONAL_GAIN, PROPORTIONAL_GAIN_LARGE = (
+    1.0,
+    4.0,
+)  # exponent per unit of pressure above it, in small and large fleets
+# Members: between these sizes the gain rises, since messages arrive later and queues grow meanwhile.
+SMALL_FLEET, LARGE_FLEET = 12.0, 200.0
+PRESSURE_SETPOINT = 0.5  # requested share above which the baseline falls and below which it rises
+INTEGRAL_GAIN = 0.5  # exponent per second
+MAX_RECOVERY_RATE = 0.25  # of the whole load per second: upper limit on the rise of the baseline
+STORM_GAIN = 0.8  # exponent per second, additionally in a self-sustaining storm
+MIN_ADMITTED = 0.05  # some calls must be sent, since their answers carry reports
+LATE_REDIAL_HOLD = 4_000.0  # ms after the last pressure in which late redials are refused
+SMOOTHING_TIME = 250.0  # ms over which pressure is smoothed, because single reports are noisy
+MERGE_WEIGHT = 0.3  # of the distance to a received baseline
+MAX_MERGE_STEP = 0.05  # per message: limits the effect of a faulty member
+STORM_REDIAL_RATIO = 0.5  # redials per first try above which a storm sustains itself, together with
+STORM_STANDING_SHARE = 0.6  # ... a share of set-ups that stand below this
+COUNTED_SERVER_SHARE = 0.7  # of the servers, the least loaded: calls are redrawn, so these count
 
 
 class Phase(IntEnum):
+    """Phase of overload control; the number is sent to other members."""
+
     NORMAL = 0
     SHEDDING = 1
     RECOVERING = 2
@@ -42,59 +45,68 @@
 
 @dataclass
 class Level:
-    lasting: float = 1.0
+    """The admitted share and the state of its controller; times in ms."""
+
+    baseline: float = 1.0
     pressure: float = 0.0
-    looked: float | None = None
+    updated_at: float | None = None
     storms: int = 0
     pressed_at: float = -1e9
-    swift: float = SWIFT
+    gain: float = PROPORTIONAL_GAIN
 
-    def refrains(self, now: float) -> bool:
-        """Whether redials that are late by now stay out: what waits outside after a surge comes in at once
-        else, and makes the next one."""
-        return now - self.pressed_at < REFRAIN
+    def refuses_late_redials(self, now: float) -> bool:
+        """Return whether late redials are refused.
+
+        Callers that wait after a surge would otherwise return all at once and cause the next one.
+        """
+        return now - self.pressed_at < LATE_REDIAL_HOLD
 
     @property
     def admitted(self) -> float:
-        """The share let in, LEAST to 1."""
-        over = max(0.0, self.pressure - PRESSED)
-        return max(LEAST, self.lasting * math.exp(-self.swift * over))
+        """The admitted share, MIN_ADMITTED to 1."""
+        over = max(0.0, self.pressure - PRESSURE_THRESHOLD)
+        return max(MIN_ADMITTED, self.baseline * math.exp(-self.gain * over))
 
     @property
     def phase(self) -> Phase:
-        if self.pressure > PRESSED:
+        """The current phase."""
+        if self.pressure > PRESSURE_THRESHOLD:
             return Phase.SHEDDING
-        return Phase.RECOVERING if self.lasting < 1.0 else Phase.NORMAL
-
-    def look(self, now: float, pressure: float, storm: bool) -> None:
-        """``pressure``: 0 to 1, from ``pressure_of``; ``storm``: redials add up while fewer stand."""
-        span = 0.0 if self.looked is None else min(500.0, now - self.looked)  # a stop is no time to recover
-        self.looked = now
-        self.pressure += (pressure - self.pressure) * (1.0 - math.exp(-span / SMOOTH))
-        if self.pressure > PRESSED:
+        return Phase.RECOVERING if self.baseline < 1.0 else Phase.NORMAL
+
+    def update(self, now: float, pressure: float, storm: bool) -> None:
+        """Update the share from ``pressure`` (0 to 1, by ``fleet_pressure``) and the presence of a storm."""
+        span = (
+            0.0 if self.updated_at is None else min(500.0, now - self.updated_at)
+        )  # a suspended process gets no recovery for that time
+        self.updated_at = now
+        self.pressure += (pressure - self.pressure) * (1.0 - math.exp(-span / SMOOTHING_TIME))
+        if self.pressure > PRESSURE_THRESHOLD:
             self.pressed_at = now
         seconds = span / 1_000.0
-        off = SLOW * (LASTING - self.pressure)
+        drift = INTEGRAL_GAIN * (PRESSURE_SETPOINT - self.pressure)
         if storm:
             self.storms += 1
-            off -= STORM
-        risen = min(self.lasting * math.exp(off * seconds), self.lasting + RAMP * seconds)
-        self.lasting = max(LEAST, min(1.0, risen))
+            drift -= STORM_GAIN
+        raised = min(self.baseline * math.exp(drift * seconds), self.baseline + MAX_RECOVERY_RATE * seconds)
+        self.baseline = max(MIN_ADMITTED, min(1.0, raised))
+
+    def merge(self, baseline: float) -> None:
+        """Move the baseline towards another member's, taken from a recent message."""
+        step = max(-MAX_MERGE_STEP, min(MAX_MERGE_STEP, MERGE_WEIGHT * (baseline - self.baseline)))
+        self.baseline = max(MIN_ADMITTED, min(1.0, self.baseline + step))
 
-    def hear(self, lasting: float) -> None:
-        """Another member's slow part, from fresh word."""
-        step = max(-MOST_PULL, min(MOST_PULL, PULL * (lasting - self.lasting)))
-        self.lasting = max(LEAST, min(1.0, self.lasting + step))
 
+def size_factor(members: int) -> float:
+    """Return 0 for a small fleet to 1 for a large one; logarithmic, as is the time that messages take."""
+    return min(1.0, max(0.0, math.log(max(1, members) / SMALL_FLEET) / math.log(LARGE_FLEET / SMALL_FLEET)))
 
-def largeness(members: int) -> float:
-    """0 for a small fleet to 1 for a large one, by its logarithm, as the time that word takes goes."""
-    return min(1.0, max(0.0, math.log(max(1, members) / SMALL) / math.log(LARGE / SMALL)))
 
+def fleet_pressure(hold_backs: Iterable[float]) -> float:
+    """Return the fleet's pressure, 0 to 1, from the shares that its servers request to be held back.
 
-def pressure_of(holds: Iterable[float]) -> float:
-    """The pressure on the fleet, from the shares that its servers ask to be held back: the mean of those less
-    pressed, since a call turned away at one is redrawn among the others."""
-    ordered = sorted(holds)
-    count = math.ceil(LESS_PRESSED * len(ordered))
+    It is the mean over the least loaded servers, since a call refused at one is redrawn among the others.
+    """
+    ordered = sorted(hold_backs)
+    count = math.ceil(COUNTED_SERVER_SHARE * len(ordered))
     return sum(ordered[:count]) / count if count else 0.0
--- a/martentide/overload/messages.py
+++ b/martentide/overload/messages.py
@@ -1,51 +1,59 @@
-"""What members tell each other about load: one facet each, small, and every figure with its own age."""
+"""Load messages between members: one small state entry per member, in which every figure has its own age."""
 
 from __future__ import annotations
 
 import msgspec
 
-LOAD = 3  # kind of facet
-SCHEMA = 1
-END = 4_000  # ms a word counts
-MOST_SERVERS = 24  # named in one word
-MOST_CLASSES = 12
-MOST_GIFTS = 8
+LOAD = 3  # kind of gossiped state entry
+SCHEMA = 1  # version of the format
+END = 4_000  # ms after which a message is ignored
+MAX_SERVERS = 24  # reported in one message
+MAX_CLASSES = 12
+MAX_TRANSFERS = 8
 
 
-class Pressed(msgspec.Struct, array_like=True, frozen=True):
-    """What the owner saw last of a server: the share of new set-ups that it asks each sender to hold back, in
-    thousandths, as of ``ago`` ms before the facet was said. Never another member's word."""
+class ServerPressure(msgspec.Struct, array_like=True, frozen=True):
+    """The owner's last observation of a server, never another member's.
+
+    ``hold_back`` is the share of new set-ups that each sender should hold back, in thousandths, observed
+    ``age`` ms before the message was sent.
+    """
 
     server: str
-    hold: int
-    ago: int
+    hold_back: int
+    age: int
+
 
+class Transfer(msgspec.Struct, array_like=True, frozen=True):
+    """A transfer of retry tokens to one process of one member.
 
-class Gift(msgspec.Struct, array_like=True, frozen=True):
-    """Tokens for further attempts, to one process of one member; ``number`` counts this owner's gifts, and
-    ``ago`` ms before the facet was said it was given."""
+    ``number`` counts the owner's transfers; it was made ``age`` ms before the message was sent.
+    """
 
     to: str
     life: int
     number: int
     tokens: int
-    ago: int
+    age: int
 
 
 class Load(msgspec.Struct, array_like=True, frozen=True):
-    """``lasting``: the slow part of what the owner lets in, in thousandths of the first tries;
-    ``offered``: first tries by class, in hundredths a second; ``wants``: tokens it is short of; ``taken``:
-    the last gift it took, by giver and the giver's life."""
+    """One member's load message.
+
+    ``baseline`` is the slow part of the admitted share, in thousandths of the first tries; ``offered`` the
+    first tries by class, in hundredths per second; ``tokens_wanted`` the retry tokens that it is short of;
+    ``received_transfers`` the last transfer received, as sender, the sender's life and its number.
+    """
 
-    lasting: int
+    baseline: int
     turn: int
     turn_age: int
     phase: int
     offered: dict[str, int]
-    pressed: list[Pressed]
-    wants: int = 0
-    gifts: list[Gift] = []
-    taken: list[tuple[str, int, int]] = []
+    pressed: list[ServerPressure]
+    tokens_wanted: int = 0
+    transfers: list[Transfer] = []
+    received_transfers: list[tuple[str, int, int]] = []
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -53,23 +61,24 @@
 
 
 def write_load(load: Load) -> bytes:
+    """Encode a message."""
     return _ENCODER.encode(load)
 
 
 def read_load(body: bytes) -> Load:
-    """Raises msgspec.DecodeError or ValidationError, also for figures that no member could mean."""
+    """Decode a message; raises msgspec.DecodeError or ValidationError, also for figures out of range."""
     load = _DECODER.decode(body)
     sound = (
-        0 <= load.lasting <= 1_000
+        0 <= load.baseline <= 1_000
         and 0 <= load.turn < 1 << 48
         and load.turn_age >= 0
-        and len(load.offered) <= MOST_CLASSES
-        and len(load.pressed) <= MOST_SERVERS
-        and len(load.gifts) <= MOST_GIFTS
+        and len(load.offered) <= MAX_CLASSES
+        and len(load.pressed) <= MAX_SERVERS
+        and len(load.transfers) <= MAX_TRANSFERS
         and all(0 <= rate < 1 << 32 for rate in load.offered.values())
-        and all(0 <= one.hold <= 1_000 and one.ago >= 0 for one in load.pressed)
-        and all(one.tokens > 0 and one.number > 0 and one.ago >= 0 for one in load.gifts)
-        and 0 <= load.wants < 1 << 16
+        and all(0 <= one.hold_back <= 1_000 and one.age >= 0 for one in load.pressed)
+        and all(one.tokens > 0 and one.number > 0 and one.age >= 0 for one in load.transfers)
+        and 0 <= load.tokens_wanted < 1 << 16
     )
     if not sound:
         raise msgspec.ValidationError("figures out of range")
--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -319,7 +319,8 @@
             return not call.in_transit
         return (
             share < 1.0
-            and admission_threshold.draw(call.number or str(self.rng.random()), admission.turn) >= share
+            and admission_threshold.uniform_hash(call.number or str(self.rng.random()), admission.turn)
+            >= share
         )
 
     def _retry_tokens_left(self, now: float) -> float:
@@ -350,7 +351,7 @@
         server.faults -= FAULT_WEIGHT * server.faults
         server.lag, server.lag_at = event.delay, now
         quick = event.delay < SLOW_LAG
-        server.cold_trust = slow_start.trusted(server.cold_trust, quick, 1.0 / self.scale)
+        server.cold_trust = slow_start.updated_trust(server.cold_trust, quick, 1.0 / self.scale)
         wait = max(0.0, event.delay - server.least_lag * (1.0 + NETWORK_JITTER))
         if wait < UNANSWERED_SHARE * self.tolerable:
             # Own half-open probes are rare in a large fleet, so other messages from the server count too.
@@ -686,20 +687,20 @@
         if server.cold_from is None:
             return None
         age, told = now - server.cold_from, server.entry.started == server.cold_from
-        share = slow_start.share(age, server.cold_trust, told, self.settings)
-        if slow_start.over(age, server.cold_spread if told else 0.0, self.settings):
+        share = slow_start.allowed_share(age, server.cold_trust, told, self.settings)
+        if slow_start.ramp_ended(age, server.cold_spread if told else 0.0, self.settings):
             server.cold_from = None
             return None
         usual = self.throughput * server.entry.size
         if not told or (not self.has_warm_server and self.throughput == 0.0):
             usual = max(usual, BOUND_FLOOR * self.scale)  # its capacity, or even that it is cold, is unknown
         rate, elapsed = usual * share * self.cold_budget_share, now - server.cold_filled
-        server.cold_tokens = slow_start.refilled(server.cold_tokens, rate, elapsed, self.settings)
+        server.cold_tokens = slow_start.refill(server.cold_tokens, rate, elapsed, self.settings)
         server.cold_filled = now
         return (
             server.cold_tokens
             if first or not told
-            else slow_start.young(server.cold_tokens, rate, self.settings)
+            else slow_start.fresh_tokens(server.cold_tokens, rate, self.settings)
         )
 
     def _take_probe_tokens(self, server: Server, now: float) -> bool:
@@ -717,7 +718,7 @@
         self.has_warm_server = bool(warm)
         if warm and self.started is not None:
             span = max(min(THROUGHPUT_WINDOW, now - self.started), 1000.0)
-            stood = slow_start.counted(sum(len(s.stood) for s in warm))
+            stood = slow_start.lower_estimate(sum(len(s.stood) for s in warm))
             seen = stood * 1000.0 / span / sum(s.entry.size for s in warm)
             self.throughput = max(seen, self.throughput * 0.5 ** (MAINTENANCE_PERIOD / THROUGHPUT_HALF_LIFE))
 
@@ -776,7 +777,7 @@
         rates = (self._tenant_rate(times, now) for times in self.tries_of.values())
         known = [s for s in self.servers.values() if s.seen_at is not None and now - s.seen_at < WAIT_MAX_AGE]
         waits = ((s.entry.place, now - (s.seen_at or now), s.seen_wait) for s in known)
-        body = gossip.write(rates, waits)
+        body = gossip.encode(rates, waits)
         others = [peer for peer in range(self.settings.proxies) if peer != self.settings.own_slot]
         if body and others:
             receivers = self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))
@@ -798,14 +799,14 @@
 
     def _on_peer_message(self, now: float, event: PeerMessage) -> None:
         """Apply a peer's tenant rates and server waits; ignore a message of another format."""
-        read = gossip.read(event.body, len(self.tries_of))
+        read = gossip.decode(event.body, len(self.tries_of))
         if read is None or not 0 <= event.sender < self.settings.proxies:
             return
         self.peer_rates[event.sender] = (now, read[0])
         places = {server.entry.place: server for server in self.servers.values()}
         for place, age, wait in read[1]:
             server, seen = places.get(place), now - age
-            if server is not None and (server.seen_at is None or seen > server.seen_at + gossip.NEWS_STEP):
+            if server is not None and (server.seen_at is None or seen > server.seen_at + gossip.TIME_STEP):
                 self._apply_peer_wait(now, server, seen, wait)
 
     def _apply_peer_wait(self, now: float, server: Server, seen: float, wait: float | None) -> None:
--- a/martentide_lab/sim.py
+++ b/martentide_lab/sim.py
@@ -160,7 +160,7 @@
                 if node.core is not None
             ]
             for part in self.overloads:
-                part.without = without
+                part.disabled = without
         for at in range(len(self.controllers)):
             self.at(self.now + self.dice.uniform(0.0, LOOK), lambda at=at: self._look(at))  # type: ignore[misc]
 
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -365,7 +365,7 @@
         return count
 
     # It is the only server, and nothing tells its pace: the least rate holds, at most its share of that.
-    most = 6 * 1.8 * BOUND_FLOOR * SETTINGS.fall_multiple * SETTINGS.cold_share * slow_start.USE
+    most = 6 * 1.8 * BOUND_FLOOR * SETTINGS.fall_multiple * SETTINGS.cold_share * slow_start.MAX_UTILISATION
     assert 0.3 * most < sent(40) / 40 <= most
 
 
--- a/tests/overload/test_admission_threshold.py
+++ b/tests/overload/test_admission_threshold.py
@@ -1,4 +1,4 @@
-"""Who is shed: classes by worth, one share at the cut, one verdict for a number at every proxy."""
+"""Load shedding by priority: shares by worth, one partial class, one verdict per number at every proxy."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martentide.overload.admission_threshold import TURNS, draw, shares
+from martentide.overload.admission_threshold import TURNS_PER_VERDICT, uniform_hash, admitted_shares
 
 WORTHS = {"status": 1.0, "prep": 2.0, "sign": 6.0}
 
@@ -21,16 +21,18 @@
         (0.0, {"status": 0.0, "prep": 0.0, "sign": 0.0}),
     ],
 )
-def test_the_worthiest_are_let_in_whole_and_one_class_in_part(
+def test_classes_above_the_threshold_are_admitted_whole_and_one_in_part(
     admitted: float, expected: dict[str, float]
 ) -> None:
-    cut = shares(admitted, WORTHS, {"status": 70.0, "prep": 20.0, "sign": 10.0})
+    cut = admitted_shares(admitted, WORTHS, {"status": 70.0, "prep": 20.0, "sign": 10.0})
     assert cut == pytest.approx(expected)
 
 
-def test_classes_of_one_worth_are_cut_alike_and_without_figures_all_are() -> None:
-    assert shares(0.5, {"a": 1.0, "b": 1.0}, {"a": 30.0, "b": 10.0}) == pytest.approx({"a": 0.5, "b": 0.5})
-    assert shares(0.4, WORTHS, {}) == {"status": 0.4, "prep": 0.4, "sign": 0.4}
+def test_classes_of_equal_worth_or_without_rates_get_equal_shares() -> None:
+    assert admitted_shares(0.5, {"a": 1.0, "b": 1.0}, {"a": 30.0, "b": 10.0}) == pytest.approx(
+        {"a": 0.5, "b": 0.5}
+    )
+    assert admitted_shares(0.4, WORTHS, {}) == {"status": 0.4, "prep": 0.4, "sign": 0.4}
 
 
 @given(
@@ -38,10 +40,10 @@
     st.dictionaries(st.sampled_from("abcde"), st.floats(0.1, 9.0), min_size=1),
     st.dictionaries(st.sampled_from("abcde"), st.floats(0.0, 1e4)),
 )
-def test_what_is_let_in_is_the_share_asked_for_and_keeps_the_order_of_worth(
+def test_admitted_total_matches_and_shares_follow_worth(
     admitted: float, worths: dict[str, float], offered: dict[str, float]
 ) -> None:
-    cut = shares(admitted, worths, offered)
+    cut = admitted_shares(admitted, worths, offered)
     total = sum(offered.get(name, 0.0) for name in worths)
     assert cut.keys() == worths.keys() and all(0.0 <= share <= 1.0 for share in cut.values())
     if total > 1e-3:
@@ -51,11 +53,13 @@
         assert [share for _, share in parts] == sorted(share for _, share in parts)
 
 
-def test_a_number_has_one_verdict_that_turns_slowly_and_not_with_all_others() -> None:
+def test_verdict_on_a_number_changes_slowly_and_at_different_turns() -> None:
     numbers = [f"{at:x}" for at in range(4_000)]
-    before, after = ([draw(number, turn) for number in numbers] for turn in (16, 17))
+    before, after = ([uniform_hash(number, turn) for number in numbers] for turn in (16, 17))
     turned = sum(one != other for one, other in zip(before, after, strict=True))
-    assert 0.5 / TURNS < turned / len(numbers) < 2.0 / TURNS
+    assert 0.5 / TURNS_PER_VERDICT < turned / len(numbers) < 2.0 / TURNS_PER_VERDICT
     for values in (before, after):
         assert 0.46 < sum(value < 0.5 for value in values) / len(values) < 0.54
-    assert all(draw(number, 3) != draw(number, 3 + TURNS) for number in numbers[:50])
+    assert all(
+        uniform_hash(number, 3) != uniform_hash(number, 3 + TURNS_PER_VERDICT) for number in numbers[:50]
+    )
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -1,4 +1,4 @@
-"""What the decisions make of the fleet's word, and that without it they are as before."""
+"""Effects of admission and retry budget on the decisions, and unchanged decisions without them."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
     RepeatBudget,
     SendSetUp,
 )
-from martentide.overload.admission_threshold import draw
+from martentide.overload.admission_threshold import uniform_hash
 from tests.support import SETTINGS, Bench, finals, sends
 
-CUT = Admission((("plain", 0.5), ("urgent", 1.0)), 0.6, 1.0, 3, 1_200.0, 2_000.0)
+PARTIAL = Admission((("plain", 0.5), ("urgent", 1.0)), 0.6, 1.0, 3, 1_200.0, 2_000.0)
 
 
 def bench_of(proxies: int = 6, servers: int = 4) -> Bench:
     return Bench(settings=replace(SETTINGS, proxies=proxies, release=0.0), servers=servers)
 
 
-def test_the_cut_is_by_the_number_alike_at_all_proxies_and_names_a_time_to_return() -> None:
+def test_shedding_by_number_is_equal_at_all_proxies_and_sets_a_hold_off() -> None:
     one, other = bench_of(), Bench(settings=SETTINGS, servers=4, seed=99)
     verdicts = []
     for bench in (one, other):
-        bench.feed(CUT)
+        bench.feed(PARTIAL)
         seen = []
         for at in range(60):
             actions = bench.offer(number=f"{at}")
@@ -38,28 +38,28 @@
             for send in sends(actions):
                 bench.stand(send)
         verdicts.append(seen)
-    assert verdicts[0] == verdicts[1] == [draw(f"{at}", 3) >= 0.5 for at in range(60)]
+    assert verdicts[0] == verdicts[1] == [uniform_hash(f"{at}", 3) >= 0.5 for at in range(60)]
     assert 15 < sum(verdicts[0]) < 45
 
 
-def test_a_redial_meets_the_same_verdict_and_a_late_one_its_worth() -> None:
+def test_redial_gets_the_same_verdict_and_late_redial_is_judged_by_worth() -> None:
     bench = bench_of()
-    bench.feed(CUT)
-    number = next(f"{at}" for at in range(99) if draw(f"{at}", 3) < 0.5)
-    other = next(f"{at}" for at in range(99) if draw(f"{at}", 3) >= 0.5)
+    bench.feed(PARTIAL)
+    number = next(f"{at}" for at in range(99) if uniform_hash(f"{at}", 3) < 0.5)
+    other = next(f"{at}" for at in range(99) if uniform_hash(f"{at}", 3) >= 0.5)
     assert [type(action) for action in bench.offer(number=other)] == [Refuse]
     bench.advance(800.0)
     assert [type(action) for action in bench.offer(number=other)] == [Refuse]
-    bench.advance(1_300.0)  # past the aim: late, and worth a fifth
+    bench.advance(1_300.0)  # past the aim: late, so worth a fifth
     assert [type(action) for action in bench.offer(number=other)] == [Refuse]
     assert len(sends(bench.offer(number=number))) == 1
-    bench.feed(replace(CUT, shares=(("plain", 1.0), ("urgent", 1.0)), floor=0.0))
+    bench.feed(replace(PARTIAL, shares=(("plain", 1.0), ("urgent", 1.0)), floor=0.0))
     assert len(sends(bench.offer(number=other))) == 1
 
 
-def test_what_is_let_in_whole_goes_as_without_a_fleet_action_for_action() -> None:
+def test_full_admission_gives_the_same_actions_as_no_fleet() -> None:
     told, alone = bench_of(), bench_of()
-    told.feed(replace(CUT, shares=(("plain", 1.0), ("urgent", 1.0)), admitted=1.0, floor=0.0))
+    told.feed(replace(PARTIAL, shares=(("plain", 1.0), ("urgent", 1.0)), admitted=1.0, floor=0.0))
     for at in range(200):
         pair = [bench.offer(first=at % 4, number=f"{at}") for bench in (told, alone)]
         assert pair[0] == pair[1]
@@ -69,7 +69,7 @@
             bench.advance(20.0)
 
 
-def test_a_further_attempt_costs_a_token_and_none_are_left_at_the_end_of_their_life() -> None:
+def test_retry_costs_a_token_and_tokens_expire() -> None:
     bench = bench_of()
     bench.feed(RepeatBudget(1.0, 1_000.0))
     [first], [second] = sends(bench.offer(number="1")), sends(bench.offer(number="2"))
@@ -77,11 +77,11 @@
     assert finals(bench.end(second.ref, second.server, Ending.CUT)) == [Fail(second.ref)]
     bench.feed(RepeatBudget(5.0, 1_000.0))
     [third] = sends(bench.offer(number="3"))
-    bench.now += 1_001.0  # the process stood still: what it held counts for nothing
+    bench.now += 1_001.0  # the process was suspended: its tokens have expired
     assert finals(bench.end(third.ref, third.server, Ending.CUT)) == [Fail(third.ref)]
 
 
-def test_without_a_budget_attempts_are_as_many_as_the_settings_allow() -> None:
+def test_without_a_retry_budget_only_max_attempts_limits() -> None:
     bench = bench_of()
     [send] = sends(bench.offer(number="1"))
     for attempt in range(SETTINGS.max_attempts - 1):
@@ -89,10 +89,10 @@
     assert finals(bench.end(send.ref, send.server, Ending.CUT, attempt=SETTINGS.max_attempts - 1))
 
 
-def test_what_the_fleet_holds_back_is_not_held_back_again_by_images() -> None:
-    """A server asks for 0.4 and the fleet lets 0.6 in: there is nothing left to hold back."""
+def test_image_does_not_repeat_the_reduction_by_admission() -> None:
+    """A server requests 0.4 and the fleet admits 0.6: nothing is left for the image to hold back."""
     bench = bench_of(servers=1)
-    bench.feed(CUT)
+    bench.feed(PARTIAL)
     bench.press("s0", 0.4)
     assert bench.controller.servers["s0"].image is None
     bench.press("s0", 0.8)
@@ -102,5 +102,5 @@
 
 def test_a_call_in_transit_is_not_shed() -> None:
     bench = bench_of()
-    bench.feed(replace(CUT, shares=(("plain", 0.0), ("urgent", 0.0))))
+    bench.feed(replace(PARTIAL, shares=(("plain", 0.0), ("urgent", 0.0))))
     assert any(isinstance(action, SendSetUp) for action in bench.offer(number="1", in_transit=True))
--- a/tests/overload/test_escrow.py
+++ b/tests/overload/test_escrow.py
@@ -1,5 +1,7 @@
-"""What is spent in the fleet is never more than what was earned: searched over all interleavings, and shown
-to be found where a line of the machine is left out."""
+"""The fleet never spends more retry tokens than were earned.
+
+A search over all interleavings finds no counterexample, and finds one if a guarding line is removed.
+"""
 
 from __future__ import annotations
 
@@ -10,52 +12,60 @@
 import pytest
 
 from martentide.overload import escrow
-from martentide.overload.messages import MOST_GIFTS, Gift
+from martentide.overload.messages import MAX_TRANSFERS, Transfer
 
-STEP = 1_300.0  # ms of the search's clock: gifts end in two steps, and are settled after four
+STEP = 1_300.0  # ms per step of the search: transfers expire after two steps and are settled after four
 MEMBERS = ("a", "b", "c")
-KEPT = 2  # words of one owner that may still come, late or again
+MAX_PENDING = 2  # messages of one owner that may still arrive, late or repeatedly
 
 
-class Word(NamedTuple):
-    """A facet as it was said."""
+class LoadMessage(NamedTuple):
+    """A load message as sent."""
 
     owner: str
     life: int
     at: int
-    gifts: tuple[Any, ...]
-    taken: tuple[tuple[str, int, int], ...]
+    transfers: tuple[Any, ...]
+    received: tuple[tuple[str, int, int], ...]
 
 
 class Fleet(NamedTuple):
+    """One state of the search."""
+
     accounts: tuple[Any, ...]
-    words: tuple[Word, ...]
+    words: tuple[LoadMessage, ...]
     now: int = 0
     earned: int = 0
     spent: int = 0
     crashes: int = 0
 
     def key(self) -> tuple[Any, ...]:
-        books = tuple(
+        accounts = tuple(
             (
-                one.life, one.tokens, one.number,
-                tuple((number, given.gift, given.at) for number, given in sorted(one.given.items())),
-                tuple(sorted(one.taken.items())),
+                one.life, one.tokens, one.last_number,
+                tuple((number, sent.transfer, sent.sent_at) for number, sent in sorted(one.outgoing.items())),
+                tuple(sorted(one.last_received.items())),
             )
             for one in self.accounts
         )  # fmt: skip
-        return (books, self.words, self.now, self.earned, self.spent, self.crashes)
+        return (accounts, self.words, self.now, self.earned, self.spent, self.crashes)
 
 
-def copy(module: Any, account: Any) -> Any:
+def copy_account(module: Any, account: Any) -> Any:
     one = account
     return module.Escrow(
-        one.name, one.life, one.depth, one.tokens, one.number, dict(one.given), dict(one.taken)
+        one.name,
+        one.life,
+        one.max_balance,
+        one.tokens,
+        one.last_number,
+        dict(one.outgoing),
+        dict(one.last_received),
     )
 
 
 def steps(module: Any, fleet: Fleet) -> Iterator[tuple[str, Fleet]]:  # noqa: C901
-    """All that can happen next."""
+    """Yield every possible next step with the resulting state."""
     now = fleet.now * STEP
 
     def with_account(at: int, account: Any, **more: Any) -> Fleet:
@@ -66,44 +76,51 @@
         yield "time", fleet._replace(now=fleet.now + 1)
     for at, name in enumerate(MEMBERS):
         held = fleet.accounts[at]
-        taken = tuple((giver, life, number) for giver, (life, number) in sorted(held.taken.items()))
+        received = tuple(
+            (sender, life, number) for sender, (life, number) in sorted(held.last_received.items())
+        )
         if held.tokens >= 1:
-            one = copy(module, held)
-            if one.draw(1):
+            one = copy_account(module, held)
+            if one.withdraw(1):
                 yield f"{name} spends", with_account(at, one, spent=fleet.spent + 1)
-            for other, taker in enumerate(MEMBERS):
-                if other != at and not held.given:
-                    one = copy(module, held)
-                    if one.give(now, taker, fleet.accounts[other].life, 1):
-                        told = Word(name, one.life, fleet.now, tuple(one.gifts(now)), taken)
-                        yield f"{name} gives {taker}", with_account(at, one, words=kept(fleet.words, told))
-        if held.taken or any(word.gifts and word.owner != name for word in fleet.words):
-            told = Word(name, held.life, fleet.now, tuple(held.gifts(now)), taken)
-            if told not in fleet.words:
-                yield f"{name} tells", fleet._replace(words=kept(fleet.words, told))
-        for word in fleet.words:
-            if word.owner != name:
-                one, age = copy(module, held), (fleet.now - word.at) * STEP
-                for gift in word.gifts:
-                    one.take(word.owner, word.life, gift, age)
-                last = {life: number for giver, life, number in word.taken if giver == name}
-                one.settle(now, word.owner, word.life, age, last.get(one.life, 0))
-                yield f"{name} hears {word.owner} of {word.at}", with_account(at, one)
-        if not fleet.crashes and held.taken:
+            for other, recipient in enumerate(MEMBERS):
+                if other != at and not held.outgoing:
+                    one = copy_account(module, held)
+                    if one.send(now, recipient, fleet.accounts[other].life, 1):
+                        published = LoadMessage(
+                            name, one.life, fleet.now, tuple(one.pending_transfers(now)), received
+                        )
+                        yield (
+                            f"{name} sends to {recipient}",
+                            with_account(at, one, words=with_message(fleet.words, published)),
+                        )
+        if held.last_received or any(message.transfers and message.owner != name for message in fleet.words):
+            published = LoadMessage(name, held.life, fleet.now, tuple(held.pending_transfers(now)), received)
+            if published not in fleet.words:
+                yield f"{name} publishes", fleet._replace(words=with_message(fleet.words, published))
+        for message in fleet.words:
+            if message.owner != name:
+                one, age = copy_account(module, held), (fleet.now - message.at) * STEP
+                for transfer in message.transfers:
+                    one.receive(message.owner, message.life, transfer, age)
+                last = {life: number for sender, life, number in message.received if sender == name}
+                one.settle(now, message.owner, message.life, age, last.get(one.life, 0))
+                yield f"{name} receives {message.owner} of {message.at}", with_account(at, one)
+        if not fleet.crashes and held.last_received:
             yield (
-                f"{name} begins anew",
-                with_account(at, module.Escrow(name, held.life + 10, held.depth), crashes=1),
+                f"{name} restarts",
+                with_account(at, module.Escrow(name, held.life + 10, held.max_balance), crashes=1),
             )
 
 
-def kept(words: tuple[Word, ...], new: Word) -> tuple[Word, ...]:
-    mine = [word for word in words if word.owner == new.owner][-(KEPT - 1) :]
-    rest = [word for word in words if word.owner != new.owner]
-    return tuple(sorted([*rest, *mine, new], key=lambda word: (word.owner, word.at, repr(word))))
+def with_message(words: tuple[LoadMessage, ...], new: LoadMessage) -> tuple[LoadMessage, ...]:
+    mine = [message for message in words if message.owner == new.owner][-(MAX_PENDING - 1) :]
+    rest = [message for message in words if message.owner != new.owner]
+    return tuple(sorted([*rest, *mine, new], key=lambda message: (message.owner, message.at, repr(message))))
 
 
 def search(module: Any, depth: int, most: int) -> tuple[int, list[str] | None]:
-    """States seen, and the way to the first in which more can be spent than was earned."""
+    """Return the number of visited states and the steps to the first that can overspend, or None."""
     begin = Fleet(tuple(module.Escrow(name, at + 1, 3.0) for at, name in enumerate(MEMBERS)), (), earned=1)
     begin.accounts[0].earn(1.0)
     seen = {begin.key()}
@@ -122,8 +139,8 @@
     return len(seen), None
 
 
-def mutated(old: str, new: str) -> Any:
-    """The module with one line of it changed."""
+def mutate(old: str, new: str) -> Any:
+    """Return the escrow module with one line changed."""
     text = inspect.getsource(escrow)
     assert text.count(old) == 1, old
     module = type(escrow)("mutated_escrow")
@@ -140,36 +157,36 @@
 @pytest.mark.parametrize(
     ("old", "new"),
     [
-        ("        self.tokens -= tokens\n        self.number", "        self.number"),
-        ("        if giver_life == last_life and gift.number <= last:\n", "        if False:\n"),
-        ("or age + gift.ago >= GIFT_END:", "or False:"),
-        ("elif now - age - one.at >= SETTLE_AFTER:", "elif now - one.at >= SETTLE_AFTER:"),
-        ("elif now - age - one.at >= SETTLE_AFTER:", "else:"),
+        ("        self.tokens -= tokens\n        self.last_number", "        self.last_number"),
+        ("        if sender_life == last_life and transfer.number <= last:\n", "        if False:\n"),
+        ("or age + transfer.age >= TRANSFER_EXPIRY:", "or False:"),
+        ("elif now - age - one.sent_at >= SETTLE_AFTER:", "elif now - one.sent_at >= SETTLE_AFTER:"),
+        ("elif now - age - one.sent_at >= SETTLE_AFTER:", "else:"),
         ("            if last >= number:\n", "            if False:\n"),
-        ("gift.to != self.name or gift.life != self.life", "gift.to != self.name"),
+        ("transfer.to != self.name or transfer.life != self.life", "transfer.to != self.name"),
     ],
-    ids=["not-debited", "taken-twice", "taken-late", "settled-by-old-word", "settled-at-once",
+    ids=["not-debited", "taken-twice", "taken-late", "settled-by-old-report", "settled-at-once",
          "settled-though-taken", "taken-by-the-next-life"],
 )  # fmt: skip
-def test_each_line_that_guards_the_sum_is_needed(old: str, new: str) -> None:
-    states, way = search(mutated(old, new), depth=11, most=60_000)
+def test_removing_any_guard_allows_overspending(old: str, new: str) -> None:
+    states, way = search(mutate(old, new), depth=11, most=60_000)
     assert way is not None, states
 
 
-def test_a_full_account_loses_what_it_earns_but_no_gift() -> None:
-    one = escrow.Escrow("a", 1, depth=2.0)
+def test_full_account_loses_earnings_but_no_transfer() -> None:
+    one = escrow.Escrow("a", 1, max_balance=2.0)
     one.earn(5.0)
     assert one.tokens == 2.0
-    assert one.take("b", 7, Gift("a", 1, 1, 3, 0), 0.0) == 3 and one.tokens == 5.0
-
-
-def test_gifts_and_givers_have_a_bound_and_an_end() -> None:
-    one = escrow.Escrow("a", 1, depth=100.0, tokens=100.0)
-    assert sum(one.give(0.0, f"m{at}", 1, 1) for at in range(50)) == MOST_GIFTS
-    one.forget(5.0 * escrow.SETTLE_AFTER, set())
-    assert not one.given
-    for at in range(2 * escrow.MOST_GIVERS):
-        one.take(f"m{at}", 1, Gift("a", 1, 1, 1, 0), 0.0)
-    assert len(one.taken) <= escrow.MOST_GIVERS
-    one.forget(0.0, {"m0"})
-    assert set(one.taken) == {"m0"}
+    assert one.receive("b", 7, Transfer("a", 1, 1, 3, 0), 0.0) == 3 and one.tokens == 5.0
+
+
+def test_transfers_and_senders_are_bounded_and_expire() -> None:
+    one = escrow.Escrow("a", 1, max_balance=100.0, tokens=100.0)
+    assert sum(one.send(0.0, f"m{at}", 1, 1) for at in range(50)) == MAX_TRANSFERS
+    one.expire(5.0 * escrow.SETTLE_AFTER, set())
+    assert not one.outgoing
+    for at in range(2 * escrow.MAX_SENDERS):
+        one.receive(f"m{at}", 1, Transfer("a", 1, 1, 1, 0), 0.0)
+    assert len(one.last_received) <= escrow.MAX_SENDERS
+    one.expire(0.0, {"m0"})
+    assert set(one.last_received) == {"m0"}
--- a/tests/overload/test_level.py
+++ b/tests/overload/test_level.py
@@ -1,4 +1,4 @@
-"""The share let in, by pressure: it falls at once, comes back by a ramp, and no word moves it far."""
+"""The admitted share under pressure: immediate drop, gradual recovery, bounded effect of messages."""
 
 from __future__ import annotations
 
@@ -7,101 +7,105 @@
 import pytest
 
 from martentide.overload.level import (
-    LEAST,
-    MOST_PULL,
-    PRESSED,
-    RAMP,
-    REFRAIN,
-    SWIFT,
-    SWIFT_MOST,
+    MIN_ADMITTED,
+    MAX_MERGE_STEP,
+    PRESSURE_THRESHOLD,
+    MAX_RECOVERY_RATE,
+    LATE_REDIAL_HOLD,
+    PROPORTIONAL_GAIN,
+    PROPORTIONAL_GAIN_LARGE,
     Level,
     Phase,
-    largeness,
-    pressure_of,
+    size_factor,
+    fleet_pressure,
 )
 
-LOOK = 250.0
+POLL_INTERVAL = 250.0
 
 
 def play(level: Level, pressures: list[float], storm: bool = False, begin: float = 0.0) -> list[float]:
     seen = []
     for at, pressure in enumerate(pressures):
-        level.look(begin + at * LOOK, pressure, storm)
+        level.update(begin + at * POLL_INTERVAL, pressure, storm)
         seen.append(level.admitted)
     return seen
 
 
-def test_without_pressure_all_is_let_in() -> None:
+def test_without_pressure_everything_is_admitted() -> None:
     level = Level()
-    assert play(level, [0.0, PRESSED / 2, 0.0]) == [1.0, 1.0, 1.0]
+    assert play(level, [0.0, PRESSURE_THRESHOLD / 2, 0.0]) == [1.0, 1.0, 1.0]
     assert level.phase is Phase.NORMAL
 
 
-def test_pressure_sheds_within_two_looks_and_what_lasts_sheds_more() -> None:
+def test_pressure_sheds_within_two_updates_and_lasting_pressure_sheds_more() -> None:
     level = Level()
     seen = play(level, [0.6] * 24)
     assert seen[2] < 0.7 and seen == sorted(seen, reverse=True)
-    assert level.phase is Phase.SHEDDING and level.lasting < 0.85
+    assert level.phase is Phase.SHEDDING and level.baseline < 0.85
 
 
 def test_recovery_is_a_ramp() -> None:
     level = Level()
     play(level, [0.9] * 40)
-    back = play(level, [0.0] * 40, begin=40 * LOOK)
+    back = play(level, [0.0] * 40, begin=40 * POLL_INTERVAL)
     rises = [after - before for before, after in itertools.pairwise(back[8:])]
-    assert max(rises) <= RAMP * LOOK / 1_000.0 + 1e-9 and back[-1] > back[8]
+    assert max(rises) <= MAX_RECOVERY_RATE * POLL_INTERVAL / 1_000.0 + 1e-9 and back[-1] > back[8]
 
 
-def test_a_storm_is_broken_by_a_deeper_cut_but_some_calls_go_always() -> None:
+def test_storm_lowers_the_share_further_but_never_below_the_minimum() -> None:
     plain, storm = Level(), Level()
     assert play(storm, [0.5] * 8, storm=True)[-1] < 0.6 * play(plain, [0.5] * 8)[-1]
-    assert play(storm, [1.0] * 200, storm=True, begin=8 * LOOK)[-1] == LEAST and storm.storms > 0
+    assert (
+        play(storm, [1.0] * 200, storm=True, begin=8 * POLL_INTERVAL)[-1] == MIN_ADMITTED and storm.storms > 0
+    )
 
 
-def test_late_redials_stay_out_until_a_while_after_the_last_pressure() -> None:
+def test_late_redials_are_refused_until_some_time_after_the_last_pressure() -> None:
     level = Level()
     play(level, [0.5] * 8)
     last = level.pressed_at
-    assert level.refrains(last + REFRAIN - 1.0) and not level.refrains(last + REFRAIN + 1.0)
+    assert level.refuses_late_redials(last + LATE_REDIAL_HOLD - 1.0) and not level.refuses_late_redials(
+        last + LATE_REDIAL_HOLD + 1.0
+    )
 
 
-def test_a_process_that_stood_still_takes_no_credit_for_the_time() -> None:
+def test_suspended_process_does_not_recover_meanwhile() -> None:
     level = Level()
     play(level, [0.9] * 40)
-    before = level.lasting
-    level.look(40 * LOOK + 60_000.0, 0.0, False)
-    assert level.lasting <= before + RAMP * 0.5
+    before = level.baseline
+    level.update(40 * POLL_INTERVAL + 60_000.0, 0.0, False)
+    assert level.baseline <= before + MAX_RECOVERY_RATE * 0.5
 
 
-@pytest.mark.parametrize("said", [0.0, 1.0])
-def test_one_word_moves_the_share_by_little(said: float) -> None:
-    level = Level(lasting=0.5)
-    level.hear(said)
-    assert abs(level.lasting - 0.5) <= MOST_PULL + 1e-9
+@pytest.mark.parametrize("received", [0.0, 1.0])
+def test_one_message_shifts_the_baseline_by_a_bounded_amount(received: float) -> None:
+    level = Level(baseline=0.5)
+    level.merge(received)
+    assert abs(level.baseline - 0.5) <= MAX_MERGE_STEP + 1e-9
 
 
-def test_members_that_hear_each_other_come_together() -> None:
-    one, other = Level(lasting=0.3), Level(lasting=0.9)
+def test_baselines_of_communicating_members_converge() -> None:
+    one, other = Level(baseline=0.3), Level(baseline=0.9)
     for _ in range(30):
-        one.hear(other.lasting)
-        other.hear(one.lasting)
-    assert one.lasting == pytest.approx(other.lasting, abs=0.02)
+        one.merge(other.baseline)
+        other.merge(one.baseline)
+    assert one.baseline == pytest.approx(other.baseline, abs=0.02)
 
 
-def test_the_servers_less_pressed_decide() -> None:
-    assert pressure_of([0.0, 0.0, 0.0, 0.9]) == 0.0  # calls are redrawn among the others
-    assert pressure_of([0.5, 0.6, 0.7]) == pytest.approx(0.6)
-    assert pressure_of([]) == 0.0
+def test_least_loaded_servers_determine_the_pressure() -> None:
+    assert fleet_pressure([0.0, 0.0, 0.0, 0.9]) == 0.0  # calls are redrawn among the other servers
+    assert fleet_pressure([0.5, 0.6, 0.7]) == pytest.approx(0.6)
+    assert fleet_pressure([]) == 0.0
 
 
 @pytest.mark.parametrize(("members", "large"), [(0, 0.0), (1, 0.0), (12, 0.0), (200, 1.0), (5_000, 1.0)])
-def test_how_large_a_fleet_is_held_for(members: int, large: float) -> None:
-    assert largeness(members) == large
-    assert largeness(max(1, members - 1)) <= large <= largeness(members + 1)
+def test_size_factor_bounds(members: int, large: float) -> None:
+    assert size_factor(members) == large
+    assert size_factor(max(1, members - 1)) <= large <= size_factor(members + 1)
 
 
-def test_a_large_fleet_sheds_more_for_the_same_word_and_as_soon_lets_all_in_again() -> None:
-    small, large = Level(swift=SWIFT), Level(swift=SWIFT_MOST)
+def test_large_fleet_sheds_more_and_recovers_as_soon() -> None:
+    small, large = Level(gain=PROPORTIONAL_GAIN), Level(gain=PROPORTIONAL_GAIN_LARGE)
     pressures = [0.4] * 8 + [0.0] * 12
     one, other = play(small, pressures), play(large, pressures)
     assert other[7] < one[7] < 1.0 and one[-1] == other[-1] == 1.0
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -1,4 +1,4 @@
-"""Overload as one, on real processes with faults between them, by what servers and callers saw."""
+"""Fleet-wide overload control on real processes with faults, judged by what servers and callers observe."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from martentide.net.fleet.show import table
 from martentide.net.links import unix_ms
-from martentide.overload.core import DEPTH, PURSE, REPEAT_SHARE
-from martentide.overload.messages import LOAD, Load, Pressed, write_load
+from martentide.overload.core import MAX_BALANCE, ALLOTMENT, RETRY_RATIO
+from martentide.overload.messages import LOAD, Load, ServerPressure, write_load
 from martentide_lab.checker import check_repeats, cold_use
 from martentide_lab.fleet.ghost import Ghost
 from martentide_lab.fleet.rig import Rig
@@ -20,8 +20,8 @@
 from martentide_lab.servers import READY, Arrival, SessionServer
 from tests.fleet.support import LIMIT, play
 
-SHARES = (0.74, 0.05, 0.21)  # of the classes
-RATE = 20.0  # set-ups a second of a server
+SHARES = (0.74, 0.05, 0.21)  # of the traffic, by class
+RATE = 20.0  # set-ups/s of one server
 SERVERS, PROXIES = 3, 6
 ON = "overload #true"
 
@@ -33,8 +33,10 @@
 def storm(
     scene: Callable[[Rig], Awaitable[None]], *, honour: float | None = None, budget: bool = True, **more: Any
 ) -> None:
-    """1.7 times the planned load while the scene is played; then it goes, and all have to let everything in
-    again, none having repeated more than the fleet may."""
+    """Run ``scene`` under 1.7 times the planned load, then remove the load.
+
+    All proxies must then admit everything again, with no more retries than the fleet's budget allows.
+    """
 
     async def whole(rig: Rig) -> None:
         for server in rig.servers:
@@ -50,7 +52,7 @@
         if budget:
             tries = sum(len(load.stories) for _, load in rig.all_loads)
             lives = len(rig.all_loads)
-            assert not check_repeats(rig.servers, tries, REPEAT_SHARE, lives, DEPTH + PURSE)
+            assert not check_repeats(rig.servers, tries, RETRY_RATIO, lives, MAX_BALANCE + ALLOTMENT)
 
     more = {"extra": ON, "redials": 3, "shares": SHARES, **more}
     play(whole, PROXIES, SERVERS, rate=0.8 * RATE * SERVERS, **more)
@@ -62,14 +64,14 @@
         await do(rig, "surge-at", "n0", 6.0)
         await asyncio.sleep(4.0)
         shedding = {event.who for event in rig.log if event.kind == "overload"}
-        assert len(shedding) == PROXIES  # also those to which no more is offered than before
+        assert len(shedding) == PROXIES  # also those whose offered load did not change
 
     storm(scene)
 
 
 WANDERS = [step for name in ("n0", "n1", "n2", "n3")
            for step in ((0.0, "surge-at", name, 6.0), (1.2, "surge-at", name, 1.0))]  # fmt: skip
-CASES: dict[str, tuple[list[tuple[Any, ...]], dict[str, Any]]] = {  # s to wait before each step; the rig
+CASES: dict[str, tuple[list[tuple[Any, ...]], dict[str, Any]]] = {  # seconds before each step; options of the rig
     "split four to two, and healed": ([(1.0, "split", "n0,n1,n2,n3", "n4,n5"), (4.0, "heal")], {}),
     "stopped for 3 s, with old tokens and an old cut": ([(1.0, "stop", "n1"), (3.0, "continue", "n1")], {}),
     "most killed, and back": (
@@ -127,15 +129,15 @@
 
 
 async def lie(rig: Rig, hold: int, lasting: int, spans: int) -> list[float]:
-    """A member that claims so much of every server and asks for every token; what the others let in then."""
+    """Run a member that makes false claims and requests all tokens; return what the others then admit."""
     ghost = Ghost("n9")
     admitted = []
     try:
         await ghost.join(rig.hub, (rig.hub.told("n0"),))
         for turn in range(spans):
-            pressed = [Pressed(server.name, hold, 0) for server in rig.servers]
+            pressed = [ServerPressure(server.name, hold, 0) for server in rig.servers]
             offered = {"status-check": 100 + turn}
-            ghost.publish(LOAD, 1, write_load(Load(lasting, 0, 0, 0, offered, pressed, wants=99)))
+            ghost.publish(LOAD, 1, write_load(Load(lasting, 0, 0, 0, offered, pressed, tokens_wanted=99)))
             await asyncio.sleep(0.25)
             if turn >= 8 and turn % 4 == 0:
                 said = [(await rig.status(name))["overload"] for name in rig.proxies]
--- a/tests/overload/test_slow_start.py
+++ b/tests/overload/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what many proxies that share nothing grant a cold server, added up."""
+"""Slow start: the total load that many uncoordinated proxies send to a cold server."""
 
 from __future__ import annotations
 
@@ -15,19 +15,22 @@
 from tests.support import SETTINGS
 
 AGES = st.floats(0.0, 3.0 * SETTINGS.cold_time)
-TRUSTS = st.floats(1.0, slow_start.MOST_TRUST)
+TRUSTS = st.floats(1.0, slow_start.MAX_TRUST)
 
 
 @given(AGES, TRUSTS)
 def test_what_is_granted_in_a_window_and_the_life_before_it_stays_below_what_is_allowed(
     age: float, trust: float
 ) -> None:
-    """With any trust, should the server warm up steadily; without trust, should it stay as it began."""
-    share = slow_start.share(age, trust, True, SETTINGS)
+    """Holds with any trust if the server warms up linearly, and without trust if it stays at its first share."""
+    share = slow_start.allowed_share(age, trust, True, SETTINGS)
     cold, multiple = SETTINGS.cold_share, SETTINGS.fall_multiple
     steady = cold + (1.0 - cold) * min(1.0, age / SETTINGS.cold_time)
-    assert 0.0 < share * (1.0 + slow_start.LIFE) <= multiple * steady
-    assert slow_start.share(age, 1.0, True, SETTINGS) <= slow_start.USE * multiple * cold + 1e-9
+    assert 0.0 < share * (1.0 + slow_start.REDRAW_GRANT_LIFETIME) <= multiple * steady
+    assert (
+        slow_start.allowed_share(age, 1.0, True, SETTINGS)
+        <= slow_start.MAX_UTILISATION * multiple * cold + 1e-9
+    )
 
 
 @given(st.floats(0.0, 1.0), st.floats(0.01, 20.0), st.lists(st.floats(0.0, 5000.0), max_size=20))
@@ -36,42 +39,42 @@
 ) -> None:
     tokens, granted = begin, begin
     for step in steps:
-        tokens = slow_start.refilled(tokens, rate, step, SETTINGS)
+        tokens = slow_start.refill(tokens, rate, step, SETTINGS)
         granted += rate * step / 1000.0
         assert abs((granted - tokens) - round(granted - tokens)) < 1e-6
-        assert tokens < 1.0 + rate * slow_start.KEPT * SETTINGS.fall_time / 1000.0 + 1e-6
-        assert slow_start.young(tokens, rate, SETTINGS) <= tokens
+        assert tokens < 1.0 + rate * slow_start.GRANT_LIFETIME * SETTINGS.fall_time / 1000.0 + 1e-6
+        assert slow_start.fresh_tokens(tokens, rate, SETTINGS) <= tokens
 
 
 def saturating(tokens: float, rate: float, elapsed: float) -> float:
-    """The usual bucket: a grant waits for ever."""
+    """The usual token bucket, whose grants never expire."""
     return min(1.5, tokens + rate * elapsed / 1000.0)
 
 
 @pytest.mark.parametrize("proxies", [20, 30, 200])
 @pytest.mark.parametrize("allowed", [3.0, 10.0, 30.0])
 def test_an_idle_fleet_that_is_asked_all_at_once(proxies: int, allowed: float) -> None:
-    """No call comes for a minute, then at every proxy as many as want: the worst that a storm can do."""
+    """After a minute without calls, every proxy is saturated at once: the worst case of a storm."""
     dice = random.Random(proxies + int(allowed))
     window = SETTINGS.fall_time
     rate = allowed / 2.0 / (window / 1000.0) / proxies
     sent = 0
     for _ in range(proxies):
-        tokens = slow_start.refilled(dice.random(), rate, 60_000.0, SETTINGS)
+        tokens = slow_start.refill(dice.random(), rate, 60_000.0, SETTINGS)
         for _ in range(int(window // 50.0)):
-            tokens = slow_start.refilled(tokens, rate, 50.0, SETTINGS)
-            if slow_start.young(tokens, rate, SETTINGS) >= 1.0:
+            tokens = slow_start.refill(tokens, rate, 50.0, SETTINGS)
+            if slow_start.fresh_tokens(tokens, rate, SETTINGS) >= 1.0:
                 sent, tokens = sent + 1, tokens - 1.0
     assert sent <= allowed + 2.0 * math.sqrt(allowed) + 2.0
 
 
 def test_all_that_had_saved_one_up_are_a_burst() -> None:
-    """The same with the usual bucket, a minute idle: 200 tokens at once, where 10 are allowed."""
+    """The same with the usual bucket after an idle minute: 200 tokens at once, where 10 are allowed."""
     rate, idle = 10.0 / 2.0 / 2.0 / 200.0, 600_000.0
     waiting = [saturating(at / 200.0, rate, idle) for at in range(200)]
-    lapsing = [slow_start.refilled(at / 200.0, rate, idle, SETTINGS) for at in range(200)]
+    lapsing = [slow_start.refill(at / 200.0, rate, idle, SETTINGS) for at in range(200)]
     assert sum(one >= 1.0 for one in waiting) == 200
-    assert sum(slow_start.young(one, rate, SETTINGS) >= 1.0 for one in lapsing) <= 10
+    assert sum(slow_start.fresh_tokens(one, rate, SETTINGS) >= 1.0 for one in lapsing) <= 10
 
 
 @pytest.mark.parametrize(("count", "over"), [(40, False), (80, True)])
@@ -83,7 +86,7 @@
 
 @given(AGES, TRUSTS)
 def test_a_start_that_is_only_supposed_is_ramped_by_trust_alone(age: float, trust: float) -> None:
-    """Guards against holding back a server for its whole warming time that was cut off and is warm."""
-    told, supposed = (slow_start.share(age, trust, told, SETTINGS) for told in (True, False))
+    """A server that was unreachable and is warm must not be limited for the whole warm-up time."""
+    told, supposed = (slow_start.allowed_share(age, trust, told, SETTINGS) for told in (True, False))
     assert supposed >= told - 1e-9
-    assert slow_start.share(0.0, slow_start.MOST_TRUST, False, SETTINGS) > 1.0
+    assert slow_start.allowed_share(0.0, slow_start.MAX_TRUST, False, SETTINGS) > 1.0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -90,7 +90,7 @@
 
 def test_a_whole_first_token_for_each_proxy_would_push_it_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """The check above can fail: with a first token that waits for each proxy, 240 of them break the limit."""
-    monkeypatch.setattr(slow_start, "refilled", saturated)
+    monkeypatch.setattr(slow_start, "refill", saturated)
     monkeypatch.setattr(rules.Controller, "_mark_cold", cool_with_a_token)
     seen = sent_to_cold(240)
     limit = SETTINGS.fall_multiple * SETTINGS.cold_share * RATE * SETTINGS.fall_time / 1000.0
