--- a/martentide/overload/core.py
+++ b/martentide/overload/core.py
@@ -31,21 +31,21 @@
 from martentide.overload.escrow import Escrow
 from martentide.overload.level import (
     PRESSURE_THRESHOLD,
-    STORM_REDIAL_RATIO,
-    STORM_STANDING_SHARE,
     PROPORTIONAL_GAIN,
     PROPORTIONAL_GAIN_LARGE,
+    STORM_REDIAL_RATIO,
+    STORM_STANDING_SHARE,
     Level,
     Phase,
-    size_factor,
     fleet_pressure,
+    size_factor,
 )
 from martentide.overload.messages import (
     END,
     LOAD,
     MAX_CLASSES,
-    MAX_TRANSFERS,
     MAX_SERVERS,
+    MAX_TRANSFERS,
     SCHEMA,
     Load,
     ServerPressure,
@@ -97,7 +97,7 @@
 class Rate:
     """An exponentially decaying rate of events."""
 
-    __slots__ = ("updated_at", "count")
+    __slots__ = ("count", "updated_at")
 
     def __init__(self) -> None:
         self.count, self.updated_at = 0.0, 0.0
@@ -515,4 +515,4 @@
     return overload.look(now, servers, received, living, allotment), unreadable
 
 
-__all__ = ["END", "LOAD", "ABLATION_PARTS", "SCHEMA", "Overload", "look"]
+__all__ = ["ABLATION_PARTS", "END", "LOAD", "SCHEMA", "Overload", "look"]
--- a/tests/overload/test_admission_threshold.py
+++ b/tests/overload/test_admission_threshold.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martentide.overload.admission_threshold import TURNS_PER_VERDICT, uniform_hash, admitted_shares
+from martentide.overload.admission_threshold import TURNS_PER_VERDICT, admitted_shares, uniform_hash
 
 WORTHS = {"status": 1.0, "prep": 2.0, "sign": 6.0}
 
--- a/tests/overload/test_core.py
+++ b/tests/overload/test_core.py
@@ -17,22 +17,22 @@
     Stands,
 )
 from martentide.overload.core import (
+    ALLOTMENT,
     ISOLATION_TIMEOUT,
-    MAX_CLAIM_DEVIATION,
     MAX_BALANCE,
-    ALLOTMENT,
+    MAX_CLAIM_DEVIATION,
+    MAX_POLL_GAP,
     REDIAL_WINDOW,
     RETRY_RATIO,
-    MAX_POLL_GAP,
     Overload,
 )
 from martentide.overload.level import PRESSURE_THRESHOLD, Phase
 from martentide.overload.messages import (
     END,
     MAX_SERVERS,
-    Transfer,
     Load,
     ServerPressure,
+    Transfer,
     read_load,
     write_load,
 )
@@ -54,8 +54,8 @@
 class Driver:
     """Polls one member every 250 ms with messages of others."""
 
-    def __init__(self, part: Overload) -> None:
-        self.overload, self.now, self.counter = part, 0.0, 0
+    def __init__(self, overload: Overload) -> None:
+        self.overload, self.now, self.counter = overload, 0.0, 0
         self.admission: Admission | None = None
         self.tokens = 0.0
         self.messages: list[Load] = []
@@ -156,7 +156,9 @@
         driver.report_hold_back(0.9)
         driver.poll()
     for at in range(40):
-        driver.overload.observe(driver.now, SetUpOffered(at, "status", None, f"{at}", 3_000.0, -1, False, False))
+        driver.overload.observe(
+            driver.now, SetUpOffered(at, "status", None, f"{at}", 3_000.0, -1, False, False)
+        )
     share = driver.overload.level.baseline
     driver.poll(after=MAX_POLL_GAP + 1_000.0)
     assert driver.tokens <= ALLOTMENT and driver.overload.escrow.tokens == 0.0
@@ -169,7 +171,9 @@
         driver.overload.observe(0.0, SetUpOffered(at, "status", None, f"{at}", 3_000.0, -1, False, False))
     earned = driver.overload.escrow.tokens
     for at in range(10, 60):
-        driver.overload.observe(0.0, SetUpOffered(at, "status", None, f"{at % 10}", 3_000.0, -1, False, False))
+        driver.overload.observe(
+            0.0, SetUpOffered(at, "status", None, f"{at % 10}", 3_000.0, -1, False, False)
+        )
     assert 0 < driver.overload.escrow.tokens == earned <= MAX_BALANCE
     later = SetUpOffered(61, "status", None, "1", 3_000.0, -1, False, False)
     driver.overload.observe(REDIAL_WINDOW + 1.0, later)  # by then the number is called for another reason
@@ -254,8 +258,10 @@
         at = rng.randrange(4)
         overload = members[at]
         if rng.random() < 0.02:
-            lives[part.name] += 100
-            overload = members[at] = Overload(part.name, lives[part.name], WORTHS, 2_000.0, 600.0, seed)
+            lives[overload.name] += 100
+            overload = members[at] = Overload(
+                overload.name, lives[overload.name], WORTHS, 2_000.0, 600.0, seed
+            )
         for _ in range(rng.choice([0, 0, 5, 30])):
             number = f"{rng.getrandbits(40)}"
             overload.observe(now, SetUpOffered(1, "status", None, number, 3_000.0, -1, False, False))
@@ -269,6 +275,6 @@
         granted += sum(event.tokens for event in outcome.events if isinstance(event, RepeatBudget))
         if outcome.word is not None:
             counter += 1
-            said = [*said[-20:], (now, overload.name, lives[part.name], counter, read_load(outcome.word))]
+            said = [*said[-20:], (now, overload.name, lives[overload.name], counter, read_load(outcome.word))]
         assert granted <= RETRY_RATIO * tries + 1e-9
     assert granted > 0
--- a/tests/overload/test_level.py
+++ b/tests/overload/test_level.py
@@ -7,17 +7,17 @@
 import pytest
 
 from martentide.overload.level import (
-    MIN_ADMITTED,
+    LATE_REDIAL_HOLD,
     MAX_MERGE_STEP,
-    PRESSURE_THRESHOLD,
     MAX_RECOVERY_RATE,
-    LATE_REDIAL_HOLD,
+    MIN_ADMITTED,
+    PRESSURE_THRESHOLD,
     PROPORTIONAL_GAIN,
     PROPORTIONAL_GAIN_LARGE,
     Level,
     Phase,
-    size_factor,
     fleet_pressure,
+    size_factor,
 )
 
 POLL_INTERVAL = 250.0
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -1,4 +1,4 @@
-"""Fleet-wide overload control on real processes with faults, judged by what servers and callers observe."""
+"""Fleet-wide overload control on real processes with faults, as observed by servers and callers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from martentide.net.fleet.show import table
 from martentide.net.links import unix_ms
-from martentide.overload.core import MAX_BALANCE, ALLOTMENT, RETRY_RATIO
+from martentide.overload.core import ALLOTMENT, MAX_BALANCE, RETRY_RATIO
 from martentide.overload.messages import LOAD, Load, ServerPressure, write_load
 from martentide_lab.checker import check_repeats, cold_use
 from martentide_lab.fleet.ghost import Ghost
@@ -58,7 +58,7 @@
     play(whole, PROXIES, SERVERS, rate=0.8 * RATE * SERVERS, **more)
 
 
-def test_a_surge_at_one_proxy_sheds_by_class_at_all() -> None:
+def test_surge_at_one_proxy_causes_shedding_at_all() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "surge", 1.0)
         await do(rig, "surge-at", "n0", 6.0)
@@ -71,7 +71,7 @@
 
 WANDERS = [step for name in ("n0", "n1", "n2", "n3")
            for step in ((0.0, "surge-at", name, 6.0), (1.2, "surge-at", name, 1.0))]  # fmt: skip
-CASES: dict[str, tuple[list[tuple[Any, ...]], dict[str, Any]]] = {  # seconds before each step; options of the rig
+CASES: dict[str, tuple[list[tuple[Any, ...]], dict[str, Any]]] = {  # s before each step; rig options
     "split four to two, and healed": ([(1.0, "split", "n0,n1,n2,n3", "n4,n5"), (4.0, "heal")], {}),
     "stopped for 3 s, with old tokens and an old cut": ([(1.0, "stop", "n1"), (3.0, "continue", "n1")], {}),
     "most killed, and back": (
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_a_surge_and(case: str) -> None:
+def test_surge_with_fault(case: str) -> None:
     steps, more = CASES[case]
 
     async def scene(rig: Rig) -> None:
@@ -97,7 +97,7 @@
     storm(scene, **more)
 
 
-def test_one_server_hung_one_slow_one_cold_at_once() -> None:
+def test_surge_with_a_hung_a_slow_and_a_cold_server() -> None:
     async def scene(rig: Rig) -> None:
         hung, slow, cold = rig.servers
         hung.script.mute = hung.script.deaf = True
@@ -112,7 +112,7 @@
     storm(scene)
 
 
-def test_a_cold_server_that_both_sides_of_a_split_feed_stays_within_its_limit() -> None:
+def test_cold_server_stays_within_its_limit_during_a_partition() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "split", "n0,n1,n2", "n3,n4,n5")
         await asyncio.sleep(2.0)
@@ -128,7 +128,7 @@
     storm(scene)
 
 
-async def lie(rig: Rig, hold: int, lasting: int, spans: int) -> list[float]:
+async def publish_false_claims(rig: Rig, hold: int, lasting: int, spans: int) -> list[float]:
     """Run a member that makes false claims and requests all tokens; return what the others then admit."""
     ghost = Ghost("n9")
     admitted = []
@@ -147,28 +147,28 @@
     return admitted
 
 
-def test_a_liar_that_claims_all_is_full_holds_little_back() -> None:
+def test_false_claims_of_full_servers_have_a_bounded_effect() -> None:
     async def scene(rig: Rig) -> None:
         for load in rig.loads.values():
             load.rate /= 2.0
-        admitted = await lie(rig, hold=1_000, lasting=0, spans=24)
+        admitted = await publish_false_claims(rig, hold=1_000, lasting=0, spans=24)
         assert admitted and min(admitted) >= 0.6, admitted
         await rig.until(lambda: rig.known_dead("n9"), LIMIT)
 
     play(scene, PROXIES, SERVERS, rate=0.8 * RATE * SERVERS, extra=ON)
 
 
-def test_a_liar_that_claims_nothing_is_pressed_does_not_keep_others_from_shedding() -> None:
+def test_false_claims_of_idle_servers_do_not_prevent_shedding() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "surge", 2.0)
-        admitted = await lie(rig, hold=0, lasting=1_000, spans=24)
+        admitted = await publish_false_claims(rig, hold=0, lasting=1_000, spans=24)
         assert min(admitted) < 0.95, admitted
         await rig.until(lambda: rig.known_dead("n9"), LIMIT)
 
     storm(scene)
 
 
-def test_what_the_part_does_is_shown() -> None:
+def test_status_shows_the_state_of_overload_control() -> None:
     async def scene(rig: Rig) -> None:
         said = (await rig.status("n0"))["overload"]
         assert said["phase"] == "normal" and set(said["shares"].values()) <= {1.0}
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize(("further", "broken"), [(11, False), (30, True)])
-def test_the_checker_of_repeats_can_fail(further: int, broken: bool) -> None:
+def test_retry_checker_detects_a_violation(further: int, broken: bool) -> None:
     server = SessionServer(0)
     for at in range(20):
         server.arrivals.append(Arrival(at.to_bytes(8, "big"), b"", float(at)))
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize(("gap", "over"), [(500.0, False), (20.0, True)])
-def test_the_checker_of_cold_servers_can_fail(gap: float, over: bool) -> None:
+def test_cold_server_checker_detects_a_violation(gap: float, over: bool) -> None:
     server = SessionServer(0)
     server.script.rate, server.script.cold_from = RATE, 0.0
     server.arrivals = [Arrival(b"", b"", gap * at) for at in range(100)]
--- a/tests/overload/test_slow_start.py
+++ b/tests/overload/test_slow_start.py
@@ -19,10 +19,10 @@
 
 
 @given(AGES, TRUSTS)
-def test_what_is_granted_in_a_window_and_the_life_before_it_stays_below_what_is_allowed(
+def test_grants_in_a_window_and_the_lifetime_before_it_stay_within_the_limit(
     age: float, trust: float
 ) -> None:
-    """Holds with any trust if the server warms up linearly, and without trust if it stays at its first share."""
+    """With any trust if the server warms up linearly; without trust if it stays at its initial share."""
     share = slow_start.allowed_share(age, trust, True, SETTINGS)
     cold, multiple = SETTINGS.cold_share, SETTINGS.fall_multiple
     steady = cold + (1.0 - cold) * min(1.0, age / SETTINGS.cold_time)
@@ -34,7 +34,7 @@
 
 
 @given(st.floats(0.0, 1.0), st.floats(0.01, 20.0), st.lists(st.floats(0.0, 5000.0), max_size=20))
-def test_a_grant_that_lapses_leaves_the_place_between_two_grants(
+def test_expired_grant_keeps_the_phase_between_two_grants(
     begin: float, rate: float, steps: list[float]
 ) -> None:
     tokens, granted = begin, begin
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("proxies", [20, 30, 200])
 @pytest.mark.parametrize("allowed", [3.0, 10.0, 30.0])
-def test_an_idle_fleet_that_is_asked_all_at_once(proxies: int, allowed: float) -> None:
+def test_idle_fleet_saturated_at_once_stays_near_the_limit(proxies: int, allowed: float) -> None:
     """After a minute without calls, every proxy is saturated at once: the worst case of a storm."""
     dice = random.Random(proxies + int(allowed))
     window = SETTINGS.fall_time
@@ -68,7 +68,7 @@
     assert sent <= allowed + 2.0 * math.sqrt(allowed) + 2.0
 
 
-def test_all_that_had_saved_one_up_are_a_burst() -> None:
+def test_grants_without_expiry_would_cause_a_burst() -> None:
     """The same with the usual bucket after an idle minute: 200 tokens at once, where 10 are allowed."""
     rate, idle = 10.0 / 2.0 / 2.0 / 200.0, 600_000.0
     waiting = [saturating(at / 200.0, rate, idle) for at in range(200)]
@@ -78,14 +78,14 @@
 
 
 @pytest.mark.parametrize(("count", "over"), [(40, False), (80, True)])
-def test_the_checker_of_the_sum_can_fail(count: int, over: bool) -> None:
+def test_cold_sum_checker_detects_a_violation(count: int, over: bool) -> None:
     server = SessionServer(0, Script(rate=16.0, cold_from=0.0))
     server.arrivals = [Arrival(bytes(8), b"", at * FALL_TIME / count) for at in range(count)]
     assert (cold_sum(server) > 1.0) is over
 
 
 @given(AGES, TRUSTS)
-def test_a_start_that_is_only_supposed_is_ramped_by_trust_alone(age: float, trust: float) -> None:
+def test_assumed_start_is_ramped_by_trust_alone(age: float, trust: float) -> None:
     """A server that was unreachable and is warm must not be limited for the whole warm-up time."""
     told, supposed = (slow_start.allowed_share(age, trust, told, SETTINGS) for told in (True, False))
     assert supposed >= told - 1e-9
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Small helpers: settings, events and a driver around one Controller."""
+"""Test helpers: settings, events and a driver for one Controller."""
 
 from __future__ import annotations
 
@@ -64,13 +64,13 @@
 
 @dataclass
 class Bench:
-    """Feeds one Controller and remembers what it asked for."""
+    """Feeds events to one Controller and records its actions."""
 
     settings: Settings = SETTINGS
     servers: int = 2
     now: float = 100_000.0
     seed: int = 7
-    said: list[tuple[float, Action]] = field(default_factory=list)
+    actions: list[tuple[float, Action]] = field(default_factory=list)
     ref: int = 0
     timers: list[tuple[float, int]] = field(default_factory=list)
 
@@ -80,12 +80,12 @@
 
     def feed(self, event: Event) -> list[Action]:
         actions = self.controller.handle(self.now, event)
-        self.said += [(self.now, action) for action in actions]
+        self.actions += [(self.now, action) for action in actions]
         self.timers += [(self.now + a.delay, a.token) for a in actions if isinstance(a, SetTimer)]
         return actions
 
     def advance(self, span: float) -> list[Action]:
-        """Let time pass, with the timers that come due."""
+        """Advance the clock by ``span`` ms and fire the timers due meanwhile; return the actions."""
         got: list[Action] = []
         end = self.now + span
         while self.timers and min(self.timers)[0] <= end:
@@ -116,7 +116,7 @@
         return self.feed(AttemptEnded(ref, attempt, server, ending, settled, False, 60.0, report))
 
     def press(self, server: str, share: float) -> list[Action]:
-        """A report from an old call's end that asks for a share to be held back."""
+        """Deliver a report, from the end of an older call, that requests ``share`` to be held back."""
         report = Report(50.0, share, None)
         return self.end(999_999, server, Ending.DELIVERED, report=report, settled=True)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What large fleets change: many controllers together, and one of many by itself."""
+"""Effects of fleet size: many controllers together, and a single one of many."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 from tests.support import SETTINGS, Bench, entry, sends
 
 WARM = 4
-RATE = 50.0  # set-ups/s that each warm server is given
+RATE = 50.0  # set-ups/s offered per warm server
 
 
 def sent_to_cold(proxies: int) -> list[float]:
-    """Times of the set-ups a fleet sends to a server that starts at 10 s and that every caller asks for."""
+    """Return when a fleet sends set-ups to a server that starts at 10 s and is every call's first choice."""
     settings = replace(SETTINGS, proxies=proxies)
     fleet = [Controller(replace(settings, own_slot=slot), slot) for slot in range(proxies)]
     warm = tuple(entry(f"s{at}", at) for at in range(WARM))
@@ -64,7 +64,7 @@
                 case SendSetUp():
                     seen += [now] if action.server == "cold" else []
                     delay = 50.0
-                    if action.server == "cold":  # it works off one after the other, at its share of RATE
+                    if action.server == "cold":  # it serves one at a time, at its share of RATE
                         busy = max(busy, now) + 1000.0 / (RATE * SETTINGS.cold_share)
                         delay += busy - now
                     stands = Stands(action.ref, 0, action.server, delay)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("proxies", [6, 24, 80, 240])
-def test_all_proxies_together_do_not_push_a_cold_server_over(proxies: int) -> None:
+def test_all_proxies_together_do_not_overload_a_cold_server(proxies: int) -> None:
     seen = sent_to_cold(proxies)
     span = SETTINGS.fall_time
     limit = SETTINGS.fall_multiple * SETTINGS.cold_share * RATE * span / 1000.0
@@ -83,21 +83,21 @@
     assert max(sum(1 for other in seen if at <= other < at + span) for at in seen) < limit
 
 
-def saturated(tokens: float, rate: float, elapsed: float, settings: Settings) -> float:
-    """The usual token bucket: a grant waits for ever."""
+def refill_without_expiry(tokens: float, rate: float, elapsed: float, settings: Settings) -> float:
+    """The usual token bucket, whose grants never expire."""
     return min(1.5, tokens + rate * elapsed / 1000.0)
 
 
-def test_a_whole_first_token_for_each_proxy_would_push_it_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check above can fail: with a first token that waits for each proxy, 240 of them break the limit."""
-    monkeypatch.setattr(slow_start, "refill", saturated)
-    monkeypatch.setattr(rules.Controller, "_mark_cold", cool_with_a_token)
+def test_a_whole_initial_token_per_proxy_would_overload_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The check above can fail: with one initial token per proxy that never expires, 240 exceed the limit."""
+    monkeypatch.setattr(slow_start, "refill", refill_without_expiry)
+    monkeypatch.setattr(rules.Controller, "_mark_cold", mark_cold_with_a_token)
     seen = sent_to_cold(240)
     limit = SETTINGS.fall_multiple * SETTINGS.cold_share * RATE * SETTINGS.fall_time / 1000.0
     assert sum(1 for at in seen if at < seen[0] + SETTINGS.fall_time) > limit
 
 
-def cool_with_a_token(self: Controller, server: rules.Server, since: float, now: float) -> None:
+def mark_cold_with_a_token(self: Controller, server: rules.Server, since: float, now: float) -> None:
     server.cold_from, server.cold_filled, server.cold_tokens = since, now, 1.0
 
 
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("proxies", [1, 6, 12])
-def test_small_fleets_have_every_least_allowance_in_full(proxies: int) -> None:
+def test_small_fleets_have_full_minimum_allowances(proxies: int) -> None:
     bench = one_of(proxies)
     bench.press("s0", 0.99)
     image = bench.controller.servers["s0"].image
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("proxies", [24, 120, 300])
-def test_the_floors_of_all_proxies_come_to_the_same(proxies: int) -> None:
+def test_rate_floors_of_all_proxies_have_a_constant_sum(proxies: int) -> None:
     bench = one_of(proxies)
     bench.press("s0", 0.99)
     image = bench.controller.servers["s0"].image
@@ -132,7 +132,7 @@
     assert image.tokens < 0.2
 
 
-def test_a_share_above_one_is_taken_calmly() -> None:
+def test_requested_share_above_one_is_limited() -> None:
     bench = one_of(300)
     for share in (1.2, 0.1, 1.5, 0.9):
         bench.press("s0", share)
@@ -141,14 +141,14 @@
     assert image is not None and image.hold_back <= rules.MAX_HOLD_BACK and image.rate > 0.0
 
 
-def test_what_is_unanswered_at_all_servers_is_bounded_in_a_large_fleet() -> None:
+def test_unanswered_set_ups_at_all_servers_are_bounded_in_a_large_fleet() -> None:
     small, large = one_of(6), one_of(300)
     assert len([send for at in range(3) for send in sends(small.offer(first=at))]) == 3
     assert len([send for at in range(3) for send in sends(large.offer(first=at))]) == 1
-    assert sends(large.advance(400.0)), "a set-up out for long counts no more"
+    assert sends(large.advance(400.0)), "a set-up unanswered for long no longer counts"
 
 
-def test_a_redrawn_call_counts_as_offered_at_the_first_server_and_where_it_goes() -> None:
+def test_redrawn_call_counts_as_offered_at_its_first_and_final_server() -> None:
     bench = one_of(3000)
     servers = bench.controller.servers
     servers["s0"].lines_paused_until = servers["s1"].lines_paused_until = bench.now + 1000.0
@@ -157,7 +157,7 @@
     assert [len(servers[name].offered) for name in ("s0", "s1", "s2")] == [1, 0, 1]
 
 
-def test_a_trial_waits_its_turn_until_others_are_served() -> None:
+def test_half_open_probe_waits_its_turn_until_other_proxies_are_answered() -> None:
     bench = one_of(300, may_tell_peers=True)
     [send] = sends(bench.offer())
     bench.end(send.ref, "s0", Ending.TIMED_OUT)
@@ -168,7 +168,7 @@
     assert server.trial_turn == 0.0
 
 
-def test_a_large_fleet_tells_few_peers_and_small_ones_all() -> None:
+def test_gossip_reaches_few_peers_in_a_large_fleet_and_all_in_a_small_one() -> None:
     for proxies, told in ((4, 3), (300, rules.GOSSIP_FANOUT)):
         bench = one_of(proxies, may_tell_peers=True)
         [send] = sends(bench.offer())
@@ -178,7 +178,7 @@
         assert bench.settings.own_slot not in {action.peer for action in got}
 
 
-def test_news_is_passed_on_second_hand_and_grows_old() -> None:
+def test_received_waits_are_forwarded_and_expire() -> None:
     bench = one_of(300, may_tell_peers=True)
     bench.feed(PeerMessage(7, bytes([1, 0, 60])))
     assert bench.controller.servers["s1"].image is not None
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"\x01", b"\x01\x02", b"\x01\x02\x03\x04", b"\xff\xff\xff"])
-def test_a_peer_message_cut_short_or_of_an_unknown_server_is_passed_over(body: bytes) -> None:
+def test_truncated_peer_message_or_one_about_an_unknown_server_is_ignored(body: bytes) -> None:
     bench = one_of(300, may_tell_peers=True)
     for sender in (-1, 7, 300):
         bench.feed(PeerMessage(sender, body))
@@ -198,7 +198,7 @@
     )
 
 
-def test_the_pause_after_no_line_ends_for_as_many_proxies_as_lines_are_free() -> None:
+def test_line_pause_ends_for_as_many_proxies_as_lines_are_free() -> None:
     ended = 0
     for seed in range(200):
         bench = Bench(settings=replace(SETTINGS, proxies=200), servers=1, seed=seed)
@@ -217,7 +217,7 @@
     assert SetTimer(rules.TICK_TOKEN, bench.controller.tick_interval) in bench.offer()
 
 
-def test_probes_of_all_proxies_grow_with_the_root_of_the_fleet() -> None:
+def test_total_probe_rate_grows_with_the_square_root_of_the_fleet_size() -> None:
     counts = []
     for proxies in (12, 300):
         bench = one_of(proxies, may_probe=True, report_by=ReportBy.PROBES)
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize(("proxies", "goes_on"), [(6, True), (200, False)])
-def test_a_suspect_is_probed_by_many_only_until_something_comes_back(proxies: int, goes_on: bool) -> None:
+def test_large_fleet_probes_a_suspect_server_only_until_it_answers(proxies: int, goes_on: bool) -> None:
     bench = one_of(proxies, may_probe=True)
     [send] = sends(bench.offer())
     bench.end(send.ref, send.server, Ending.TIMED_OUT)
@@ -244,7 +244,7 @@
     assert bool(later) is goes_on and bench.controller.servers[send.server].suspect
 
 
-def test_the_window_of_one_that_serves_more_is_wider() -> None:
+def test_window_grows_with_throughput() -> None:
     def out(pace: float) -> int:
         bench = Bench(settings=replace(SETTINGS, proxies=200), servers=24)
         bench.controller.throughput = pace  # set-ups/s of a server of size 1
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal event sequences must never make the decisions break a rule."""
+"""Property test: no legal event sequence makes the decisions break a rule of the platform."""
 
 from __future__ import annotations
 
@@ -30,48 +30,48 @@
 
 
 @dataclass
-class Known:
-    """What an outside observer knows of one call."""
+class CallRecord:
+    """What an external observer knows about one call."""
 
     deadline: float
     attempts: int = 0
-    out: str | None = None
-    over: bool = False
+    current_server: str | None = None
+    finished: bool = False
     resend_from: float = 0.0
-    ran: bool = False
+    may_have_run: bool = False
 
 
 class Observer:
-    """Checks every action against the rules, with no use of the controller's own books."""
+    """Checks every action against the rules without using the controller's state."""
 
     def __init__(self, bench: Bench) -> None:
         self.bench = bench
-        self.calls: dict[int, Known] = {}
+        self.calls: dict[int, CallRecord] = {}
         self.open = {"s0", "s1"}
 
-    def see(self, actions: list[Action]) -> None:
+    def check(self, actions: list[Action]) -> None:
         own = self.bench.settings
         for action in actions:
             match action:
                 case SendSetUp():
                     call = self.calls[action.ref]
-                    assert not call.over and call.out is None
+                    assert not call.finished and call.current_server is None
                     assert action.server in self.open
                     assert self.bench.now >= call.resend_from
                     assert call.attempts < own.max_attempts
-                    assert not (call.ran and own.classes[0].repeat is not Repeat.HARMLESS)
+                    assert not (call.may_have_run and own.classes[0].repeat is not Repeat.HARMLESS)
                     call.attempts += 1
-                    call.out = action.server
+                    call.current_server = action.server
                 case Refuse() | Fail():
                     call = self.calls[action.ref]
-                    assert not call.over and call.out is None
+                    assert not call.finished and call.current_server is None
                     assert not (
                         isinstance(action, Refuse)
-                        and call.ran
+                        and call.may_have_run
                         and own.classes[0].repeat is not Repeat.HARMLESS
                     )
                     assert self.bench.now <= max(call.deadline, 0.0) + own.answer_slack
-                    call.over = True
+                    call.finished = True
                 case Probe():
                     assert own.may_probe
                 case TellPeer():
@@ -81,7 +81,7 @@
                 case _:
                     pass
         for call in self.calls.values():
-            if not call.over and call.out is None:
+            if not call.finished and call.current_server is None:
                 assert self.bench.now <= call.deadline + own.answer_slack
 
 
@@ -105,63 +105,74 @@
         max_attempts=attempts,
     )
     bench = Bench(settings=own)
-    seen = Observer(bench)
+    observer = Observer(bench)
     for kind, pick, share in steps:
-        step(bench, seen, kind, pick, share)
-        due = [ref for ref, call in seen.calls.items() if call.out and bench.now >= call.deadline]
+        step(bench, observer, kind, pick, share)
+        due = [
+            ref for ref, call in observer.calls.items() if call.current_server and bench.now >= call.deadline
+        ]
         for ref in due:
-            finish(bench, seen, ref, Ending.TIMED_OUT, None)
+            finish(bench, observer, ref, Ending.TIMED_OUT, None)
 
 
-def step(bench: Bench, seen: Observer, kind: int, pick: int, share: float) -> None:
-    live = [ref for ref, call in seen.calls.items() if call.out is not None]
+def step(bench: Bench, observer: Observer, kind: int, pick: int, share: float) -> None:
+    live = [ref for ref, call in observer.calls.items() if call.current_server is not None]
     if kind <= 2:
         left = share * 4000.0 - 50.0
-        seen.calls[bench.ref + 1] = Known(bench.now + max(left, 0.0))
+        observer.calls[bench.ref + 1] = CallRecord(bench.now + max(left, 0.0))
         name = ("plain", "urgent")[pick % 2]
         number = f"n{pick % 7}" if pick % 3 else None
-        seen.see(bench.offer(first=pick % 3, name=name, left=left, number=number))
+        observer.check(bench.offer(first=pick % 3, name=name, left=left, number=number))
     elif kind <= 4 and live:
         ending = list(Ending)[pick % len(Ending)]
         report = Report(float(pick), share, share * 900.0) if pick % 2 else None
-        finish(bench, seen, live[pick % len(live)], ending, report)
+        finish(bench, observer, live[pick % len(live)], ending, report)
     elif kind == 5 and live:
         ref = live[pick % len(live)]
-        server = seen.calls[ref].out
+        server = observer.calls[ref].current_server
         assert server is not None
-        seen.calls[ref].over, seen.calls[ref].out = True, None
-        seen.see(bench.stand(SendSetUp(ref, server, 1.0), share * 2000.0, seen.calls[ref].attempts - 1))
+        observer.calls[ref].finished, observer.calls[ref].current_server = True, None
+        observer.check(
+            bench.stand(SendSetUp(ref, server, 1.0), share * 2000.0, observer.calls[ref].attempts - 1)
+        )
     elif kind == 6:
         name = NAMES[pick % 3]
         state = list(ServerState)[pick % 3 if pick % 5 == 0 else 0]
-        seen.open = seen.open | {name} if state is ServerState.OPEN else seen.open - {name}
+        observer.open = observer.open | {name} if state is ServerState.OPEN else observer.open - {name}
         started = bench.now if pick % 4 == 0 else None
         change = entry(name, NAMES.index(name), state, started)
-        seen.see(bench.feed(ServerList(ListKind.CHANGES, (change,))))
-    elif kind == 7 and seen.calls:
-        ref = list(seen.calls)[pick % len(seen.calls)]
-        seen.calls[ref].over, seen.calls[ref].out = True, None
-        seen.see(bench.feed(CallerGone(ref)))
+        observer.check(bench.feed(ServerList(ListKind.CHANGES, (change,))))
+    elif kind == 7 and observer.calls:
+        ref = list(observer.calls)[pick % len(observer.calls)]
+        observer.calls[ref].finished, observer.calls[ref].current_server = True, None
+        observer.check(bench.feed(CallerGone(ref)))
     elif kind == 8:
-        seen.see(bench.feed(PeerMessage(pick, bytes([pick]) * (pick % 9))))
+        observer.check(bench.feed(PeerMessage(pick, bytes([pick]) * (pick % 9))))
     else:
         for _ in range(1 + pick % 8):
             end = bench.now + bench.controller.tick_interval
-            out = [(call.deadline, ref) for ref, call in seen.calls.items() if call.out]
-            for deadline, ref in sorted(item for item in out if item[0] <= end):
-                bench.now = max(bench.now, deadline)  # a time-out cut to the caller's time comes with it
-                finish(bench, seen, ref, Ending.TIMED_OUT, None)
-            seen.see(bench.advance(end - bench.now))
-
-
-def finish(bench: Bench, seen: Observer, ref: int, ending: Ending, report: Report | None) -> None:
-    call = seen.calls[ref]
-    server = call.out
+            unanswered = [(call.deadline, ref) for ref, call in observer.calls.items() if call.current_server]
+            for deadline, ref in sorted(item for item in unanswered if item[0] <= end):
+                bench.now = max(
+                    bench.now, deadline
+                )  # an attempt timeout limited by the call deadline fires with it
+                finish(bench, observer, ref, Ending.TIMED_OUT, None)
+            observer.check(bench.advance(end - bench.now))
+
+
+def finish(bench: Bench, observer: Observer, ref: int, ending: Ending, report: Report | None) -> None:
+    call = observer.calls[ref]
+    server = call.current_server
     assert server is not None
-    call.out = None
-    settled = call.over or ending is Ending.DELIVERED
-    call.over = call.over or settled
-    call.ran = call.ran or ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED, Ending.ERROR)
+    call.current_server = None
+    settled = call.finished or ending is Ending.DELIVERED
+    call.finished = call.finished or settled
+    call.may_have_run = call.may_have_run or ending in (
+        Ending.TIMED_OUT,
+        Ending.CUT,
+        Ending.CANCELLED,
+        Ending.ERROR,
+    )
     if ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
         call.resend_from = bench.now + bench.settings.release
-    seen.see(bench.end(ref, server, ending, call.attempts - 1, report, settled))
+    observer.check(bench.end(ref, server, ending, call.attempts - 1, report, settled))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The decisions, one failure or rule at a time."""
+"""The decisions: one rule of the platform or one failure per test."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 def steady(
     bench: Bench, count: int, gap: float = 200.0, first: int = 0, name: str = "plain"
 ) -> list[SendSetUp]:
-    """Offer calls at an even pace; each that is sent stands at once."""
+    """Offer calls at a constant rate; each that is sent stands at once."""
     sent: list[SendSetUp] = []
     for _ in range(count):
         for action in sends(bench.offer(first, name) + bench.advance(gap)):
@@ -51,12 +51,12 @@
 # ---- the gap image --------------------------------------------------------------------------------------
 
 
-def test_no_image_while_unreported_and_first_choice_is_kept() -> None:
+def test_server_without_reports_has_no_image_and_first_choice_is_kept() -> None:
     bench = Bench()
     assert {send.server for send in steady(bench, 20, first=1)} == {"s1"}
 
 
-def test_report_makes_an_image_that_bounds_the_rate() -> None:
+def test_report_creates_an_image_that_limits_the_rate() -> None:
     bench = Bench(servers=1)
     steady(bench, 20, gap=100.0)
     bench.press("s0", 0.5)
@@ -64,7 +64,7 @@
     assert image is not None
     assert image.rate == pytest.approx(5.0, abs=0.3)
     passed = 0
-    for _ in range(40):  # 4 s of 10 calls a second, with the report repeated
+    for _ in range(40):  # 4 s at 10 calls/s, with a report after each call
         for send in sends(bench.offer() + bench.advance(100.0)):
             bench.stand(send)
             passed += 1
@@ -72,7 +72,7 @@
     assert 15 <= passed <= 22
 
 
-def test_image_is_refreshed_by_each_report_and_lapses() -> None:
+def test_image_is_refreshed_by_each_report_and_expires() -> None:
     bench = Bench(servers=1)
     bench.press("s0", 0.5)
     bench.advance(4000.0)
@@ -92,14 +92,14 @@
     assert image.rate == rules.BOUND_FLOOR
 
 
-def test_gapped_call_is_redrawn_among_the_others() -> None:
+def test_gapped_call_is_redrawn_among_the_other_servers() -> None:
     bench = Bench(servers=3)
     bench.press("s0", 1.0)
     servers = {send.server for send in steady(bench, 20, gap=100.0, first=0)}
     assert servers & {"s1", "s2"}
 
 
-def test_minus_one_is_no_report() -> None:
+def test_report_without_figures_creates_no_image() -> None:
     bench = Bench(servers=1)
     bench.end(1, "s0", Ending.DELIVERED, report=Report(4.0, None, None), settled=True)
     assert bench.controller.servers["s0"].image is None
@@ -114,13 +114,13 @@
     )
 
 
-def test_a_wait_alone_makes_an_image() -> None:
+def test_reported_wait_alone_creates_an_image() -> None:
     bench = Bench(servers=1)
     bench.end(1, "s0", Ending.DELIVERED, report=Report(None, None, 600.0), settled=True)
     assert bench.controller.servers["s0"].image is not None
 
 
-def test_own_delay_makes_an_image_without_any_report() -> None:
+def test_own_measured_delay_creates_an_image_without_any_report() -> None:
     bench = Bench(servers=1, settings=replace(SETTINGS, report_by=ReportBy.NEVER))
     steady(bench, 5)
     [send] = sends(bench.offer())
@@ -128,7 +128,7 @@
     assert bench.controller.servers["s0"].image is not None
 
 
-def test_last_tokens_are_kept_for_the_worthiest_class() -> None:
+def test_last_tokens_are_reserved_for_the_highest_worth_class() -> None:
     bench = Bench(servers=1)
     bench.press("s0", 1.0)
     assert not sends(bench.offer(name="plain"))
@@ -139,17 +139,17 @@
 
 
 @pytest.mark.parametrize("left", [-5.0, 0.0, 1.0, 40.0, 400.0, 3000.0])
-def test_a_held_call_is_answered_once_before_its_time_is_up(left: float) -> None:
+def test_held_call_is_answered_once_before_its_deadline(left: float) -> None:
     bench = Bench(servers=0)
     start = bench.now
     bench.offer(left=left)
     bench.advance(4000.0)
-    answers = [(at, action) for at, action in bench.said if isinstance(action, Refuse | Fail)]
+    answers = [(at, action) for at, action in bench.actions if isinstance(action, Refuse | Fail)]
     assert len(answers) == 1
     assert answers[0][0] <= start + max(left, 0.0) + SETTINGS.answer_slack
 
 
-def test_time_out_at_the_end_is_answered_by_a_failure() -> None:
+def test_final_time_out_is_answered_with_a_failure() -> None:
     bench = Bench(servers=1)
     [send] = sends(bench.offer(left=900.0))
     bench.advance(send.patience)
@@ -157,7 +157,7 @@
     assert not finals(bench.advance(2000.0))
 
 
-def test_nothing_is_sent_for_a_call_that_is_over() -> None:
+def test_nothing_is_sent_for_a_finished_call() -> None:
     bench = Bench()
     [send] = sends(bench.offer())
     bench.feed(CallerGone(send.ref))
@@ -165,7 +165,7 @@
     assert not sends(actions) and not finals(actions)
 
 
-def test_a_call_that_may_have_run_is_not_repeated_where_that_counts_twice() -> None:
+def test_call_that_may_have_run_is_not_retried_if_once_only() -> None:
     once = CallClass("plain", 1.0, 2000.0, 9000.0, 0.2, Repeat.ONCE_ONLY, None)
     bench = Bench(settings=replace(SETTINGS, classes=(once,)))
     [send] = sends(bench.offer())
@@ -177,7 +177,7 @@
 # ---- rule 2 and the attempt limit -----------------------------------------------------------------------
 
 
-def test_never_two_attempts_out_and_never_more_than_allowed() -> None:
+def test_one_attempt_at_a_time_and_never_more_than_the_limit() -> None:
     bench = Bench(servers=6)
     [send] = sends(bench.offer())
     for attempt in range(SETTINGS.max_attempts):
@@ -188,32 +188,32 @@
             send = again[0]
         else:
             assert not again
-    assert sum(isinstance(action, Refuse | Fail) for _, action in bench.said) == 1
+    assert sum(isinstance(action, Refuse | Fail) for _, action in bench.actions) == 1
 
 
 # ---- rule 3: drains -------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
-def test_drains_and_removals_are_kept_at_once(state: ServerState) -> None:
+def test_drains_and_removals_take_effect_at_once(state: ServerState) -> None:
     bench = Bench()
     bench.feed(ServerList(ListKind.CHANGES, (entry("s0", 0, state),)))
     assert {send.server for send in steady(bench, 20, first=0)} == {"s1"}
 
 
-def test_a_server_missing_from_a_whole_list_is_gone() -> None:
+def test_server_missing_from_a_whole_list_is_removed() -> None:
     bench = Bench()
     bench.feed(ServerList(ListKind.WHOLE, (entry("s1", 1),)))
     assert {send.server for send in steady(bench, 20, first=0)} == {"s1"}
 
 
-def test_a_failed_list_call_keeps_the_old_list() -> None:
+def test_failed_list_request_keeps_the_old_list() -> None:
     bench = Bench()
     bench.feed(ServerList(ListKind.FAILED, ()))
     assert sends(bench.offer())
 
 
-def test_a_drain_before_the_retry_is_kept() -> None:
+def test_drain_before_a_retry_is_respected() -> None:
     bench = Bench()
     [send] = sends(bench.offer(first=0))
     bench.end(send.ref, "s0", Ending.TIMED_OUT)
@@ -224,12 +224,12 @@
 # ---- rule 4: cold servers -------------------------------------------------------------------------------
 
 
-def test_a_cold_server_gets_little_at_first() -> None:
+def test_cold_server_is_limited_at_first() -> None:
     bench = Bench(servers=2)
     steady(bench, 80, gap=100.0, first=0)
     bench.feed(ServerList(ListKind.CHANGES, (entry("new", 2, started=bench.now),)))
     got = 0
-    for _ in range(40):  # 2 s of 20 calls a second, all for the new server, none of them answered
+    for _ in range(40):  # 2 s at 20 calls/s, all for the new server, none of them answered
         got += len([s for s in sends(bench.offer(first=2) + bench.advance(50.0)) if s.server == "new"])
     warm_pace = 10.0
     assert 0 < got <= SETTINGS.fall_multiple * SETTINGS.cold_share * warm_pace * 2.0
@@ -246,8 +246,8 @@
     assert 1.0 <= server.cold_trust < trusted
 
 
-def cold_sent(share: float | None) -> int:
-    """Set-ups that reach a cold server in 5 s, with such a share of its budget."""
+def set_ups_to_cold_server(share: float | None) -> int:
+    """Return the set-ups that reach a cold server in 5 s with ``share`` of its budget."""
     bench = Bench(servers=1)
     steady(bench, 80, gap=100.0)
     if share is not None:
@@ -257,10 +257,10 @@
 
 
 def test_two_processes_of_one_proxy_share_a_cold_servers_budget() -> None:
-    alone, half = cold_sent(None), cold_sent(0.5)
+    alone, half = set_ups_to_cold_server(None), set_ups_to_cold_server(0.5)
     assert 0 < 2 * half <= alone
-    assert cold_sent(0.0) == 0
-    assert cold_sent(1.0) == alone
+    assert set_ups_to_cold_server(0.0) == 0
+    assert set_ups_to_cold_server(1.0) == alone
 
 
 def test_a_restart_in_the_list_is_cold_again() -> None:
@@ -275,24 +275,24 @@
 
 
 @pytest.mark.parametrize("ending", [Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED])
-def test_the_release_is_awaited_before_a_resend(ending: Ending) -> None:
+def test_release_is_awaited_before_a_retry(ending: Ending) -> None:
     bench = Bench()
     [send] = sends(bench.offer())
     told = bench.now
     assert not sends(bench.end(send.ref, send.server, ending))
     bench.advance(1000.0)
-    again = [(at, action) for at, action in bench.said if isinstance(action, SendSetUp)][1:]
+    again = [(at, action) for at, action in bench.actions if isinstance(action, SendSetUp)][1:]
     assert again and again[0][0] >= told + SETTINGS.release
 
 
-# ---- failures found on the way --------------------------------------------------------------------------
+# ---- regressions ----------------------------------------------------------------------------------------
 
 
 def test_nothing_is_added_while_a_set_up_stays_unanswered() -> None:
     bench = Bench(servers=1)
     assert sends(bench.offer())
     bench.advance(rules.UNANSWERED_SHARE * bench.controller.tolerable + 60.0)
-    assert sends(bench.offer())  # one more tells whether the first was lost
+    assert sends(bench.offer())  # one more shows whether the first was lost
     assert not sends(bench.offer())
 
 
@@ -306,7 +306,7 @@
     assert not sends(bench.offer(name="urgent"))
 
 
-def test_a_server_that_fails_set_ups_at_once_gets_single_trials() -> None:
+def test_server_that_fails_set_ups_gets_only_half_open_probes() -> None:
     bench = Bench(servers=2)
     for _ in range(2):
         [send] = [s for s in sends(bench.offer(first=0)) if s.server == "s0"]
@@ -316,8 +316,8 @@
     assert {send.server for send in steady(bench, 5, gap=100.0, first=0)} == {"s1"}
 
 
-def test_calls_that_no_server_can_use_make_none_suspect_and_fail_after_two() -> None:
-    """Guards against a caller that shuts others out by offering what all servers answer with an error."""
+def test_calls_that_no_server_accepts_make_none_suspect_and_fail_after_two() -> None:
+    """A caller whose calls all servers answer with an error must not lock out other callers."""
     bench = Bench()
     for _ in range(5):
         [first] = sends(bench.offer(first=0))
@@ -329,8 +329,8 @@
     assert sends(bench.offer(first=0))
 
 
-def test_held_calls_are_looked_at_as_often_as_short_aims_need() -> None:
-    """Guards against servers that stand idle between two looks while calls with short aims wait."""
+def test_tick_is_shorter_for_short_aims() -> None:
+    """Servers must not be idle between two ticks while calls with short aims wait."""
     classes = tuple(replace(kind, aim=kind.aim / 5.0) for kind in SETTINGS.classes)
     bench = Bench(settings=replace(SETTINGS, classes=classes))
     bench.feed(ServerList(ListKind.WHOLE, ()))
@@ -344,8 +344,8 @@
     )
 
 
-def test_answers_without_a_wait_ease_an_earlier_asked_share() -> None:
-    """Guards against holding back for seconds after a pause that is over: quick answers say so."""
+def test_answers_without_a_wait_reduce_an_earlier_requested_share() -> None:
+    """Calls must not be held back for seconds after a server pause has ended, as quick answers show."""
     bench = Bench()
     bench.press("s0", 0.7)
     for _ in range(10):
@@ -355,14 +355,14 @@
     assert image is not None and image.hold_back == pytest.approx(0.7 * rules.HOLD_BACK_DECAY**10)
 
 
-def test_one_stray_error_does_not_make_a_server_suspect() -> None:
+def test_single_error_does_not_make_a_server_suspect() -> None:
     bench = Bench()
     [send] = sends(bench.offer(first=0))
     bench.end(send.ref, "s0", Ending.ERROR)
     assert not bench.controller.servers["s0"].suspect
 
 
-def test_a_quick_trial_ends_the_suspicion() -> None:
+def test_quick_half_open_probe_ends_the_suspicion() -> None:
     bench = Bench(servers=1)
     [send] = sends(bench.offer())
     bench.end(send.ref, "s0", Ending.UNREACHABLE)
@@ -373,7 +373,7 @@
     assert not bench.controller.servers["s0"].suspect
 
 
-def test_trials_of_a_silent_server_grow_rarer() -> None:
+def test_half_open_probes_of_a_silent_server_back_off() -> None:
     bench = Bench(servers=1)
     start, trials = bench.now, []
     attempts: Counter[int] = Counter()
@@ -387,7 +387,7 @@
     assert gaps[-1] > gaps[0] and gaps[-1] <= rules.MAX_TRIAL_GAP + rules.TRIAL_SPREAD + 100.0
 
 
-def test_a_suspect_server_is_tried_by_a_call_only_after_a_probe_came_back() -> None:
+def test_suspect_server_gets_a_call_only_after_an_answered_health_check() -> None:
     bench = Bench(servers=1, settings=replace(SETTINGS, may_probe=True))
     [send] = sends(bench.offer())
     bench.end(send.ref, "s0", Ending.UNREACHABLE)
@@ -405,19 +405,19 @@
 )
 
 
-def test_traffic_past_a_share_counts_less_and_peers_are_told() -> None:
+def test_traffic_above_an_allowance_counts_less_and_rates_are_gossiped() -> None:
     bench = Bench(settings=TENANTS)
     for _ in range(50):
         bench.offer(tenant="t")
         bench.advance(100.0)
-    told = [action for _, action in bench.said if isinstance(action, TellPeer)]
+    told = [action for _, action in bench.actions if isinstance(action, TellPeer)]
     assert {action.peer for action in told} == set(range(1, TENANTS.proxies))
     assert all(len(action.body) >= 4 for action in told)
     assert bench.controller.inside_share["t"] < 0.5
     assert bench.controller.inside_share["u"] == 1.0
 
 
-def test_peers_rates_replace_the_guess_from_own_traffic() -> None:
+def test_peer_rates_replace_the_estimate_from_own_traffic() -> None:
     bench = Bench(settings=TENANTS)
     for _ in range(50):
         bench.offer(tenant="t")
@@ -429,14 +429,14 @@
     assert bench.controller.inside_share["t"] > guessed
 
 
-def test_a_peer_message_of_another_form_is_passed_over() -> None:
+def test_malformed_peer_message_is_ignored() -> None:
     bench = Bench(settings=TENANTS)
     bench.feed(PeerMessage(1, b"hello"))
     bench.feed(PeerMessage(99, bytes(4)))
     assert not bench.controller.peer_rates
 
 
-def test_a_server_heard_again_after_a_long_silence_is_taken_for_cold() -> None:
+def test_server_that_answers_after_a_long_silence_is_treated_as_cold() -> None:
     bench = Bench(servers=1)
     [send] = sends(bench.offer())
     bench.end(send.ref, "s0", Ending.UNREACHABLE)
@@ -446,7 +446,7 @@
     assert server.cold_from == bench.now and not server.suspect
 
 
-def test_an_overtaken_set_up_is_lost_and_called_off() -> None:
+def test_overtaken_set_up_is_cancelled_and_retried() -> None:
     bench = Bench(servers=1)
     steady(bench, 5)
     [lost] = sends(bench.offer())
@@ -461,7 +461,7 @@
     assert [send.ref for send in again] == [lost.ref]
 
 
-def test_an_overtaken_set_up_is_not_called_off_where_that_is_not_allowed() -> None:
+def test_overtaken_set_up_is_not_cancelled_if_not_allowed() -> None:
     bench = Bench(servers=1, settings=replace(SETTINGS, may_cancel=False))
     assert sends(bench.offer())
     bench.advance(100.0)
@@ -477,20 +477,20 @@
     assert sends(bench.advance(rules.LINE_PAUSE + 50.0))
 
 
-def test_last_lines_are_kept_for_the_worthiest_class() -> None:
+def test_last_lines_are_reserved_for_the_highest_worth_class() -> None:
     bench = Bench(servers=1)
     bench.feed(ProbeEnded("s0", Ending.DELIVERED, True, 0.0, Report(2.0, None, None)))
     assert not sends(bench.offer(name="plain"))
     assert sends(bench.offer(name="urgent"))
 
 
-def test_a_first_choice_without_free_lines_is_passed_over() -> None:
+def test_first_choice_without_free_lines_is_skipped() -> None:
     bench = Bench(servers=2)
     bench.feed(ProbeEnded("s0", Ending.DELIVERED, True, 0.0, Report(0.0, None, None)))
     assert {send.server for send in steady(bench, 10, first=0)} == {"s1"}
 
 
-def test_a_redial_is_known_by_its_number_and_dated_from_the_first_try() -> None:
+def test_redial_is_recognised_by_number_and_dated_from_the_first_try() -> None:
     bench = Bench(servers=0)
     bench.offer(number="n1", left=500.0)
     first = bench.now
@@ -501,10 +501,10 @@
     assert bench.controller.calls[bench.ref].first_tried_at == bench.now
 
 
-# ---- restart, probes, odd input -------------------------------------------------------------------------
+# ---- restart, probes, unusual input ---------------------------------------------------------------------
 
 
-def test_a_restarted_proxy_decides_with_its_old_list_alone() -> None:
+def test_restarted_proxy_works_with_its_remembered_list() -> None:
     bench = Bench(servers=1)
     assert sends(bench.offer())
 
@@ -529,7 +529,7 @@
         assert all(send.server == "s0" for send in sends(bench.offer(first=0, in_transit=True)))
 
 
-def test_events_for_unknown_calls_and_servers_are_taken_calmly() -> None:
+def test_events_for_unknown_calls_and_servers_are_ignored() -> None:
     bench = Bench()
     quiet = (
         bench.feed(CallerGone(77))
@@ -545,10 +545,10 @@
     for bench in (first, second):
         bench.press("s0", 0.8)
         steady(bench, 60, gap=70.0)
-    assert first.said == second.said
+    assert first.actions == second.actions
 
 
-# ---- short aims: guards whose bounds were set for aims of a second or more --------------------------------
+# ---- short aims: limits must scale down from aims of a second or more -------------------------------------
 
 SHORT = replace(
     SETTINGS,
@@ -558,7 +558,7 @@
 )
 
 
-def test_a_link_that_varies_a_little_makes_no_image() -> None:
+def test_network_jitter_creates_no_image() -> None:
     bench = Bench(SHORT, servers=1)
     for delay in (50.0, 62.0, 55.0, 64.0):
         [send] = sends(bench.offer() + bench.advance(20.0))
@@ -587,11 +587,11 @@
     steady(bench, 80, gap=25.0)
     [send] = sends(bench.offer())
     bench.stand(send, 200.0)
-    assert len(steady(bench, 12, gap=25.0)) > 2  # one each 200 ms would be 2
+    assert len(steady(bench, 12, gap=25.0)) > 2  # one per 200 ms would be 2
 
 
-def test_trials_come_sooner_where_aims_are_short() -> None:
-    """Guards against a server that stood still for a moment being kept out for many times the aim."""
+def test_half_open_probes_are_sooner_for_short_aims() -> None:
+    """A server that paused for a moment must not stay excluded for many times the aim."""
     bench = Bench(SHORT, servers=1)
     [send] = sends(bench.offer())
     bench.end(send.ref, "s0", Ending.TIMED_OUT)
@@ -602,8 +602,8 @@
     assert server.trial_due - bench.now <= (rules.TRIAL_GAP + rules.TRIAL_SPREAD) * scale
 
 
-def test_a_look_at_very_many_held_calls_tries_some_and_answers_the_rest_in_time() -> None:
-    """Guards against a look that takes longer than the held calls have."""
+def test_tick_tries_a_bounded_number_of_held_calls_and_answers_the_rest_in_time() -> None:
+    """One pass over the held calls must not take longer than their deadlines allow."""
     bench = Bench(servers=1)
     bench.press("s0", 0.98)
     first = [bench.offer() for _ in range(3 * rules.MAX_HELD_CALLS_PER_TICK)]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the hosting of instances, on text alone."""
+"""The simulator's wire protocol and the hosting of instances, tested on text."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
 CALL = "JOB_IN 9 c - dn.x 900.0 - 0 1 -1 0 0 0 0"
 
 
-def talk(text: str) -> list[str]:
+def run(text: str) -> list[str]:
     sink = io.StringIO()
     serve(io.StringIO(text), sink)
     return sink.getvalue().splitlines()
@@ -129,7 +129,7 @@
         ("NOTE_FROM 2 -", PeerMessage(2, b"")),
     ],
 )
-def test_events_are_read(line: str, event: Event) -> None:
+def test_events_are_decoded(line: str, event: Event) -> None:
     word, values = split_line(line)
     assert read_event(word, values, FIELDS) == event
 
@@ -145,7 +145,7 @@
         ("unused", Ending.NOT_SENT),
     ],
 )
-def test_endings_are_read(word: str, ending: Ending) -> None:
+def test_endings_are_decoded(word: str, ending: Ending) -> None:
     event = read_event("REPLY", f"7 a 0 - 0 1 {word} -".split(), FIELDS)
     assert isinstance(event, AttemptEnded) and event.ending is ending
 
@@ -164,11 +164,11 @@
         (Note("two\nlines"), "PRINT two lines"),
     ],
 )
-def test_actions_are_written(action: Action, line: str) -> None:
+def test_actions_are_encoded(action: Action, line: str) -> None:
     assert write_action(action) == line
 
 
-def test_server_lines_are_read() -> None:
+def test_server_lines_are_decoded() -> None:
     server = read_server(["k", "cordoned", "z", "6100.0", "a", "1.5", "4"])
     assert (server.name, server.place, server.zone) == ("a", 4, "z")
     assert (server.state, server.started, server.size) == (ServerState.DRAINING, 6100.0, 1.5)
@@ -188,25 +188,25 @@
         read_settings(json.dumps(less))
 
 
-def test_a_call_is_sent_and_instances_keep_apart() -> None:
-    said = talk(f"BATCH 1000.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nFOR 4\n{CREATE}\n{LIST}\nEND\n")
+def test_call_is_sent_and_instances_are_independent() -> None:
+    said = run(f"BATCH 1000.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nFOR 4\n{CREATE}\n{LIST}\nEND\n")
     assert said[0] == "SOURCE 3" and said[-1] == "READY"
     assert [line for line in said if line.startswith("PLACE 9 a ")]
     assert said[said.index("SOURCE 4") + 1 :][0].startswith("WAKE_ME")
 
 
 def test_empty_batches_and_end_of_input() -> None:
-    assert talk("BATCH 1.0\nEND\n\nBATCH 2.0\nEND\n") == ["READY", "READY"]
+    assert run("BATCH 1.0\nEND\n\nBATCH 2.0\nEND\n") == ["READY", "READY"]
 
 
-def test_a_list_number_is_resolved_in_the_order_of_events() -> None:
+def test_list_number_refers_to_the_latest_earlier_list() -> None:
     again = "CATALOG 0 1\nSERVER k healthy z - b 10 1\nMEMBERSHIP all 1 0"
-    said = talk(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{again}\n{CALL}\nEND\n")
+    said = run(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{again}\n{CALL}\nEND\n")
     assert [line.split()[2] for line in said if line.startswith("PLACE")] == ["b"]
 
 
-def test_a_restart_in_one_batch_voids_what_came_before() -> None:
-    said = talk(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nRETIRE\n{CREATE}\n{LIST}\nEND\n")
+def test_restart_within_a_batch_discards_earlier_actions() -> None:
+    said = run(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nRETIRE\n{CREATE}\n{LIST}\nEND\n")
     assert not [line for line in said if line.startswith("PLACE")]
     assert [line for line in said if line.startswith("WAKE_ME")]
 
@@ -235,7 +235,7 @@
         ("BATCH 1.0\nFOR 3\n", "line 2: input ended inside a batch"),
     ],
 )
-def test_bad_input_gets_one_plain_message(text: str, message: str) -> None:
+def test_bad_input_gives_one_error_message(text: str, message: str) -> None:
     done = subprocess.run(
         [sys.executable, "-B", "-m", "martentide.simhost"],
         input=text,
@@ -250,7 +250,7 @@
 
 
 def test_module_limits() -> None:
-    """Lines, columns and imports of the decisions."""
+    """Limits the lines, columns and imports of the decision module."""
     package = Path(__file__).parent.parent / "martentide"
     text = (package / "rules.py").read_text()
     lines = text.splitlines()
@@ -263,5 +263,5 @@
 
 
 @pytest.mark.parametrize("text", ["-1,-1,-1", "nan,nan,nan", "inf,inf,inf", "-,-,-"])
-def test_a_report_of_no_usable_figure_is_no_report(text: str) -> None:
+def test_report_without_usable_figures_is_none(text: str) -> None:
     assert read_report(text, ("spare", "cut_by", "mean_ms")) is None
