--- a/martentide/failover/evidence.py
+++ b/martentide/failover/evidence.py
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class ZoneHealth:
-    """Assessment of one zone: its state since ``since`` and ``flaps`` in a row as of ``last_flap_at`` (ms)."""
+    """Assessment of a zone: its state since ``since`` and ``flaps`` in a row as of ``last_flap_at`` (ms)."""
 
     state: State = State.UP
     cause: Cause = Cause.NONE
--- a/martentide/failover/plan.py
+++ b/martentide/failover/plan.py
@@ -244,6 +244,6 @@
     if left > 1e-6:
         lines.append(
             f"{call_class} at {zone}: {left:.0%} refused: no allowed zone has capacity left below "
-            f"{parameters.max_load:.0%}, of which {parameters.reserved:.0%} is for the highest-worth class only"
+            f"{parameters.max_load:.0%}, of which {parameters.reserved:.0%} only for the highest-worth class"
         )
     return lines
--- a/martentide/interface.py
+++ b/martentide/interface.py
@@ -1,7 +1,7 @@
 """Interface between a signalling proxy and the decision module: events in, actions out.
 
 Contains only frozen dataclasses and enums, without logic or defaults that affect decisions. Times and
-durations are in milliseconds; ``now`` is a monotonic clock with an arbitrary origin. ``None`` means "unknown".
+durations are in milliseconds; ``now`` is a monotonic clock with an arbitrary origin. ``None``: unknown.
 """
 
 from __future__ import annotations
--- a/martentide/overload/admission_threshold.py
+++ b/martentide/overload/admission_threshold.py
@@ -34,7 +34,7 @@
     return cut
 
 
-def uniform_hash(number: str, turn: int) -> float:
+def unit_hash(number: str, turn: int) -> float:
     """Return a value from 0 to 1, uniform over numbers and equal at every proxy; admit if below the share."""
     name = number.encode()
     phase = int.from_bytes(hashlib.blake2b(name, digest_size=2).digest(), "big")
--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -319,8 +319,7 @@
             return not call.in_transit
         return (
             share < 1.0
-            and admission_threshold.uniform_hash(call.number or str(self.rng.random()), admission.turn)
-            >= share
+            and admission_threshold.unit_hash(call.number or str(self.rng.random()), admission.turn) >= share
         )
 
     def _retry_tokens_left(self, now: float) -> float:
--- a/tests/overload/test_admission_threshold.py
+++ b/tests/overload/test_admission_threshold.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martentide.overload.admission_threshold import TURNS_PER_VERDICT, admitted_shares, uniform_hash
+from martentide.overload.admission_threshold import TURNS_PER_VERDICT, admitted_shares, unit_hash
 
 WORTHS = {"status": 1.0, "prep": 2.0, "sign": 6.0}
 
@@ -55,11 +55,9 @@
 
 def test_verdict_on_a_number_changes_slowly_and_at_different_turns() -> None:
     numbers = [f"{at:x}" for at in range(4_000)]
-    before, after = ([uniform_hash(number, turn) for number in numbers] for turn in (16, 17))
+    before, after = ([unit_hash(number, turn) for number in numbers] for turn in (16, 17))
     turned = sum(one != other for one, other in zip(before, after, strict=True))
     assert 0.5 / TURNS_PER_VERDICT < turned / len(numbers) < 2.0 / TURNS_PER_VERDICT
     for values in (before, after):
         assert 0.46 < sum(value < 0.5 for value in values) / len(values) < 0.54
-    assert all(
-        uniform_hash(number, 3) != uniform_hash(number, 3 + TURNS_PER_VERDICT) for number in numbers[:50]
-    )
+    assert all(unit_hash(number, 3) != unit_hash(number, 3 + TURNS_PER_VERDICT) for number in numbers[:50])
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -14,7 +14,7 @@
     RepeatBudget,
     SendSetUp,
 )
-from martentide.overload.admission_threshold import uniform_hash
+from martentide.overload.admission_threshold import unit_hash
 from tests.support import SETTINGS, Bench, finals, sends
 
 PARTIAL = Admission((("plain", 0.5), ("urgent", 1.0)), 0.6, 1.0, 3, 1_200.0, 2_000.0)
@@ -38,15 +38,15 @@
             for send in sends(actions):
                 bench.stand(send)
         verdicts.append(seen)
-    assert verdicts[0] == verdicts[1] == [uniform_hash(f"{at}", 3) >= 0.5 for at in range(60)]
+    assert verdicts[0] == verdicts[1] == [unit_hash(f"{at}", 3) >= 0.5 for at in range(60)]
     assert 15 < sum(verdicts[0]) < 45
 
 
 def test_redial_gets_the_same_verdict_and_late_redial_is_judged_by_worth() -> None:
     bench = bench_of()
     bench.feed(PARTIAL)
-    number = next(f"{at}" for at in range(99) if uniform_hash(f"{at}", 3) < 0.5)
-    other = next(f"{at}" for at in range(99) if uniform_hash(f"{at}", 3) >= 0.5)
+    number = next(f"{at}" for at in range(99) if unit_hash(f"{at}", 3) < 0.5)
+    other = next(f"{at}" for at in range(99) if unit_hash(f"{at}", 3) >= 0.5)
     assert [type(action) for action in bench.offer(number=other)] == [Refuse]
     bench.advance(800.0)
     assert [type(action) for action in bench.offer(number=other)] == [Refuse]
