--- a/martentide/failover/evidence.py
+++ b/martentide/failover/evidence.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneCensus:
-    """One member's counts for a zone; servers and members it never heard from are not included."""
+    """One member's counts for a zone; those it never received anything from are excluded."""
 
     servers: int
     silent_servers: int
--- a/martentide/overload/core.py
+++ b/martentide/overload/core.py
@@ -219,7 +219,7 @@
         """Return a server's lag without a queue, in ms: the shortest lag observed there.
 
         With few answers of the server, the shortest lag at any server is used as well: otherwise the first
-        answer out of a queue would be taken for the lag without one.
+        answer out of a queue would be mistaken for the lag without one.
         """
         least, seen = self.shortest_answers.get(server, (MAX_NETWORK_LAG, 0))
         return (
@@ -511,7 +511,7 @@
                 received.append((member.name, entry.life, entry.counter, read_load(entry.body), age))
             except (msgspec.DecodeError, msgspec.ValidationError):
                 unreadable += 1
-        living |= {word.name: word.life for word in membership.living()}
+        living |= {other.name: other.life for other in membership.living()}
     return overload.look(now, servers, received, living, allotment), unreadable
 
 
--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -685,20 +685,20 @@
         """Return a cold server's tokens, by whether it is the call's first choice; None if it is warm."""
         if server.cold_from is None:
             return None
-        age, told = now - server.cold_from, server.entry.started == server.cold_from
-        share = slow_start.allowed_share(age, server.cold_trust, told, self.settings)
-        if slow_start.ramp_ended(age, server.cold_spread if told else 0.0, self.settings):
+        age, listed = now - server.cold_from, server.entry.started == server.cold_from
+        share = slow_start.allowed_share(age, server.cold_trust, listed, self.settings)
+        if slow_start.ramp_ended(age, server.cold_spread if listed else 0.0, self.settings):
             server.cold_from = None
             return None
         usual = self.throughput * server.entry.size
-        if not told or (not self.has_warm_server and self.throughput == 0.0):
+        if not listed or (not self.has_warm_server and self.throughput == 0.0):
             usual = max(usual, BOUND_FLOOR * self.scale)  # its capacity, or even that it is cold, is unknown
         rate, elapsed = usual * share * self.cold_budget_share, now - server.cold_filled
         server.cold_tokens = slow_start.refill(server.cold_tokens, rate, elapsed, self.settings)
         server.cold_filled = now
         return (
             server.cold_tokens
-            if first or not told
+            if first or not listed
             else slow_start.fresh_tokens(server.cold_tokens, rate, self.settings)
         )
 
--- a/martentide/simhost.py
+++ b/martentide/simhost.py
@@ -116,9 +116,9 @@
     )
 
 
-def read_event(word: str, values: list[str], fields: tuple[str, ...]) -> Event:
+def read_event(name: str, values: list[str], fields: tuple[str, ...]) -> Event:
     """Convert one event line; ``fields`` names the figures of load reports. Raises WireError."""
-    if word == "JOB_IN":
+    if name == "JOB_IN":
         return SetUpOffered(
             ref=_integer(values[0], "ref"),
             call_class=values[1],
@@ -129,14 +129,14 @@
             redial=_flag(values[9], "resent"),
             in_transit=_flag(values[11], "midflow"),
         )
-    if word == "ACK_FIRST":
+    if name == "ACK_FIRST":
         return Stands(
             _integer(values[0], "ref"),
             _integer(values[2], "trial"),
             values[3],
             _required_number(values[1], "lag_ms"),
         )
-    if word == "REPLY":
+    if name == "REPLY":
         ending: Ending = _convert(ENDINGS.__getitem__, values[6], "verdict")
         note = 0 if values[3] == "-" else _integer(values[3], "note")
         return AttemptEnded(
@@ -149,14 +149,14 @@
             lag=_optional_number(values[5], "lag_ms") or 0.0,
             report=read_report(values[7], fields),
         )
-    if word == "PROBED":
+    if name == "PROBED":
         lag = _optional_number(values[0], "lag_ms") or 0.0
         verdict: Ending = _convert(ENDINGS.__getitem__, values[1], "verdict")
         report = read_report(values[3], fields)
         return ProbeEnded(values[2], verdict, verdict is Ending.DELIVERED and lag == 0.0, lag, report)
-    if word == "CANCELLED_BY_CLIENT":
+    if name == "CANCELLED_BY_CLIENT":
         return CallerGone(_integer(values[0], "ref"))
-    if word == "WAKE":
+    if name == "WAKE":
         return TimerDue(_integer(values[0], "token"))
     body: bytes = _convert(bytes.fromhex, "" if values[1] == "-" else values[1], "body")
     return PeerMessage(_integer(values[0], "who"), body)
@@ -201,8 +201,8 @@
             number, line = lines[position]
             position += 1
             try:
-                word, values = split_line(line)
-                if word == "CATALOG":
+                name, values = split_line(line)
+                if name == "CATALOG":
                     sheet, count = _integer(values[0], "sheet"), _integer(values[1], "members")
                     if count < 0 or position + count > len(lines):
                         raise WireError("CATALOG: fewer SERVER lines than it announces")
@@ -214,19 +214,19 @@
                         rows.append(read_server(entry))
                     position += count
                     self.server_lists[sheet] = tuple(rows)
-                elif word == "FOR":
+                elif name == "FOR":
                     current = _integer(values[0], "proxy")
-                elif word in ("SERVER", "BATCH", "END"):
-                    raise WireError(f"{word}: not expected here")
+                elif name in ("SERVER", "BATCH", "END"):
+                    raise WireError(f"{name}: not expected here")
                 elif current is None:
-                    raise WireError(f"{word}: no FOR line names its instance")
-                elif word == "RETIRE":
-                    self._instance(current, word)
+                    raise WireError(f"{name}: no FOR line names its instance")
+                elif name == "RETIRE":
+                    self._instance(current, name)
                     del self.instances[current]
                     replies_by_proxy.pop(current, None)  # discards its replies in this batch as well
                 else:
                     replies_by_proxy.setdefault(current, []).extend(
-                        self._handle_event(now, current, word, values)
+                        self._handle_event(now, current, name, values)
                     )
             except WireError as error:
                 raise WireError(f"line {number}: {error}") from None
@@ -235,8 +235,8 @@
                 yield f"SOURCE {proxy}"
                 yield from replies
 
-    def _handle_event(self, now: float, proxy: int, word: str, values: list[str]) -> list[str]:
-        if word == "CREATE":
+    def _handle_event(self, now: float, proxy: int, name: str, values: list[str]) -> list[str]:
+        if name == "CREATE":
             fields = tuple(_report_fields(values[1]))
             try:
                 settings = read_settings(values[1])
@@ -244,15 +244,15 @@
                 raise WireError(f"profile_data: {error}") from None
             self.instances[proxy] = (Controller(settings, _integer(values[0], "prng")), fields)
             return []
-        controller, fields = self._instance(proxy, word)
-        event = self._server_list(values) if word == "MEMBERSHIP" else read_event(word, values, fields)
+        controller, fields = self._instance(proxy, name)
+        event = self._server_list(values) if name == "MEMBERSHIP" else read_event(name, values, fields)
         if isinstance(event, SetUpOffered) and event.call_class not in controller.classes:
             raise WireError(f"lane: {event.call_class!r} is not a class")
         return [write_action(action) for action in controller.handle(now, event)]
 
-    def _instance(self, proxy: int, word: str) -> tuple[Controller, tuple[str, ...]]:
+    def _instance(self, proxy: int, name: str) -> tuple[Controller, tuple[str, ...]]:
         if proxy not in self.instances:
-            raise WireError(f"{word}: instance {proxy} was never created")
+            raise WireError(f"{name}: instance {proxy} was never created")
         return self.instances[proxy]
 
     def _server_list(self, values: list[str]) -> ServerList:
@@ -274,14 +274,14 @@
 
 def split_line(line: str) -> tuple[str, list[str]]:
     """Split a line into its message name and values and check their count; CREATE's text is one value."""
-    word, _, rest = line.partition(" ")
-    if word not in VALUE_COUNTS:
-        raise WireError(f"unknown message {word!r}")
-    count = VALUE_COUNTS[word]
-    values = rest.split(" ", 1) if word == "CREATE" else rest.split(" ") if rest else []
+    name, _, rest = line.partition(" ")
+    if name not in VALUE_COUNTS:
+        raise WireError(f"unknown message {name!r}")
+    count = VALUE_COUNTS[name]
+    values = rest.split(" ", 1) if name == "CREATE" else rest.split(" ") if rest else []
     if len(values) != count:
-        raise WireError(f"{word}: {count} values expected, {len(values)} found")
-    return word, values
+        raise WireError(f"{name}: {count} values expected, {len(values)} found")
+    return name, values
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
@@ -297,9 +297,9 @@
             if line == "":
                 continue
             try:
-                word, values = split_line(line)
-                if word != "BATCH":
-                    raise WireError(f"{word}: a BATCH line was expected")
+                name, values = split_line(line)
+                if name != "BATCH":
+                    raise WireError(f"{name}: a BATCH line was expected")
                 now = _required_number(values[0], "time_ms")
             except WireError as error:
                 raise WireError(f"line {number}: {error}") from None
--- a/tests/failover/test_evidence.py
+++ b/tests/failover/test_evidence.py
@@ -74,10 +74,10 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.sampled_from([HEALTHY, SILENT, ZoneCensus(4, 2, 2, 1)]), min_size=4, max_size=80))
-def test_no_state_changes_before_its_delay(looks: list[ZoneCensus]) -> None:
+def test_no_state_changes_before_its_delay(censuses: list[ZoneCensus]) -> None:
     detector = ZoneFailureDetector("sofia")
     lost_at = up_at = -1e9
-    for number, census in enumerate(looks):
+    for number, census in enumerate(censuses):
         now = number * 250.0
         before = detector.zones["varna"].state if number else State.UP
         detector.update(now, {"sofia": HEALTHY, "plovdiv": HEALTHY, "varna": census})
--- a/tests/overload/test_core.py
+++ b/tests/overload/test_core.py
@@ -251,7 +251,7 @@
     rng = random.Random(seed)
     members = [Overload(name, life, WORTHS, 2_000.0, 600.0, seed) for name, life in list(LIVING.items())[:4]]
     lives = dict(list(LIVING.items())[:4])
-    said: list[tuple[float, str, int, int, Load]] = []
+    history: list[tuple[float, str, int, int, Load]] = []
     now, tries, granted, counter = 0.0, 0, 0.0, 0
     for _ in range(400):
         now += rng.choice([0.0, 50.0, 250.0, 250.0, 3_000.0])
@@ -268,13 +268,16 @@
             tries += 1
         received = [
             (owner, life, number, load, now - when)
-            for when, owner, life, number, load in rng.sample(said, min(len(said), rng.randrange(4)))
+            for when, owner, life, number, load in rng.sample(history, min(len(history), rng.randrange(4)))
             if owner != overload.name and now - when < END
         ]
         outcome = overload.look(now, SERVERS, received, lives, float(rng.choice([0, 0, ALLOTMENT])))
         granted += sum(event.tokens for event in outcome.events if isinstance(event, RepeatBudget))
         if outcome.word is not None:
             counter += 1
-            said = [*said[-20:], (now, overload.name, lives[overload.name], counter, read_load(outcome.word))]
+            history = [
+                *history[-20:],
+                (now, overload.name, lives[overload.name], counter, read_load(outcome.word)),
+            ]
         assert granted <= RETRY_RATIO * tries + 1e-9
     assert granted > 0
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -58,12 +58,12 @@
 
 
 def test_full_admission_gives_the_same_actions_as_no_fleet() -> None:
-    told, alone = bench_of(), bench_of()
-    told.feed(replace(PARTIAL, shares=(("plain", 1.0), ("urgent", 1.0)), admitted=1.0, floor=0.0))
+    with_admission, without_fleet = bench_of(), bench_of()
+    with_admission.feed(replace(PARTIAL, shares=(("plain", 1.0), ("urgent", 1.0)), admitted=1.0, floor=0.0))
     for at in range(200):
-        pair = [bench.offer(first=at % 4, number=f"{at}") for bench in (told, alone)]
+        pair = [bench.offer(first=at % 4, number=f"{at}") for bench in (with_admission, without_fleet)]
         assert pair[0] == pair[1]
-        for bench, actions in zip((told, alone), pair, strict=True):
+        for bench, actions in zip((with_admission, without_fleet), pair, strict=True):
             for send in sends(actions):
                 bench.stand(send, delay=10.0 + at % 7)
             bench.advance(20.0)
--- a/tests/overload/test_escrow.py
+++ b/tests/overload/test_escrow.py
@@ -33,7 +33,7 @@
     """One state of the search."""
 
     accounts: tuple[Any, ...]
-    words: tuple[LoadMessage, ...]
+    messages: tuple[LoadMessage, ...]
     now: int = 0
     earned: int = 0
     spent: int = 0
@@ -48,7 +48,7 @@
             )
             for one in self.accounts
         )  # fmt: skip
-        return (accounts, self.words, self.now, self.earned, self.spent, self.crashes)
+        return (accounts, self.messages, self.now, self.earned, self.spent, self.crashes)
 
 
 def copy_account(module: Any, account: Any) -> Any:
@@ -92,13 +92,15 @@
                         )
                         yield (
                             f"{name} sends to {recipient}",
-                            with_account(at, one, words=with_message(fleet.words, published)),
+                            with_account(at, one, messages=with_message(fleet.messages, published)),
                         )
-        if held.last_received or any(message.transfers and message.owner != name for message in fleet.words):
+        if held.last_received or any(
+            message.transfers and message.owner != name for message in fleet.messages
+        ):
             published = LoadMessage(name, held.life, fleet.now, tuple(held.pending_transfers(now)), received)
-            if published not in fleet.words:
-                yield f"{name} publishes", fleet._replace(words=with_message(fleet.words, published))
-        for message in fleet.words:
+            if published not in fleet.messages:
+                yield f"{name} publishes", fleet._replace(messages=with_message(fleet.messages, published))
+        for message in fleet.messages:
             if message.owner != name:
                 one, age = copy_account(module, held), (fleet.now - message.at) * STEP
                 for transfer in message.transfers:
@@ -113,9 +115,9 @@
             )
 
 
-def with_message(words: tuple[LoadMessage, ...], new: LoadMessage) -> tuple[LoadMessage, ...]:
-    mine = [message for message in words if message.owner == new.owner][-(MAX_PENDING - 1) :]
-    rest = [message for message in words if message.owner != new.owner]
+def with_message(messages: tuple[LoadMessage, ...], new: LoadMessage) -> tuple[LoadMessage, ...]:
+    mine = [message for message in messages if message.owner == new.owner][-(MAX_PENDING - 1) :]
+    rest = [message for message in messages if message.owner != new.owner]
     return tuple(sorted([*rest, *mine, new], key=lambda message: (message.owner, message.at, repr(message))))
 
 
@@ -165,8 +167,8 @@
         ("            if last >= number:\n", "            if False:\n"),
         ("transfer.to != self.name or transfer.life != self.life", "transfer.to != self.name"),
     ],
-    ids=["not-debited", "taken-twice", "taken-late", "settled-by-old-report", "settled-at-once",
-         "settled-though-taken", "taken-by-the-next-life"],
+    ids=["not-debited", "credited-twice", "credited-late", "settled-by-old-report", "settled-at-once",
+         "settled-though-credited", "credited-by-the-next-life"],
 )  # fmt: skip
 def test_removing_any_guard_allows_overspending(old: str, new: str) -> None:
     states, way = search(mutate(old, new), depth=11, most=60_000)
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -69,18 +69,18 @@
     storm(scene)
 
 
-WANDERS = [step for name in ("n0", "n1", "n2", "n3")
+MOVING_SURGE = [step for name in ("n0", "n1", "n2", "n3")
            for step in ((0.0, "surge-at", name, 6.0), (1.2, "surge-at", name, 1.0))]  # fmt: skip
 CASES: dict[str, tuple[list[tuple[Any, ...]], dict[str, Any]]] = {  # s before each step; rig options
-    "split four to two, and healed": ([(1.0, "split", "n0,n1,n2,n3", "n4,n5"), (4.0, "heal")], {}),
-    "stopped for 3 s, with old tokens and an old cut": ([(1.0, "stop", "n1"), (3.0, "continue", "n1")], {}),
-    "most killed, and back": (
+    "partition of four and two, then healed": ([(1.0, "split", "n0,n1,n2,n3", "n4,n5"), (4.0, "heal")], {}),
+    "stopped for 3 s, with old tokens and admission": ([(1.0, "stop", "n1"), (3.0, "continue", "n1")], {}),
+    "most killed and restarted": (
         [(1.0, "kill", "n1,n2,n3,n4"), (1.0, "start", "n1,n2,n3,n4"), (0.0, "surge", 1.7)], {}),
-    "wandering from proxy to proxy": ([(0.0, "surge", 1.0), *WANDERS], {}),
-    "callers that ignore the time to come back": ([(4.0, "surge", 1.0)], {"honour": 0.0}),
-    "half of the fleet without the part": (
+    "surge moves from proxy to proxy": ([(0.0, "surge", 1.0), *MOVING_SURGE], {}),
+    "callers that ignore the hold-off": ([(4.0, "surge", 1.0)], {"honour": 0.0}),
+    "half of the fleet without overload control": (
         [(4.0, "surge", 1.0)], {"budget": False, "extra": {f"n{at}": ON for at in range(0, PROXIES, 2)}}),
-    "word 2 s late everywhere, so that each acts alone": (
+    "messages delayed by 2 s everywhere, so that each acts alone": (
         [(0.0, "delay", 2_000, 100), (5.0, "delay", 0, 2)], {}),
 }  # fmt: skip
 
@@ -140,8 +140,8 @@
             ghost.publish(LOAD, 1, write_load(Load(lasting, 0, 0, 0, offered, pressed, tokens_wanted=99)))
             await asyncio.sleep(0.25)
             if turn >= 8 and turn % 4 == 0:
-                said = [(await rig.status(name))["overload"] for name in rig.proxies]
-                admitted += [one["admitted"] for one in said]
+                status = [(await rig.status(name))["overload"] for name in rig.proxies]
+                admitted += [one["admitted"] for one in status]
     finally:
         ghost.close()
     return admitted
@@ -170,9 +170,9 @@
 
 def test_status_shows_the_state_of_overload_control() -> None:
     async def scene(rig: Rig) -> None:
-        said = (await rig.status("n0"))["overload"]
-        assert said["phase"] == "normal" and set(said["shares"].values()) <= {1.0}
-        assert said["admitted"] == 1.0
+        status = (await rig.status("n0"))["overload"]
+        assert status["phase"] == "normal" and set(status["shares"].values()) <= {1.0}
+        assert status["admitted"] == 1.0
         assert "overload: normal" in table(json.dumps(await rig.status("n0")))
 
     play(scene, 2, 1, extra=ON)
--- a/tests/overload/test_slow_start.py
+++ b/tests/overload/test_slow_start.py
@@ -55,12 +55,12 @@
 @pytest.mark.parametrize("allowed", [3.0, 10.0, 30.0])
 def test_idle_fleet_saturated_at_once_stays_near_the_limit(proxies: int, allowed: float) -> None:
     """After a minute without calls, every proxy is saturated at once: the worst case of a storm."""
-    dice = random.Random(proxies + int(allowed))
+    rng = random.Random(proxies + int(allowed))
     window = SETTINGS.fall_time
     rate = allowed / 2.0 / (window / 1000.0) / proxies
     sent = 0
     for _ in range(proxies):
-        tokens = slow_start.refill(dice.random(), rate, 60_000.0, SETTINGS)
+        tokens = slow_start.refill(rng.random(), rate, 60_000.0, SETTINGS)
         for _ in range(int(window // 50.0)):
             tokens = slow_start.refill(tokens, rate, 50.0, SETTINGS)
             if slow_start.fresh_tokens(tokens, rate, SETTINGS) >= 1.0:
@@ -87,6 +87,8 @@
 @given(AGES, TRUSTS)
 def test_assumed_start_is_ramped_by_trust_alone(age: float, trust: float) -> None:
     """A server that was unreachable and is warm must not be limited for the whole warm-up time."""
-    told, supposed = (slow_start.allowed_share(age, trust, told, SETTINGS) for told in (True, False))
-    assert supposed >= told - 1e-9
+    known, assumed = (
+        slow_start.allowed_share(age, trust, start_known, SETTINGS) for start_known in (True, False)
+    )
+    assert assumed >= known - 1e-9
     assert slow_start.allowed_share(0.0, slow_start.MAX_TRUST, False, SETTINGS) > 1.0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -169,12 +169,12 @@
 
 
 def test_gossip_reaches_few_peers_in_a_large_fleet_and_all_in_a_small_one() -> None:
-    for proxies, told in ((4, 3), (300, rules.GOSSIP_FANOUT)):
+    for proxies, expected in ((4, 3), (300, rules.GOSSIP_FANOUT)):
         bench = one_of(proxies, may_tell_peers=True)
         [send] = sends(bench.offer())
         bench.stand(send)
         got = [action for action in bench.advance(rules.GOSSIP_INTERVAL) if isinstance(action, TellPeer)]
-        assert len({action.peer for action in got}) == len(got) == told
+        assert len({action.peer for action in got}) == len(got) == expected
         assert bench.settings.own_slot not in {action.peer for action in got}
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -278,11 +278,11 @@
 def test_release_is_awaited_before_a_retry(ending: Ending) -> None:
     bench = Bench()
     [send] = sends(bench.offer())
-    told = bench.now
+    ended_at = bench.now
     assert not sends(bench.end(send.ref, send.server, ending))
     bench.advance(1000.0)
     again = [(at, action) for at, action in bench.actions if isinstance(action, SendSetUp)][1:]
-    assert again and again[0][0] >= told + SETTINGS.release
+    assert again and again[0][0] >= ended_at + SETTINGS.release
 
 
 # ---- regressions ----------------------------------------------------------------------------------------
@@ -410,9 +410,9 @@
     for _ in range(50):
         bench.offer(tenant="t")
         bench.advance(100.0)
-    told = [action for _, action in bench.actions if isinstance(action, TellPeer)]
-    assert {action.peer for action in told} == set(range(1, TENANTS.proxies))
-    assert all(len(action.body) >= 4 for action in told)
+    gossip = [action for _, action in bench.actions if isinstance(action, TellPeer)]
+    assert {action.peer for action in gossip} == set(range(1, TENANTS.proxies))
+    assert all(len(action.body) >= 4 for action in gossip)
     assert bench.controller.inside_share["t"] < 0.5
     assert bench.controller.inside_share["u"] == 1.0
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -130,12 +130,12 @@
     ],
 )
 def test_events_are_decoded(line: str, event: Event) -> None:
-    word, values = split_line(line)
-    assert read_event(word, values, FIELDS) == event
+    name, values = split_line(line)
+    assert read_event(name, values, FIELDS) == event
 
 
 @pytest.mark.parametrize(
-    ("word", "ending"),
+    ("verdict", "ending"),
     [
         ("app_error", Ending.ERROR),
         ("expired", Ending.TIMED_OUT),
@@ -145,8 +145,8 @@
         ("unused", Ending.NOT_SENT),
     ],
 )
-def test_endings_are_decoded(word: str, ending: Ending) -> None:
-    event = read_event("REPLY", f"7 a 0 - 0 1 {word} -".split(), FIELDS)
+def test_endings_are_decoded(verdict: str, ending: Ending) -> None:
+    event = read_event("REPLY", f"7 a 0 - 0 1 {verdict} -".split(), FIELDS)
     assert isinstance(event, AttemptEnded) and event.ending is ending
 
 
@@ -189,10 +189,10 @@
 
 
 def test_call_is_sent_and_instances_are_independent() -> None:
-    said = run(f"BATCH 1000.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nFOR 4\n{CREATE}\n{LIST}\nEND\n")
-    assert said[0] == "SOURCE 3" and said[-1] == "READY"
-    assert [line for line in said if line.startswith("PLACE 9 a ")]
-    assert said[said.index("SOURCE 4") + 1 :][0].startswith("WAKE_ME")
+    replies = run(f"BATCH 1000.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nFOR 4\n{CREATE}\n{LIST}\nEND\n")
+    assert replies[0] == "SOURCE 3" and replies[-1] == "READY"
+    assert [line for line in replies if line.startswith("PLACE 9 a ")]
+    assert replies[replies.index("SOURCE 4") + 1 :][0].startswith("WAKE_ME")
 
 
 def test_empty_batches_and_end_of_input() -> None:
@@ -201,14 +201,14 @@
 
 def test_list_number_refers_to_the_latest_earlier_list() -> None:
     again = "CATALOG 0 1\nSERVER k healthy z - b 10 1\nMEMBERSHIP all 1 0"
-    said = run(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{again}\n{CALL}\nEND\n")
-    assert [line.split()[2] for line in said if line.startswith("PLACE")] == ["b"]
+    replies = run(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{again}\n{CALL}\nEND\n")
+    assert [line.split()[2] for line in replies if line.startswith("PLACE")] == ["b"]
 
 
 def test_restart_within_a_batch_discards_earlier_actions() -> None:
-    said = run(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nRETIRE\n{CREATE}\n{LIST}\nEND\n")
-    assert not [line for line in said if line.startswith("PLACE")]
-    assert [line for line in said if line.startswith("WAKE_ME")]
+    replies = run(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nRETIRE\n{CREATE}\n{LIST}\nEND\n")
+    assert not [line for line in replies if line.startswith("PLACE")]
+    assert [line for line in replies if line.startswith("WAKE_ME")]
 
 
 @pytest.mark.parametrize(
