--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -1,4 +1,4 @@
-"""Overload as one, on real processes with faults between them, by what servers and callers saw."""
+"""Fleet-wide overload control on real processes with faults, as observed by servers and callers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from martentide.net.fleet.show import table
 from martentide.net.links import unix_ms
-from martentide.overload.core import DEPTH, PURSE, REPEAT_SHARE
-from martentide.overload.messages import LOAD, Load, Pressed, write_load
+from martentide.overload.core import ALLOTMENT, MAX_BALANCE, RETRY_RATIO
+from martentide.overload.messages import LOAD, Load, ServerPressure, write_load
 from martentide_lab.checker import check_repeats, cold_use
 from martentide_lab.fleet.ghost import Ghost
 from martentide_lab.fleet.rig import Rig
@@ -20,8 +20,8 @@
 from martentide_lab.servers import READY, Arrival, SessionServer
 from tests.fleet.support import LIMIT, play
 
-SHARES = (0.74, 0.05, 0.21)  # of the classes
-RATE = 20.0  # set-ups a second of a server
+SHARES = (0.74, 0.05, 0.21)  # of the traffic, by class
+RATE = 20.0  # set-ups/s of one server
 SERVERS, PROXIES = 3, 6
 ON = "overload #true"
 
@@ -33,8 +33,10 @@
 def storm(
     scene: Callable[[Rig], Awaitable[None]], *, honour: float | None = None, budget: bool = True, **more: Any
 ) -> None:
-    """1.7 times the planned load while the scene is played; then it goes, and all have to let everything in
-    again, none having repeated more than the fleet may."""
+    """Run ``scene`` under 1.7 times the planned load, then remove the load.
+
+    All proxies must then admit everything again, with no more retries than the fleet's budget allows.
+    """
 
     async def whole(rig: Rig) -> None:
         for server in rig.servers:
@@ -50,41 +52,41 @@
         if budget:
             tries = sum(len(load.stories) for _, load in rig.all_loads)
             lives = len(rig.all_loads)
-            assert not check_repeats(rig.servers, tries, REPEAT_SHARE, lives, DEPTH + PURSE)
+            assert not check_repeats(rig.servers, tries, RETRY_RATIO, lives, MAX_BALANCE + ALLOTMENT)
 
     more = {"extra": ON, "redials": 3, "shares": SHARES, **more}
     play(whole, PROXIES, SERVERS, rate=0.8 * RATE * SERVERS, **more)
 
 
-def test_a_surge_at_one_proxy_sheds_by_class_at_all() -> None:
+def test_surge_at_one_proxy_causes_shedding_at_all() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "surge", 1.0)
         await do(rig, "surge-at", "n0", 6.0)
         await asyncio.sleep(4.0)
         shedding = {event.who for event in rig.log if event.kind == "overload"}
-        assert len(shedding) == PROXIES  # also those to which no more is offered than before
+        assert len(shedding) == PROXIES  # also those whose offered load did not change
 
     storm(scene)
 
 
-WANDERS = [step for name in ("n0", "n1", "n2", "n3")
+MOVING_SURGE = [step for name in ("n0", "n1", "n2", "n3")
            for step in ((0.0, "surge-at", name, 6.0), (1.2, "surge-at", name, 1.0))]  # fmt: skip
-CASES: dict[str, tuple[list[tuple[Any, ...]], dict[str, Any]]] = {  # s to wait before each step; the rig
-    "split four to two, and healed": ([(1.0, "split", "n0,n1,n2,n3", "n4,n5"), (4.0, "heal")], {}),
-    "stopped for 3 s, with old tokens and an old cut": ([(1.0, "stop", "n1"), (3.0, "continue", "n1")], {}),
-    "most killed, and back": (
+CASES: dict[str, tuple[list[tuple[Any, ...]], dict[str, Any]]] = {  # s before each step; rig options
+    "partition of four and two, then healed": ([(1.0, "split", "n0,n1,n2,n3", "n4,n5"), (4.0, "heal")], {}),
+    "stopped for 3 s, with old tokens and admission": ([(1.0, "stop", "n1"), (3.0, "continue", "n1")], {}),
+    "most killed and restarted": (
         [(1.0, "kill", "n1,n2,n3,n4"), (1.0, "start", "n1,n2,n3,n4"), (0.0, "surge", 1.7)], {}),
-    "wandering from proxy to proxy": ([(0.0, "surge", 1.0), *WANDERS], {}),
-    "callers that ignore the time to come back": ([(4.0, "surge", 1.0)], {"honour": 0.0}),
-    "half of the fleet without the part": (
+    "surge moves from proxy to proxy": ([(0.0, "surge", 1.0), *MOVING_SURGE], {}),
+    "callers that ignore the hold-off": ([(4.0, "surge", 1.0)], {"honour": 0.0}),
+    "half of the fleet without overload control": (
         [(4.0, "surge", 1.0)], {"budget": False, "extra": {f"n{at}": ON for at in range(0, PROXIES, 2)}}),
-    "word 2 s late everywhere, so that each acts alone": (
+    "messages delayed by 2 s everywhere, so that each acts alone": (
         [(0.0, "delay", 2_000, 100), (5.0, "delay", 0, 2)], {}),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_a_surge_and(case: str) -> None:
+def test_surge_with_fault(case: str) -> None:
     steps, more = CASES[case]
 
     async def scene(rig: Rig) -> None:
@@ -95,7 +97,7 @@
     storm(scene, **more)
 
 
-def test_one_server_hung_one_slow_one_cold_at_once() -> None:
+def test_surge_with_a_hung_a_slow_and_a_cold_server() -> None:
     async def scene(rig: Rig) -> None:
         hung, slow, cold = rig.servers
         hung.script.mute = hung.script.deaf = True
@@ -110,7 +112,7 @@
     storm(scene)
 
 
-def test_a_cold_server_that_both_sides_of_a_split_feed_stays_within_its_limit() -> None:
+def test_cold_server_stays_within_its_limit_during_a_partition() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "split", "n0,n1,n2", "n3,n4,n5")
         await asyncio.sleep(2.0)
@@ -126,58 +128,58 @@
     storm(scene)
 
 
-async def lie(rig: Rig, hold: int, lasting: int, spans: int) -> list[float]:
-    """A member that claims so much of every server and asks for every token; what the others let in then."""
+async def publish_false_claims(rig: Rig, hold: int, lasting: int, spans: int) -> list[float]:
+    """Run a member that makes false claims and requests all tokens; return what the others then admit."""
     ghost = Ghost("n9")
     admitted = []
     try:
         await ghost.join(rig.hub, (rig.hub.told("n0"),))
         for turn in range(spans):
-            pressed = [Pressed(server.name, hold, 0) for server in rig.servers]
+            pressed = [ServerPressure(server.name, hold, 0) for server in rig.servers]
             offered = {"status-check": 100 + turn}
-            ghost.publish(LOAD, 1, write_load(Load(lasting, 0, 0, 0, offered, pressed, wants=99)))
+            ghost.publish(LOAD, 1, write_load(Load(lasting, 0, 0, 0, offered, pressed, tokens_wanted=99)))
             await asyncio.sleep(0.25)
             if turn >= 8 and turn % 4 == 0:
-                said = [(await rig.status(name))["overload"] for name in rig.proxies]
-                admitted += [one["admitted"] for one in said]
+                status = [(await rig.status(name))["overload"] for name in rig.proxies]
+                admitted += [one["admitted"] for one in status]
     finally:
         ghost.close()
     return admitted
 
 
-def test_a_liar_that_claims_all_is_full_holds_little_back() -> None:
+def test_false_claims_of_full_servers_have_a_bounded_effect() -> None:
     async def scene(rig: Rig) -> None:
         for load in rig.loads.values():
             load.rate /= 2.0
-        admitted = await lie(rig, hold=1_000, lasting=0, spans=24)
+        admitted = await publish_false_claims(rig, hold=1_000, lasting=0, spans=24)
         assert admitted and min(admitted) >= 0.6, admitted
         await rig.until(lambda: rig.known_dead("n9"), LIMIT)
 
     play(scene, PROXIES, SERVERS, rate=0.8 * RATE * SERVERS, extra=ON)
 
 
-def test_a_liar_that_claims_nothing_is_pressed_does_not_keep_others_from_shedding() -> None:
+def test_false_claims_of_idle_servers_do_not_prevent_shedding() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "surge", 2.0)
-        admitted = await lie(rig, hold=0, lasting=1_000, spans=24)
+        admitted = await publish_false_claims(rig, hold=0, lasting=1_000, spans=24)
         assert min(admitted) < 0.95, admitted
         await rig.until(lambda: rig.known_dead("n9"), LIMIT)
 
     storm(scene)
 
 
-def test_what_the_part_does_is_shown() -> None:
+def test_status_shows_the_state_of_overload_control() -> None:
     async def scene(rig: Rig) -> None:
-        said = (await rig.status("n0"))["overload"]
-        assert said["phase"] == "normal" and set(said["shares"].values()) <= {1.0}
-        assert said["admitted"] == 1.0
+        status = (await rig.status("n0"))["overload"]
+        assert status["phase"] == "normal" and set(status["shares"].values()) <= {1.0}
+        assert status["admitted"] == 1.0
         assert "overload: normal" in table(json.dumps(await rig.status("n0")))
 
     play(scene, 2, 1, extra=ON)
 
 
 @pytest.mark.parametrize(("further", "broken"), [(11, False), (30, True)])
-def test_the_checker_of_repeats_can_fail(further: int, broken: bool) -> None:
+def test_retry_checker_detects_a_violation(further: int, broken: bool) -> None:
     server = SessionServer(0)
     for at in range(20):
         server.arrivals.append(Arrival(at.to_bytes(8, "big"), b"", float(at)))
@@ -186,7 +188,7 @@
 
 
 @pytest.mark.parametrize(("gap", "over"), [(500.0, False), (20.0, True)])
-def test_the_checker_of_cold_servers_can_fail(gap: float, over: bool) -> None:
+def test_cold_server_checker_detects_a_violation(gap: float, over: bool) -> None:
     server = SessionServer(0)
     server.script.rate, server.script.cold_from = RATE, 0.0
     server.arrivals = [Arrival(b"", b"", gap * at) for at in range(100)]
