--- a/benchmarks/fleet_rules.py
+++ b/benchmarks/fleet_rules.py
@@ -23,7 +23,7 @@
 
 import click
 
-from martentide.agreement.core import Terms
+from martentide.agreement.core import LeaseTimings
 from martentide.net.fleet.show import QueryError, propose
 from martentide.net.links import unix_ms
 from martentide_lab.fleet.agreeing import AgreeingFleet, rule_set
@@ -33,7 +33,7 @@
 from martentide_lab.proxy import CLASSES
 
 LIMIT = 60.0  # s for what has to come
-BOUND = Terms().bound
+BOUND = LeaseTimings().bound
 SERVERS = 6
 RUN = 4  # versions in a row that forbid the same: what acts against them can be seen for so long
 GAP = 1.0  # s between two proposals
--- a/martentide/agreement/__init__.py
+++ b/martentide/agreement/__init__.py
@@ -1,2 +1,2 @@
-"""Settings and lists in versions that the fleet agrees on; pure: events in, actions out
+"""Settings and lists in versions that a fleet agrees on, without I/O: events in, actions out
 (docs/design/agreement.md)."""
--- a/martentide/agreement/core.py
+++ b/martentide/agreement/core.py
@@ -1,18 +1,19 @@
-"""One member's part in agreeing on versions: it acts on one while its lease holds, and, where it is a voter,
-has its part in the log and, as the leader, grants leases and brings versions into force.
+"""One member's share in agreeing on versions of rules. Every member acts on the agreed version while it holds
+a lease; a voter also replicates the log; the leader grants leases and brings versions into force.
 
-Pure: events in, actions out; ``now`` is ms of the own monotonic clock.
+Without I/O: events in, actions out; ``now`` is the local monotonic clock in ms.
 
     no-contradiction   at no time do two members act on rule sets that contradict each other
-    one-order          all members that act on a version have the versions before it in one order
-    not-lost           a version whose proposer heard that it is in force is never undone but by a later one
-
-Why it holds. A member acts on the books that a grant brought, until its lease ends: ``lease`` ms from when it
-*asked*, by its own clock, less the drift. A leader counts each lease from when it *granted*, so longer; it
-brings a contradicting version into force only when every member whose lease may still hold has said that it
-acts by meet already. It grants only while ``Raft.leads``, so none is granted by an old leader once a new one
-may be; and a new leader, that knows no leases, waits for the longest first. Without a lease a member acts by
-safe rules, which contradict no version.
+    one-order          all members that act on a version see the versions before it in the same order
+    not-lost           a version confirmed to its proposer as in force is replaced only by a later version
+
+Why these hold. A member acts on the state that came with a lease grant until its lease expires: ``lease`` ms
+after it *requested* the lease, by its own clock, less the clock drift. The leader counts each lease from the
+later time at which it *granted* it. It brings a contradicting version into force only when every member whose
+lease may still be valid has reported that it already acts on the meet of both versions. It grants leases only
+while ``Raft.has_leader_lease``, so a deposed leader grants none once a new one may exist; and a new leader,
+which knows no leases, first waits for the longest possible one. A member without a lease acts on safe rules,
+which contradict no version.
 """
 
 from __future__ import annotations
@@ -26,84 +27,91 @@
 
 from martentide.agreement import raft
 from martentide.agreement.messages import (
-    MOST_WHY,
-    Ask,
-    Ballot,
-    Blank,
-    Books,
-    Force,
-    Grant,
-    Joint,
-    News,
+    MAX_REASON_LENGTH,
+    AgreementMessage,
+    BeginJointPhase,
+    EndJointPhase,
+    LeaseGrant,
+    LeaseRequest,
+    PriorStateQuery,
     Proposal,
-    Replace,
+    RaftMessage,
+    ReplicatedState,
+    StateChanged,
     Verdict,
     Version,
-    Word,
-    read_books,
-    read_command,
-    read_word,
-    write,
+    VoterReplacement,
+    decode_command,
+    decode_message,
+    decode_state,
+    encode,
 )
-from martentide.agreement.raft import Name, Raft, Role, Saved
-from martentide.agreement.ruleset import RuleSet, contradictions, meet, read_rules
-
-MOST_KEPT, MOST_KEPT_BYTES = 8, 16_000  # versions before the one in force, for those who want one back
-SEPARATOR = "#"  # in the id of a voter that took another's place
-MOST_MET = 64  # voters, present and past
-MOST_PAST = 16  # versions of which the books tell what became
-MOST_LEASES = 4_096  # members that a leader grants leases to
-MOST_REQUESTS = 64  # proposals whose verdict is still owed to somebody
-MOST_RULES = 32_000  # bytes of a rule set: two, and what goes with them, fit a word
-PROPOSAL_LIFE = 15_000.0  # ms after which a proposer is told that nothing is known of it
-SAID_AGAIN = 500.0  # ms between two times that a proposal or a question of a blank voter is said
-MOST_AHEAD = 10_000  # entries by which a word of news may be ahead: one that is further is a lie
-CHECK_AGAIN = 1_000.0  # ms after which a host that said nothing is asked again
-PREPARE_LIMIT = 10_000.0  # ms after which a version that some live member did not prepare is dropped
-HINT_GAP = 20.0  # ms after which one that was named is asked
-COMPACT = 24  # entries after which the log is put into a snapshot
+from martentide.agreement.raft import NodeId, PersistentState, Raft, Role
+from martentide.agreement.ruleset import RuleSet, contradictions, decode_rules, meet
+
+MAX_PREVIOUS, MAX_PREVIOUS_BYTES = 8, 16_000  # earlier versions (and their bytes) kept for a rollback
+VOTER_ID_SEPARATOR = "#"  # between member name and log index in the id of a voter that replaced another
+MAX_KNOWN_VOTERS = 64  # voters, present and past
+MAX_HISTORY = 16  # versions whose outcome the replicated state keeps
+MAX_LEASES = 4_096  # members to which a leader grants leases
+MAX_PENDING_REQUESTS = 64  # proposals without a verdict
+MAX_RULES_BYTES = 32_000  # of one rule set: two of them with their metadata fit into one message
+PROPOSAL_TIMEOUT = 15_000.0  # ms after which the proposer is told that the outcome is unknown
+RESEND_INTERVAL = 500.0  # ms between two sends of a pending proposal or of a prior-state query
+MAX_INDEX_LEAD = 10_000  # entries; a ``StateChanged`` that is further ahead is ignored as bogus
+CHECK_RETRY_INTERVAL = 1_000.0  # ms after which a host that did not answer a check is asked again
+PREPARE_TIMEOUT = 10_000.0  # ms after which a version is dropped if a live member has not prepared it
+LEADER_HINT_DELAY = 20.0  # ms from a hint naming the leader to the lease request
+COMPACTION_THRESHOLD = 24  # entries after which the log is compacted into a snapshot
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """ms. ``bound``: no two act on contradicting rules for longer, whatever a stop does between a look at the
-    lease and the act; the lease is part of it, so that a member that is cut off is in time."""
+class LeaseTimings:
+    """Times in ms. ``bound``: two members act on contradicting rules for no longer than this, even if a
+    process is suspended between checking its lease and acting. The lease is shorter, so that a partitioned
+    member stops in time."""
 
     bound: float = 2_000.0
-    drift: float = 0.001
+    clock_drift: float = 0.001
 
     @property
     def lease(self) -> float:
+        """Length of a lease."""
         return 0.6 * self.bound
 
     @property
-    def ask(self) -> float:
-        """Between two questions for a lease."""
+    def renewal_interval(self) -> float:
+        """Time between two lease requests."""
         return 0.15 * self.bound
 
-    def raft(self) -> raft.Terms:
-        return raft.Terms(election=0.2 * self.bound, beat=0.06 * self.bound, drift=self.drift)
+    def raft_timings(self) -> raft.RaftTimings:
+        """The timeouts of the replicated log that go with this bound."""
+        return raft.RaftTimings(
+            election_timeout=0.2 * self.bound,
+            heartbeat_interval=0.06 * self.bound,
+            clock_drift=self.clock_drift,
+        )
 
 
 # ---- events ---------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """A word of another member, whole; one that can't be read is passed over."""
+class Received:
+    """A complete message of another member; one that cannot be decoded is ignored."""
 
-    sender: Name
+    sender: NodeId
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
-    """``due`` has come."""
+class TimerExpired:
+    """The time ``next_deadline`` has been reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Somebody proposes a version here; ``base`` -1: on whatever is in force."""
+    """A version is proposed at this member; ``base`` -1: based on whatever is in force."""
 
     request: str
     base: int
@@ -114,52 +122,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Checked:
-    """The host's word on a version that it was asked to check: "" or a no with key, found, expected."""
+    """The host's answer to ``Check``: "" or an objection with the key, what was found and what was
+    expected."""
 
     number: int
-    no: str
+    objection: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReplaceVoter:
-    """Somebody wants the member ``new`` to vote in the place of the id ``old``."""
+    """An operator wants the member ``new`` to replace the voter id ``old``."""
 
     request: str
-    old: Name
-    new: Name
+    old: NodeId
+    new: NodeId
 
 
-Event = Heard | Due | Propose | Checked | ReplaceVoter
+Event = Received | TimerExpired | Propose | Checked | ReplaceVoter
 
 # ---- actions --------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """A word for another member."""
+class Send:
+    """Send a message to another member."""
 
-    to: Name
-    word: Word
+    to: NodeId
+    message: AgreementMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """Make this durable before what follows is carried out."""
+class Persist:
+    """Make this state durable before carrying out the actions that follow."""
 
-    kept: Kept
+    state: VoterState
 
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """Could this process run by that version? The host says so with ``Checked``."""
+    """Ask the host whether this process can act on the version; it answers with ``Checked``."""
 
     version: Version
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
-    """Act by these rules from now on, until ``until`` by the own clock; None: by safe rules. ``number`` in
-    force, ``joint`` the one that is prepared beside it (0: none)."""
+class ApplyRules:
+    """Act on these rules until ``until`` by the local clock; None: on safe rules. ``number`` is the version
+    in force, ``joint`` the one prepared beside it (0: none)."""
 
     rules: RuleSet | None
     number: int
@@ -168,8 +177,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
-    """What became of a proposal that was made here."""
+class ProposalResolved:
+    """The outcome of a proposal that was made at this member."""
 
     request: str
     done: bool
@@ -178,583 +187,645 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
-    """For the log: what changed, in words."""
+class LogEvent:
+    """An event for the host's log."""
 
-    what: str
+    event: str
     detail: str
 
 
-Action = Tell | Keep | Check | Act | Answered | Noted
+Action = Send | Persist | Check | ApplyRules | ProposalResolved | LogEvent
 
 
 @dataclass(slots=True)
-class Leased:
-    """What a leader knows of a member's lease; ``ends`` by its own clock, drift included."""
+class MemberLease:
+    """A leader's record of a member's lease; ``expires_at`` is by the leader's clock, clock drift
+    included."""
 
-    life: int
-    ends: float
+    process_id: int
+    expires_at: float
     prepared: int
 
 
 @dataclass(slots=True)
-class Wanted:
-    """What was asked for here, until its verdict is known."""
+class PendingRequest:
+    """A proposal or voter replacement made at this member that has no verdict yet."""
 
-    proposal: Proposal | Replace
-    since: float
-    said: float
+    message: Proposal | VoterReplacement
+    created_at: float
+    sent_at: float
 
 
-class Kept(msgspec.Struct, array_like=True, frozen=True):
-    """A voter's disk: its part in the log, and the voters it has ever heard say something of it."""
+class VoterState(msgspec.Struct, array_like=True, frozen=True):
+    """What a voter keeps on disk: its replicated log, and the voters from which it ever received a message of
+    the log."""
 
-    saved: Saved
-    met: tuple[Name, ...]
+    raft_state: PersistentState
+    known_voters: tuple[NodeId, ...]
 
 
-NO_BOOKS = Books(0, Version(0, 0, b"", "", "nothing was proposed yet"), None, ())
+EMPTY_STATE = ReplicatedState(0, Version(0, 0, b"", "", "nothing was proposed yet"), None, ())
 
 
 class Agreement:
-    """``voters`` are the names in the settings; ``kept`` a voter's books from its disk, None where there are
-    none (or no disk)."""
+    """One member. ``voters`` are the names from the settings; ``stored`` is a voter's state from its disk,
+    None if there is none (or no disk)."""
 
     def __init__(
         self,
-        name: Name,
-        life: int,
-        voters: Collection[Name],
-        terms: Terms,
+        name: NodeId,
+        process_id: int,
+        voters: Collection[NodeId],
+        timings: LeaseTimings,
         seed: int,
         now: float,
-        kept: Kept | None = None,
+        stored: VoterState | None = None,
     ) -> None:
-        self.name, self.life, self.terms = name, life, terms
-        self.random = random.Random(seed)
+        self.name, self.process_id, self.timings = name, process_id, timings
+        self.rng = random.Random(seed)
         self.voters = tuple(voters)
         self.now = now
         self.raft: Raft | None = None
-        self.met: set[Name] = set()  # blank voters' names that this one has heard say something of the log
-        self.blanks: dict[Name, bool] = {}  # answers to the question whether this one ever had books
-        self.books = NO_BOOKS
-        self.leases: OrderedDict[Name, Leased] = OrderedDict()
-        self.joint_at = -raft.FOREVER
-        self.joining: Name = ""  # who becomes a voter once another has ceased to be one
-        self.deciding = 0  # index of the last entry of the own; nothing is granted until it is committed
-        self.leads_since: float | None = None  # of an entry of its own term that is committed
-        self.wanted: dict[str, Wanted] = {}
-        self.owed: OrderedDict[str, Name] = OrderedDict()  # who waits for a verdict, as the leader knows
-        # As a member:
-        self.known = NO_BOOKS  # by the grants
-        self.known_rules: dict[int, RuleSet] = {}
-        self.until = -raft.FOREVER
-        self.asked = -raft.FOREVER  # stamp of the newest question that was answered
+        self.known_voters: set[NodeId] = set()  # from which a message of the log was received
+        self.prior_state_answers: dict[NodeId, bool] = {}  # by voter: whether this node ever had state
+        self.state = EMPTY_STATE
+        self.leases: OrderedDict[NodeId, MemberLease] = OrderedDict()
+        self.joint_since = -raft.FOREVER
+        self.joining_member: NodeId = ""  # becomes a voter once the removal of another is committed
+        self.deciding_index = 0  # index of the newest own entry; no lease is granted before it is committed
+        self.leading_since: float | None = None  # commit time of the first entry of its own term
+        self.pending_requests: dict[str, PendingRequest] = {}
+        self.verdict_recipients: OrderedDict[str, NodeId] = OrderedDict()  # by request, kept by the leader
+        # State of the member, voter or not:
+        self.known_state = EMPTY_STATE  # from lease grants
+        self.decoded_rules: dict[int, RuleSet] = {}
+        self.lease_expiry = -raft.FOREVER
+        self.last_granted_at = -raft.FOREVER  # send time of the newest lease request that was granted
         self.prepared = self.refused = self.checking = 0
-        self.checked_at = -raft.FOREVER
-        self.no = ""
-        self.leader: Name = ""
-        self.hinted = -raft.FOREVER  # when another named the leader
-        self.turn = self.random.randrange(max(1, len(self.voters)))
-        self.ask_due = now + self.random.random() * terms.ask
-        self.blank_due = now
-        self.acts: tuple[int, int] | None = None  # number and joint by which it acts; None: safe rules
+        self.check_sent_at = -raft.FOREVER
+        self.objection = ""
+        self.leader: NodeId = ""
+        self.leader_hint_at = -raft.FOREVER  # when another voter last named the leader
+        self.voter_turn = self.rng.randrange(max(1, len(self.voters)))
+        self.renewal_deadline = now + self.rng.random() * timings.renewal_interval
+        self.prior_state_deadline = now
+        self.acting_on: tuple[int, int] | None = None  # version in force and joint version; None: safe rules
         self.actions: list[Action] = []
-        if kept is not None:
-            self.met.update(kept.met)
-            self._vote(kept.saved)
+        if stored is not None:
+            self.known_voters.update(stored.known_voters)
+            self._become_voter(stored.raft_state)
 
-    # ---- what the host sees -----------------------------------------------------------------------------
+    # ---- interface to the host --------------------------------------------------------------------------
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
+        """Whether this member takes part in the replicated log."""
         return self.raft is not None
 
     @property
-    def due(self) -> float:
-        first = self.ask_due
+    def next_deadline(self) -> float:
+        """When the host is to send ``TimerExpired``, in ms."""
+        first = self.renewal_deadline
         if self.raft is not None:
-            first = min(first, self.raft.due)
+            first = min(first, self.raft.next_deadline)
         elif self.name in self.voters:
-            first = min(first, self.blank_due)
-        if self.acts is not None:
-            first = min(first, self.until)
+            first = min(first, self.prior_state_deadline)
+        if self.acting_on is not None:
+            first = min(first, self.lease_expiry)
         return first
 
-    def holds(self, now: float) -> bool:
-        """Whether the lease holds: to be asked again right before acting, since a process may be stopped."""
-        return now < self.until
+    def lease_valid(self, now: float) -> bool:
+        """Whether the lease is valid; to be checked right before acting, since the process may have been
+        suspended."""
+        return now < self.lease_expiry
 
     def rules(self) -> RuleSet | None:
-        """By which this member acts; None: safe rules, or that nothing was ever agreed on."""
-        if self.acts is None:
+        """The rules this member acts on; None: safe rules, or nothing was agreed on yet."""
+        if self.acting_on is None:
             return None
-        force, joint = self.known.force, self.known.joint if self.acts[1] else None
+        in_force, joint = self.known_state.in_force, self.known_state.joint if self.acting_on[1] else None
         if joint is None:
-            return self._rules(force) if force.number else None
-        if not force.number:
-            return self._rules(joint)  # there is nothing to meet with: who prepared it acts by it
-        return meet(self._rules(force), self._rules(joint))
+            return self._decoded(in_force) if in_force.number else None
+        if not in_force.number:
+            return self._decoded(joint)  # no version in in_force to meet with
+        return meet(self._decoded(in_force), self._decoded(joint))
 
     def handle(self, now: float, event: Event) -> list[Action]:
+        """Process one event; returns the actions to carry out, in order."""
         self.actions = []
         self.now = now = max(now, self.now)
-        self._lapse()
+        self._expire_lease()
         match event:
-            case Heard(sender, body):
-                self._heard(sender, body)
+            case Received(sender, body):
+                self._receive(sender, body)
             case Propose():
                 self._propose(event)
-            case Checked(number, no):
-                self._checked(number, no)
+            case Checked(number, objection):
+                self._on_checked(number, objection)
             case ReplaceVoter(request, old, new):
-                self._want(Replace(f"{self.name}/{self.life}/{request}", old, new))
-            case Due():
+                self._submit(VoterReplacement(f"{self.name}/{self.process_id}/{request}", old, new))
+            case TimerExpired():
                 pass
-        self._run()
+        self._run_timers()
         return self.actions
 
-    def lose_books(self, why: str) -> None:
-        """What was to be kept could not be: until the next start this one only learns, for what it would say
-        as a voter it might have forgotten by then."""
-        self.blanks[""] = True
+    def lose_persistent_state(self, why: str) -> None:
+        """State could not be made durable: do not vote until the next start, because a restart would forget
+        what this voter promised."""
+        self.prior_state_answers[""] = True
         if self.raft is not None:
-            self.raft, self.leads_since = None, None
+            self.raft, self.leading_since = None, None
             self.leases.clear()
-            self.actions.append(Noted("votes-no-more", why))
-
-    # ---- time -------------------------------------------------------------------------------------------
-
-    def _run(self) -> None:
-        if self.raft is not None and self.now >= self.raft.due:
-            self._raft(raft.Due())
-        if self.raft is None and self.name in self.voters and self.now >= self.blank_due:
-            self._ask_whether_blank()
-        if self.now >= self.ask_due:
-            self.ask_due = self.now + self.terms.ask * self.random.uniform(0.8, 1.2)
-            self._ask()
-        self._lead()
-        for request, one in list(self.wanted.items()):
-            if self.now - one.since >= PROPOSAL_LIFE:
-                del self.wanted[request]
+            self.actions.append(LogEvent("votes-no-more", why))
+
+    # ---- timers -----------------------------------------------------------------------------------------
+
+    def _run_timers(self) -> None:
+        if self.raft is not None and self.now >= self.raft.next_deadline:
+            self._step_raft(raft.TimerExpired())
+        if self.raft is None and self.name in self.voters and self.now >= self.prior_state_deadline:
+            self._query_prior_state()
+        if self.now >= self.renewal_deadline:
+            self.renewal_deadline = self.now + self.timings.renewal_interval * self.rng.uniform(0.8, 1.2)
+            self._request_lease()
+        self._advance_joint_phase()
+        for request, one in list(self.pending_requests.items()):
+            if self.now - one.created_at >= PROPOSAL_TIMEOUT:
+                del self.pending_requests[request]
                 text = "no word of it came back; look with `fleet versions` before proposing it again"
-                self.actions.append(Answered(request, False, 0, text))
-            elif self.now - one.said >= SAID_AGAIN:
-                one.said = self.now
-                self._to_leader(one.proposal)
-
-    def _lapse(self) -> None:
-        """The lease is over, perhaps long since: a process that was stopped finds that out first."""
-        if self.acts is not None and self.now >= self.until:
-            self.acts = None
-            self.actions.append(Noted("lease-over", "no leader of a majority is heard: safe rules"))
-            self._act()
-
-    # ---- a member ---------------------------------------------------------------------------------------
-
-    def _ask(self) -> None:
-        self._check()
-        word = Ask(self.now, self.life, self.known.index, self.prepared, self.refused, self.no)
-        self._to_leader(word)
-
-    def _to_leader(self, word: Ask | Proposal | Replace) -> None:
-        """To the leader if one is known, else to one voter after the other; the own one needs no network."""
-        if not self.leader or self.now - max(self.asked, self.hinted) > 1.5 * self.terms.ask:
-            self.turn += 1
-            self.leader = self.voters[self.turn % len(self.voters)] if self.voters else ""
+                self.actions.append(ProposalResolved(request, False, 0, text))
+            elif self.now - one.sent_at >= RESEND_INTERVAL:
+                one.sent_at = self.now
+                self._send_to_leader(one.message)
+
+    def _expire_lease(self) -> None:
+        """Fall back to safe rules if the lease has expired. Runs before each event, since the process may
+        have been suspended past the expiry."""
+        if self.acting_on is not None and self.now >= self.lease_expiry:
+            self.acting_on = None
+            self.actions.append(LogEvent("lease-over", "no lease from a leader with a majority: safe rules"))
+            self._update_rules()
+
+    # ---- member -----------------------------------------------------------------------------------------
+
+    def _request_lease(self) -> None:
+        self._request_check()
+        message = LeaseRequest(
+            self.now, self.process_id, self.known_state.index, self.prepared, self.refused, self.objection
+        )
+        self._send_to_leader(message)
+
+    def _send_to_leader(self, message: LeaseRequest | Proposal | VoterReplacement) -> None:
+        """Send to the leader if it is known, else to the voters in turn; a message to itself is handled
+        directly."""
+        if (
+            not self.leader
+            or self.now - max(self.last_granted_at, self.leader_hint_at) > 1.5 * self.timings.renewal_interval
+        ):
+            self.voter_turn += 1
+            self.leader = self.voters[self.voter_turn % len(self.voters)] if self.voters else ""
         if self.leader == self.name:
-            self._take(self.name, word)
+            self._handle_message(self.name, message)
         elif self.leader:
-            self.actions.append(Tell(self.leader, word))
+            self.actions.append(Send(self.leader, message))
 
-    def _granted(self, sender: Name, grant: Grant) -> None:
+    def _on_lease_grant(self, sender: NodeId, grant: LeaseGrant) -> None:
         if grant.lease <= 0.0:
-            self._hinted(grant.leader)
+            self._on_leader_hint(grant.leader)
             return
-        books = grant.books or self.known
-        if not self.asked < grant.stamp <= self.now or books.index < self.known.index:
-            return  # doubled, overtaken, never asked, or of a leader that lags
-        if grant.index != books.index or grant.lease > self.terms.lease:
-            return  # its books did not come along: nothing to act on
-        if not self._usable(books):
+        state = grant.state or self.known_state
+        if not self.last_granted_at < grant.timestamp <= self.now or state.index < self.known_state.index:
+            return  # duplicate, overtaken, not requested, or from a leader whose state is older
+        if grant.index != state.index or grant.lease > self.timings.lease:
+            return  # the state is missing, or the lease is longer than allowed
+        if not self._is_readable(state):
             return
-        self.asked, self.leader = grant.stamp, sender
-        if books.index != self.known.index:
-            self._learn(books)
-        self.until = max(self.until, grant.stamp + grant.lease * (1.0 - self.terms.drift))
-        if self.now < self.until:
-            self._act()
-
-    def _hinted(self, leader: Name) -> None:
-        """A voter, or the own books, name the leader."""
+        self.last_granted_at, self.leader = grant.timestamp, sender
+        if state.index != self.known_state.index:
+            self._adopt_state(state)
+        self.lease_expiry = max(
+            self.lease_expiry, grant.timestamp + grant.lease * (1.0 - self.timings.clock_drift)
+        )
+        if self.now < self.lease_expiry:
+            self._update_rules()
+
+    def _on_leader_hint(self, leader: NodeId) -> None:
+        """Another voter, or the local log, names the leader."""
         if leader and leader != self.leader:
-            self.leader, self.hinted = leader, self.now
-            self.ask_due = min(self.ask_due, self.now + HINT_GAP)
+            self.leader, self.leader_hint_at = leader, self.now
+            self.renewal_deadline = min(self.renewal_deadline, self.now + LEADER_HINT_DELAY)
 
-    def _usable(self, books: Books) -> bool:
-        """Whether the rule sets in it can be read here."""
+    def _is_readable(self, state: ReplicatedState) -> bool:
+        """Whether this build can decode the rule sets in it."""
         try:
-            for version in (books.force, books.joint):
+            for version in (state.in_force, state.joint):
                 if version is not None and version.number:
-                    self._rules(version)
+                    self._decoded(version)
         except (msgspec.DecodeError, msgspec.ValidationError):
             return False
         return True
 
-    def _rules(self, version: Version) -> RuleSet:
-        if version.number not in self.known_rules:
-            while len(self.known_rules) >= 4:
-                del self.known_rules[min(self.known_rules)]
-            self.known_rules[version.number] = read_rules(version.rules)
-        return self.known_rules[version.number]
+    def _decoded(self, version: Version) -> RuleSet:
+        if version.number not in self.decoded_rules:
+            while len(self.decoded_rules) >= 4:
+                del self.decoded_rules[min(self.decoded_rules)]
+            self.decoded_rules[version.number] = decode_rules(version.rules)
+        return self.decoded_rules[version.number]
 
-    def _learn(self, books: Books) -> None:
-        joint = books.joint
+    def _adopt_state(self, state: ReplicatedState) -> None:
+        joint = state.joint
         if joint is None or joint.number != self.prepared:
             self.prepared = 0
         if joint is None or joint.number != self.refused:
-            self.refused, self.no = 0, ""
-        old = self.known.force.number
-        self.known = books
-        if books.force.number != old:
-            self.actions.append(Noted("in-force", f"version {books.force.number} by {books.force.by}"))
-        self._check()
-
-    def _check(self) -> None:
-        """Ask the host whether it could run by the joint version; again, where no word of it comes."""
-        joint = self.known.joint
+            self.refused, self.objection = 0, ""
+        old = self.known_state.in_force.number
+        self.known_state = state
+        if state.in_force.number != old:
+            self.actions.append(
+                LogEvent("in-force", f"version {state.in_force.number} by {state.in_force.by}")
+            )
+        self._request_check()
+
+    def _request_check(self) -> None:
+        """Ask the host whether it can act on the joint version; repeat if it does not answer."""
+        joint = self.known_state.joint
         if joint is None or joint.number in (self.prepared, self.refused):
             return
-        if joint.number != self.checking or self.now - self.checked_at >= CHECK_AGAIN:
-            self.checking, self.checked_at = joint.number, self.now
+        if joint.number != self.checking or self.now - self.check_sent_at >= CHECK_RETRY_INTERVAL:
+            self.checking, self.check_sent_at = joint.number, self.now
             self.actions.append(Check(joint))
 
-    def _checked(self, number: int, no: str) -> None:
-        joint = self.known.joint
+    def _on_checked(self, number: int, objection: str) -> None:
+        joint = self.known_state.joint
         self.checking = 0 if number == self.checking else self.checking
         if joint is None or joint.number != number:
             return
-        if no:
-            self.refused, self.no = number, no[:MOST_WHY]
+        if objection:
+            self.refused, self.objection = number, objection[:MAX_REASON_LENGTH]
         else:
             self.prepared = number
-            self._act()  # by meet from now on; only then it is told
-        self.ask_due = self.now
-
-    def _act(self) -> None:
-        acts: tuple[int, int] | None = None
-        if self.now < self.until:
-            acts = (self.known.force.number, self.prepared)
-        if acts != self.acts or acts is None:
-            self.acts = acts
-            self.actions.append(Act(self.rules(), *(acts or (self.known.force.number, 0)), self.until))
+            self._update_rules()  # acts on the meet before reporting the version as prepared
+        self.renewal_deadline = self.now
+
+    def _update_rules(self) -> None:
+        acting_on: tuple[int, int] | None = None
+        if self.now < self.lease_expiry:
+            acting_on = (self.known_state.in_force.number, self.prepared)
+        if acting_on != self.acting_on or acting_on is None:
+            self.acting_on = acting_on
+            self.actions.append(
+                ApplyRules(
+                    self.rules(), *(acting_on or (self.known_state.in_force.number, 0)), self.lease_expiry
+                )
+            )
 
-    # ---- what comes in ----------------------------------------------------------------------------------
+    # ---- messages ---------------------------------------------------------------------------------------
 
-    def _heard(self, sender: Name, body: bytes) -> None:
+    def _receive(self, sender: NodeId, body: bytes) -> None:
         try:
-            word = read_word(body)
+            message = decode_message(body)
         except (msgspec.DecodeError, msgspec.ValidationError):
             return
-        self._take(sender, word)
-
-    def _take(self, sender: Name, word: Word) -> None:
-        match word:
-            case Ballot(body):
-                self._ballot(sender, body)
-            case Ask():
-                self._asked_for(sender, word)
-            case Grant():
-                self._granted(sender, word)
+        self._handle_message(sender, message)
+
+    def _handle_message(self, sender: NodeId, message: AgreementMessage) -> None:
+        match message:
+            case RaftMessage(body):
+                self._on_raft_message(sender, body)
+            case LeaseRequest():
+                self._on_lease_request(sender, message)
+            case LeaseGrant():
+                self._on_lease_grant(sender, message)
             case Proposal():
-                self._proposed(sender, word)
+                self._on_proposal(sender, message)
             case Verdict(request, done, number, text):
-                if self.wanted.pop(request, None) is not None:
-                    self.actions.append(Answered(request, done, number, text))
-            case Blank():
-                self._blank(sender, word)
-            case Replace():
-                self._replace(sender, word)
-            case News(index) if self.known.index < index <= self.known.index + MOST_AHEAD:
-                self.ask_due = min(self.ask_due, self.now)
-
-    def _say(self, to: Name, word: Word) -> None:
+                if self.pending_requests.pop(request, None) is not None:
+                    self.actions.append(ProposalResolved(request, done, number, text))
+            case PriorStateQuery():
+                self._on_prior_state_query(sender, message)
+            case VoterReplacement():
+                self._on_voter_replacement(sender, message)
+            case StateChanged(index) if (
+                self.known_state.index < index <= self.known_state.index + MAX_INDEX_LEAD
+            ):
+                self.renewal_deadline = min(self.renewal_deadline, self.now)
+
+    def _send(self, to: NodeId, message: AgreementMessage) -> None:
         if to == self.name:
-            self._take(self.name, word)
+            self._handle_message(self.name, message)
         else:
-            self.actions.append(Tell(to, word))
+            self.actions.append(Send(to, message))
 
-    # ---- a voter ----------------------------------------------------------------------------------------
+    # ---- voter ------------------------------------------------------------------------------------------
 
-    def _vote(self, saved: Saved) -> None:
-        self.raft = Raft(saved, self.terms.raft(), self.random.getrandbits(32), self.now)
-        if saved.snapshot.state:
-            self.books = read_books(saved.snapshot.state)
+    def _become_voter(self, stored: PersistentState) -> None:
+        self.raft = Raft(stored, self.timings.raft_timings(), self.rng.getrandbits(32), self.now)
+        if stored.snapshot.state:
+            self.state = decode_state(stored.snapshot.state)
 
-    def _ask_whether_blank(self) -> None:
-        """A voter without books may be new, or one whose disk was lost: that one's votes were counted
-        already, and it must not vote anew. So it begins only when every other voter says it never heard of
-        it."""
-        self.blank_due = self.now + SAID_AGAIN
+    def _query_prior_state(self) -> None:
+        """Ask the other voters whether this one ever had state. A voter without state is either new or has
+        lost its disk; in the second case its votes were already counted and it must not vote again. So it
+        starts voting only once every other voter reports that it never received a message from it."""
+        self.prior_state_deadline = self.now + RESEND_INTERVAL
         others = [one for one in self.voters if one != self.name]
-        if any(self.blanks.values()):
-            return  # it had books once: it only learns, until it is made a voter under a new name
-        if all(one in self.blanks for one in others):
-            self._vote(raft.fresh(self.name, self.voters))
+        if any(self.prior_state_answers.values()):
+            return  # its state was lost: it does not vote until it is added under a new id
+        if all(one in self.prior_state_answers for one in others):
+            self._become_voter(raft.initial_state(self.name, self.voters))
             assert self.raft is not None
-            self.actions += [self._keep(), Noted("votes", "no other voter ever heard of this one")]
+            self.actions += [
+                self._persist(),
+                LogEvent("votes", "no other voter ever received a message from this one"),
+            ]
             return
         for one in others:
-            self.actions.append(Tell(one, Blank(self.life, False, False)))
+            self.actions.append(Send(one, PriorStateQuery(self.process_id, False, False)))
 
-    def _blank(self, sender: Name, word: Blank) -> None:
-        if not word.answer:
-            self.actions.append(Tell(sender, Blank(word.life, True, sender in self.met)))
-        elif word.life == self.life and self.raft is None:
-            if word.met and not self.blanks.get(sender):
+    def _on_prior_state_query(self, sender: NodeId, query: PriorStateQuery) -> None:
+        if not query.is_answer:
+            self.actions.append(
+                Send(sender, PriorStateQuery(query.process_id, True, sender in self.known_voters))
+            )
+        elif query.process_id == self.process_id and self.raft is None:
+            if query.known and not self.prior_state_answers.get(sender):
                 self.actions.append(
-                    Noted("disk-lost", f"{sender} has heard this voter before: it learns and does not vote")
+                    LogEvent(
+                        "disk-lost",
+                        f"{sender} received messages from this voter before: it follows without a vote",
+                    )
                 )
-            self.blanks[sender] = word.met
+            self.prior_state_answers[sender] = query.known
 
-    def _ballot(self, sender: Name, body: bytes) -> None:
+    def _on_raft_message(self, sender: NodeId, body: bytes) -> None:
         try:
-            message = raft.read_message(body)
+            message = raft.decode_message(body)
         except (msgspec.DecodeError, msgspec.ValidationError):
             return
-        if name_of(message.sender) != sender or name_of(message.to) != self.name:
+        if member_of(message.sender) != sender or member_of(message.to) != self.name:
             return
-        if self.raft is None and not self._begin_under(message):
+        if self.raft is None and not self._start_under_new_id(message):
             return
         assert self.raft is not None
-        if name_of(message.sender) not in self.met and len(self.met) < MOST_MET:
-            self.met.add(sender)
+        if member_of(message.sender) not in self.known_voters and len(self.known_voters) < MAX_KNOWN_VOTERS:
+            self.known_voters.add(sender)
             self.actions.append(
-                self._keep()
-            )  # before its vote counts: should it lose its disk, it votes no more
-        self._raft(raft.Told(message))
-
-    def _begin_under(self, message: raft.Message) -> bool:
-        """A leader's word to a new id of this member: it votes under that one, of which nobody counted a
-        vote."""
-        appended = message.say in (raft.Say.APPEND, raft.Say.SNAPSHOT)
-        if not appended or SEPARATOR not in message.to or "" in self.blanks:
+                self._persist()
+            )  # durable before its vote counts, so that it cannot vote again after losing its disk
+        self._step_raft(raft.Received(message))
+
+    def _start_under_new_id(self, message: raft.Message) -> bool:
+        """A leader addresses a new id of this member: vote under that id, for which no vote was ever
+        counted."""
+        from_leader = message.kind in (raft.MessageKind.APPEND_ENTRIES, raft.MessageKind.INSTALL_SNAPSHOT)
+        if not from_leader or VOTER_ID_SEPARATOR not in message.to or "" in self.prior_state_answers:
             return False
-        self._vote(raft.fresh(message.to, ()))
-        self.actions += [self._keep(), Noted("votes", f"as {message.to}, in the place of another")]
+        self._become_voter(raft.initial_state(message.to, ()))
+        self.actions += [self._persist(), LogEvent("votes", f"as {message.to}, replacing another voter")]
         return True
 
-    def _keep(self) -> Keep:
+    def _persist(self) -> Persist:
         assert self.raft is not None
-        return Keep(Kept(self.raft.saved(), tuple(sorted(self.met))))
+        return Persist(VoterState(self.raft.persistent_state(), tuple(sorted(self.known_voters))))
 
-    def _raft(self, event: raft.Event) -> None:
+    def _step_raft(self, event: raft.Event) -> None:
         assert self.raft is not None
         for action in self.raft.handle(self.now, event):
             match action:
                 case raft.Send(message):
-                    self.actions.append(Tell(name_of(message.to), Ballot(raft.write_message(message))))
-                case raft.Save():
-                    self.actions.append(self._keep())
+                    self.actions.append(
+                        Send(member_of(message.to), RaftMessage(raft.encode_message(message)))
+                    )
+                case raft.Persist():
+                    self.actions.append(self._persist())
                 case raft.Apply(index, entry):
                     self._apply(index, entry)
-                case raft.Install(snapshot):
-                    self.books = read_books(snapshot.state) if snapshot.state else NO_BOOKS
-                case raft.Led(leads, term):
-                    self.leads_since, self.deciding, self.joining = None, 0, ""
+                case raft.InstallSnapshot(snapshot):
+                    self.state = decode_state(snapshot.state) if snapshot.state else EMPTY_STATE
+                case raft.LeadershipChanged(is_leader, term):
+                    self.leading_since, self.deciding_index, self.joining_member = None, 0, ""
                     self.leases.clear()
-                    self.actions.append(Noted("leads" if leads else "leads-no-more", f"term {term}"))
-        if self.books.index - self.raft.snapshot.index >= COMPACT:
-            state = write(self.books)
-            index = self.books.index
+                    self.actions.append(LogEvent("leads" if is_leader else "leads-no-more", f"term {term}"))
+        if self.state.index - self.raft.snapshot.index >= COMPACTION_THRESHOLD:
+            state = encode(self.state)
+            index = self.state.index
             for action in self.raft.handle(self.now, raft.Compact(index, state)):
-                if isinstance(action, raft.Save):
-                    self.actions.append(self._keep())
+                if isinstance(action, raft.Persist):
+                    self.actions.append(self._persist())
 
     def _apply(self, index: int, entry: raft.Entry) -> None:
-        """One entry of the log: the same for every voter."""
+        """Apply one committed entry; deterministic, so that every voter reaches the same state."""
         assert self.raft is not None
-        if self.raft.role is Role.LEADER and entry.term == self.raft.term and self.leads_since is None:
-            self.leads_since = self.now
-        books = msgspec.structs.replace(self.books, index=index)
-        if entry.kind == raft.Kind.ENTRY:
-            match read_command(entry.body):
-                case Joint(version):
-                    free = books.joint is None and version.base == books.force.number
-                    if free and version.number == books.last + 1:
-                        books = msgspec.structs.replace(books, joint=version, last=version.number)
-                        self.joint_at = self.now
+        if self.raft.role is Role.LEADER and entry.term == self.raft.term and self.leading_since is None:
+            self.leading_since = self.now
+        state = msgspec.structs.replace(self.state, index=index)
+        if entry.kind == raft.EntryKind.COMMAND:
+            match decode_command(entry.body):
+                case BeginJointPhase(version):
+                    free = state.joint is None and version.base == state.in_force.number
+                    if free and version.number == state.last_number + 1:
+                        state = msgspec.structs.replace(state, joint=version, last_number=version.number)
+                        self.joint_since = self.now
                     else:
-                        text = f"version {books.force.number} is in force"
-                        self._settle(version, False, f"turned down: it builds on {version.base}, {text}")
-                case Force(number, dropped) if books.joint is not None and books.joint.number == number:
-                    joint = books.joint
-                    past = (*books.past, (number, joint.by, joint.why, dropped or "in force"))[-MOST_PAST:]
+                        text = f"version {state.in_force.number} is in force"
+                        self._resolve(version, False, f"turned down: it builds on {version.base}, {text}")
+                case EndJointPhase(number, dropped) if (
+                    state.joint is not None and state.joint.number == number
+                ):
+                    joint = state.joint
+                    history = (*state.history, (number, joint.by, joint.why, dropped or "in force"))[
+                        -MAX_HISTORY:
+                    ]
                     if dropped:
-                        books = msgspec.structs.replace(books, joint=None, past=past)
-                        self._settle(joint, False, dropped)
+                        state = msgspec.structs.replace(state, joint=None, history=history)
+                        self._resolve(joint, False, dropped)
                     else:
-                        books = Books(index, joint, None, past, books.last, _kept(books))
-                        self._settle(joint, True, f"version {number} is in force")
-                case Force():
+                        state = ReplicatedState(
+                            index, joint, None, history, state.last_number, _previous_versions(state)
+                        )
+                        self._resolve(joint, True, f"version {number} is in force")
+                case EndJointPhase():
                     pass
-        changed = (books.force, books.joint) != (self.books.force, self.books.joint)
-        self.books = books
+        changed = (state.in_force, state.joint) != (self.state.in_force, self.state.joint)
+        self.state = state
         if changed and self.raft.role is Role.LEADER:
-            self.ask_due = self.now
-            self.actions += [Tell(name, News(index)) for name in self.leases if name != self.name]
+            self.renewal_deadline = self.now
+            self.actions += [Send(name, StateChanged(index)) for name in self.leases if name != self.name]
 
-    def _settle(self, version: Version, done: bool, text: str) -> None:
-        to = self.owed.pop(version.request, None)
+    def _resolve(self, version: Version, done: bool, text: str) -> None:
+        to = self.verdict_recipients.pop(version.request, None)
         if to is not None:
-            self._say(to, Verdict(version.request, done, version.number if done else 0, text))
+            self._send(to, Verdict(version.request, done, version.number if done else 0, text))
 
-    # ---- the leader -------------------------------------------------------------------------------------
+    # ---- leader -----------------------------------------------------------------------------------------
 
-    def _leads(self) -> bool:
-        """Whether what this one grants or decides is the leader's word, right now."""
-        return self.raft is not None and self.leads_since is not None and self.raft.leads(self.now)
+    def _is_effective_leader(self) -> bool:
+        """Whether this node may grant leases and decide as the leader at this moment."""
+        return (
+            self.raft is not None and self.leading_since is not None and self.raft.has_leader_lease(self.now)
+        )
 
-    def _asked_for(self, sender: Name, ask: Ask) -> None:
-        if not self._leads():
-            leader = name_of(self.raft.leader) if self.raft is not None else ""
+    def _on_lease_request(self, sender: NodeId, request: LeaseRequest) -> None:
+        if not self._is_effective_leader():
+            leader = member_of(self.raft.leader) if self.raft is not None else ""
             if sender != self.name:
                 hint = leader if leader != self.name else ""
-                self.actions.append(Tell(sender, Grant(ask.stamp, 0.0, 0, hint)))
+                self.actions.append(Send(sender, LeaseGrant(request.timestamp, 0.0, 0, hint)))
             elif leader != self.name:
-                self._hinted(leader)
+                self._on_leader_hint(leader)
             return
-        known = self.leases.get(sender)
-        if known is None and len(self.leases) >= MOST_LEASES:
+        held = self.leases.get(sender)
+        if held is None and len(self.leases) >= MAX_LEASES:
             return
-        ends = self.now + self.terms.lease * (1.0 + self.terms.drift)
-        # Two processes of one name (an upgrade, a restart): the one that is behind counts, until its lease
-        # ends.
-        behind = known is not None and known.life != ask.life and self.now < known.ends
-        prepared = min(ask.prepared, known.prepared) if known is not None and behind else ask.prepared
-        if behind and known is not None:
-            ends = max(ends, known.ends)
-        self.leases[sender] = Leased(ask.life, ends, prepared)
+        expires_at = self.now + self.timings.lease * (1.0 + self.timings.clock_drift)
+        # Two processes with one name (an upgrade or a restart): the one that has prepared less counts until
+        # its lease expires.
+        behind = held is not None and held.process_id != request.process_id and self.now < held.expires_at
+        prepared = min(request.prepared, held.prepared) if held is not None and behind else request.prepared
+        if behind and held is not None:
+            expires_at = max(expires_at, held.expires_at)
+        self.leases[sender] = MemberLease(request.process_id, expires_at, prepared)
         self.leases.move_to_end(sender)
-        if self.books.index < self.deciding:
-            return  # what it was granted now would be out of force as soon as that is committed
-        joint = self.books.joint
-        if joint is not None and ask.refused == joint.number and ask.no:
-            self._log(Force(joint.number, f"turned down by {sender}: {ask.no}"))
-        books = None if ask.index == self.books.index else self.books
-        self._say(sender, Grant(ask.stamp, self.terms.lease, self.books.index, self.name, books))
-
-    def _lead(self) -> None:
-        """Bring the joint version into force once nobody acts on what contradicts it."""
+        if self.state.index < self.deciding_index:
+            return  # the state granted now would be outdated once that entry is committed
+        joint = self.state.joint
+        if joint is not None and request.refused == joint.number and request.objection:
+            self._append_command(EndJointPhase(joint.number, f"turned down by {sender}: {request.objection}"))
+        state = None if request.index == self.state.index else self.state
+        self._send(
+            sender, LeaseGrant(request.timestamp, self.timings.lease, self.state.index, self.name, state)
+        )
+
+    def _advance_joint_phase(self) -> None:
+        """Bring the joint version into force once no member can be acting on rules that contradict it; drop
+        it if members take too long to prepare it."""
         while self.leases:
-            name, one = next(iter(self.leases.items()))
-            if one.ends > self.now:
+            name, lease = next(iter(self.leases.items()))
+            if lease.expires_at > self.now:
                 break
             del self.leases[name]
-        if self.joining and self._leads() and not self._pending():
+        if self.joining_member and self._is_effective_leader() and not self._has_uncommitted():
             assert self.raft is not None
-            new, self.joining = f"{self.joining}{SEPARATOR}{self.raft.last}", ""
-            self._raft(raft.ChangeVoters((*self.raft.voters, new)))
-        joint = self.books.joint
-        if joint is None or not self._leads() or self.leads_since is None or self._pending():
+            new, self.joining_member = f"{self.joining_member}{VOTER_ID_SEPARATOR}{self.raft.last_index}", ""
+            self._step_raft(raft.ChangeVoters((*self.raft.voters, new)))
+        joint = self.state.joint
+        if (
+            joint is None
+            or not self._is_effective_leader()
+            or self.leading_since is None
+            or self._has_uncommitted()
+        ):
             return
-        if self._harmless(joint):
-            self._log(Force(joint.number))
+        if self._is_compatible(joint):
+            self._append_command(EndJointPhase(joint.number))
             return
-        waited = self.now - self.leads_since >= self.terms.lease * (1.0 + 2.0 * self.terms.drift)
-        ready = all(one.prepared == joint.number or one.ends <= self.now for one in self.leases.values())
+        waited = self.now - self.leading_since >= self.timings.lease * (1.0 + 2.0 * self.timings.clock_drift)
+        ready = all(
+            one.prepared == joint.number or one.expires_at <= self.now for one in self.leases.values()
+        )
         if waited and ready:
-            self._log(Force(joint.number))
-        elif self.now - max(self.joint_at, self.leads_since) >= PREPARE_LIMIT:
+            self._append_command(EndJointPhase(joint.number))
+        elif self.now - max(self.joint_since, self.leading_since) >= PREPARE_TIMEOUT:
             late = ", ".join(name for name, one in self.leases.items() if one.prepared != joint.number)
-            self._log(Force(joint.number, f"not prepared within {PREPARE_LIMIT / 1_000:g} s by {late[:150]}"))
+            self._append_command(
+                EndJointPhase(
+                    joint.number, f"not prepared within {PREPARE_TIMEOUT / 1_000:g} s by {late[:150]}"
+                )
+            )
 
-    def _harmless(self, joint: Version) -> bool:
-        """A change that contradicts nothing skips the wait; the first of all may not: who acts by no version
-        acts as it pleases, and that may contradict it."""
-        if not self.books.force.number:
+    def _is_compatible(self, joint: Version) -> bool:
+        """Whether the joint version contradicts nothing in force, so that the wait can be skipped. Never for
+        the first version: members without a version act on their own settings, which may contradict it."""
+        if not self.state.in_force.number:
             return False
-        return not contradictions(self._rules(self.books.force), self._rules(joint))
+        return not contradictions(self._decoded(self.state.in_force), self._decoded(joint))
 
-    def _pending(self) -> bool:
-        """Whether entries wait to be committed: one at a time is decided."""
+    def _has_uncommitted(self) -> bool:
+        """Whether entries are not committed yet; decisions are taken one at a time."""
         assert self.raft is not None
-        return self.raft.last > self.raft.commit
+        return self.raft.last_index > self.raft.commit_index
 
-    def _log(self, command: Joint | Force) -> None:
-        if self._leads() and not self._pending():
+    def _append_command(self, command: BeginJointPhase | EndJointPhase) -> None:
+        if self._is_effective_leader() and not self._has_uncommitted():
             assert self.raft is not None
-            self.deciding = self.raft.last + 1
-            self._raft(raft.Propose(write(command)))
+            self.deciding_index = self.raft.last_index + 1
+            self._step_raft(raft.Propose(encode(command)))
 
     # ---- proposals --------------------------------------------------------------------------------------
 
     def _propose(self, event: Propose) -> None:
-        if len(self.wanted) >= MOST_REQUESTS or len(event.rules) > MOST_RULES:
-            text = f"too many proposals, or over {MOST_RULES} bytes ({len(event.rules)})"
-            self.actions.append(Answered(event.request, False, 0, text))
+        if len(self.pending_requests) >= MAX_PENDING_REQUESTS or len(event.rules) > MAX_RULES_BYTES:
+            text = f"too many proposals, or over {MAX_RULES_BYTES} bytes ({len(event.rules)})"
+            self.actions.append(ProposalResolved(event.request, False, 0, text))
             return
-        request = f"{self.name}/{self.life}/{event.request}"
-        proposal = Proposal(request, event.base, event.rules, event.by[:64], event.why[:MOST_WHY])
-        self._want(proposal)
-
-    def _want(self, word: Proposal | Replace) -> None:
-        self.wanted[word.request] = Wanted(word, self.now, self.now)
-        self._to_leader(word)
-
-    def _proposed(self, sender: Name, proposal: Proposal) -> None:
-        """Said again until its verdict comes, so it is taken once by its request."""
-        if not self._leads():
+        request = f"{self.name}/{self.process_id}/{event.request}"
+        proposal = Proposal(request, event.base, event.rules, event.by[:64], event.why[:MAX_REASON_LENGTH])
+        self._submit(proposal)
+
+    def _submit(self, message: Proposal | VoterReplacement) -> None:
+        self.pending_requests[message.request] = PendingRequest(message, self.now, self.now)
+        self._send_to_leader(message)
+
+    def _on_proposal(self, sender: NodeId, proposal: Proposal) -> None:
+        """Handle a proposal. The proposer resends it until the verdict arrives, so duplicates are recognised
+        by ``request``."""
+        if not self._is_effective_leader():
             return
-        force, joint = self.books.force, self.books.joint
+        force, joint = self.state.in_force, self.state.joint
         for version in (force, joint):
             if version is not None and version.request == proposal.request:
                 if version is force:
                     text = f"version {force.number} is in force"
-                    self._say(sender, Verdict(proposal.request, True, force.number, text))
+                    self._send(sender, Verdict(proposal.request, True, force.number, text))
                 else:
-                    self.owed[proposal.request] = sender
+                    self.verdict_recipients[proposal.request] = sender
                 return
-        no = self._turned_down(proposal)
-        if no:
-            self._say(sender, Verdict(proposal.request, False, 0, no))
-        elif not self._pending():
-            self.owed[proposal.request] = sender
-            while len(self.owed) > MOST_REQUESTS:
-                self.owed.popitem(last=False)
+        objection = self._objection_to(proposal)
+        if objection:
+            self._send(sender, Verdict(proposal.request, False, 0, objection))
+        elif not self._has_uncommitted():
+            self.verdict_recipients[proposal.request] = sender
+            while len(self.verdict_recipients) > MAX_PENDING_REQUESTS:
+                self.verdict_recipients.popitem(last=False)
             version = Version(
-                self.books.last + 1, force.number, proposal.rules, proposal.by, proposal.why, proposal.request
+                self.state.last_number + 1,
+                force.number,
+                proposal.rules,
+                proposal.by,
+                proposal.why,
+                proposal.request,
             )
-            self._log(Joint(version))
+            self._append_command(BeginJointPhase(version))
 
-    def _replace(self, sender: Name, word: Replace) -> None:
-        """First one voter less, then one more: each a change of one, after the other is committed."""
-        if not self._leads() or self._pending() or self.joining:
+    def _on_voter_replacement(self, sender: NodeId, replacement: VoterReplacement) -> None:
+        """Remove one voter, then add another: two single-voter changes, the second after the first is
+        committed."""
+        if not self._is_effective_leader() or self._has_uncommitted() or self.joining_member:
             return
         assert self.raft is not None
         voters = self.raft.voters
-        if any(name_of(one) == word.new for one in voters if one != word.old):
-            text = f"{word.new} votes already; voters: {', '.join(voters)}"
-            self._say(sender, Verdict(word.request, word.old not in voters, 0, text))
-        elif word.old in voters and len(voters) > 1 and word.old != self.raft.me:
-            self.joining = word.new
-            self._raft(raft.ChangeVoters(tuple(one for one in voters if one != word.old)))
-        elif word.old in voters:
-            text = f"{word.old} leads: ask again once another does"
-            self._say(sender, Verdict(word.request, False, 0, text))
+        if any(member_of(one) == replacement.new for one in voters if one != replacement.old):
+            text = f"{replacement.new} votes already; voters: {', '.join(voters)}"
+            self._send(sender, Verdict(replacement.request, replacement.old not in voters, 0, text))
+        elif replacement.old in voters and len(voters) > 1 and replacement.old != self.raft.voter_id:
+            self.joining_member = replacement.new
+            self._step_raft(raft.ChangeVoters(tuple(one for one in voters if one != replacement.old)))
+        elif replacement.old in voters:
+            text = f"{replacement.old} leads: ask again once another does"
+            self._send(sender, Verdict(replacement.request, False, 0, text))
         else:
-            self.joining = word.new
+            self.joining_member = replacement.new
 
-    def _turned_down(self, proposal: Proposal) -> str:
-        force, joint = self.books.force, self.books.joint
+    def _objection_to(self, proposal: Proposal) -> str:
+        force, joint = self.state.in_force, self.state.joint
         try:
-            rules = read_rules(proposal.rules)
+            rules = decode_rules(proposal.rules)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             return f"it can't be read here: {error}"
         if proposal.base not in (-1, force.number):
             text = f"it builds on version {proposal.base}, version {force.number} is in force"
             if force.number:
-                apart = contradictions(rules, self._rules(force))
+                apart = contradictions(rules, self._decoded(force))
                 text += "; it differs in: " + ("; ".join(apart)[:600] or "nothing that contradicts it")
             return text
         if joint is not None:
@@ -762,14 +833,14 @@
         return ""
 
 
-def _kept(books: Books) -> tuple[Version, ...]:
-    """The versions to keep once the one in force is one of the past: the newest that there is room for."""
-    kept = [*books.kept, books.force] if books.force.number else []
-    while len(kept) > MOST_KEPT or sum(len(one.rules) for one in kept) > MOST_KEPT_BYTES:
-        del kept[0]
-    return tuple(kept)
+def _previous_versions(state: ReplicatedState) -> tuple[Version, ...]:
+    """The versions kept for a rollback once the one in force is replaced: the newest within the limits."""
+    previous = [*state.previous, state.in_force] if state.in_force.number else []
+    while len(previous) > MAX_PREVIOUS or sum(len(one.rules) for one in previous) > MAX_PREVIOUS_BYTES:
+        del previous[0]
+    return tuple(previous)
 
 
-def name_of(voter: Name) -> Name:
-    """The member that bears the id."""
-    return voter.partition(SEPARATOR)[0]
+def member_of(voter: NodeId) -> NodeId:
+    """Name of the member that has this voter id."""
+    return voter.partition(VOTER_ID_SEPARATOR)[0]
--- a/martentide/agreement/fragments.py
+++ b/martentide/agreement/fragments.py
@@ -1,5 +1,5 @@
-"""Long words in parts that fit one datagram each; a word of which a part is lost is said again by its
-sender."""
+"""Splits long messages into fragments of one datagram each and reassembles them. Lost fragments are not
+requested again; the sender repeats the whole message."""
 
 from __future__ import annotations
 
@@ -7,63 +7,75 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-PART = 900  # bytes of a word in one datagram
-MOST_PARTS = 96
-MOST_OPEN = 64  # words of which parts are still out, of all senders together
-OPEN_FOR = 3_000.0  # ms
-HEAD = 6  # number:4 place:1 count:1
+MAX_FRAGMENT_BYTES = 900  # of payload in one datagram
+MAX_FRAGMENTS = 96
+MAX_INCOMPLETE = 64  # partially received messages, over all senders
+REASSEMBLY_TIMEOUT = 3_000.0  # ms
+HEADER_BYTES = 6  # message number: 4, index: 1, count: 1
 
 
-class Splitter:
+class Fragmenter:
+    """Splits outgoing messages and numbers them."""
+
     def __init__(self) -> None:
-        self.number = self.turn = 0
+        self.message_number = self.turn = 0
 
-    def choose(self, names: Sequence[str]) -> str:
-        """One after the other, so that each has its turn."""
+    def next_of(self, names: Sequence[str]) -> str:
+        """Choose one of ``names`` in round-robin order."""
         self.turn += 1
         return names[self.turn % len(names)]
 
-    def split(self, word: bytes) -> list[bytes]:
-        """Raises ValueError for a word that is too long."""
-        count = max(1, -(-len(word) // PART))
-        if count > MOST_PARTS:
-            raise ValueError(f"a word of {len(word)} bytes, {MOST_PARTS * PART} at most")
-        self.number = (self.number + 1) % (1 << 32)
-        head = self.number.to_bytes(4, "big")
-        return [head + bytes((at, count)) + word[at * PART : (at + 1) * PART] for at in range(count)]
+    def split(self, message: bytes) -> list[bytes]:
+        """Split a message into datagrams. Raises ValueError if it is too long."""
+        count = max(1, -(-len(message) // MAX_FRAGMENT_BYTES))
+        if count > MAX_FRAGMENTS:
+            raise ValueError(
+                f"message of {len(message)} bytes exceeds the limit of {MAX_FRAGMENTS * MAX_FRAGMENT_BYTES}"
+            )
+        self.message_number = (self.message_number + 1) % (1 << 32)
+        message_id = self.message_number.to_bytes(4, "big")
+        return [
+            message_id
+            + bytes((index, count))
+            + message[index * MAX_FRAGMENT_BYTES : (index + 1) * MAX_FRAGMENT_BYTES]
+            for index in range(count)
+        ]
 
 
 @dataclass(slots=True)
-class Open:
-    at: float
+class PartialMessage:
+    """A message with missing fragments; ``started_at`` in ms."""
+
+    started_at: float
     count: int
-    parts: dict[int, bytes] = field(default_factory=dict)
+    fragments: dict[int, bytes] = field(default_factory=dict)
 
 
-class Joiner:
-    """``take`` gives the whole word with its last part."""
+class Reassembler:
+    """Reassembles incoming messages."""
 
     def __init__(self) -> None:
-        self.open: OrderedDict[tuple[str, int], Open] = OrderedDict()
+        self.incomplete: OrderedDict[tuple[str, int], PartialMessage] = OrderedDict()
 
-    def take(self, now: float, sender: str, part: bytes) -> bytes | None:
-        if len(part) < HEAD or len(part) > HEAD + PART:
+    def add(self, now: float, sender: str, fragment: bytes) -> bytes | None:
+        """Add a fragment received at ``now`` (ms); returns the message if it is complete, else None."""
+        if len(fragment) < HEADER_BYTES or len(fragment) > HEADER_BYTES + MAX_FRAGMENT_BYTES:
             return None
-        number, place, count = int.from_bytes(part[:4], "big"), part[4], part[5]
-        if not place < count <= MOST_PARTS:
+        number, index, count = int.from_bytes(fragment[:4], "big"), fragment[4], fragment[5]
+        if not index < count <= MAX_FRAGMENTS:
             return None
         if count == 1:
-            return part[HEAD:]
-        while self.open and now - next(iter(self.open.values())).at > OPEN_FOR:
-            self.open.popitem(last=False)
+            return fragment[HEADER_BYTES:]
+        while self.incomplete and now - next(iter(self.incomplete.values())).started_at > REASSEMBLY_TIMEOUT:
+            self.incomplete.popitem(last=False)
         key = (sender, number)
-        known = self.open.setdefault(key, Open(now, count))
-        if known.count != count:
+        partial = self.incomplete.setdefault(key, PartialMessage(now, count))
+        if partial.count != count:
             return None
-        known.parts[place] = part[HEAD:]
-        if len(known.parts) == count:
-            del self.open[key]
-            return b"".join(known.parts[at] for at in range(count))
-        if len(self.open) > MOST_OPEN:
-            self.open.popitem(last=False)
+        partial.fragments[index] = fragment[HEADER_BYTES:]
+        if len(partial.fragments) == count:
+            del self.incomplete[key]
+            return b"".join(partial.fragments[at] for at in range(count))
+        if len(self.incomplete) > MAX_INCOMPLETE:
+            self.incomplete.popitem(last=False)
         return None
--- a/martentide/agreement/messages.py
+++ b/martentide/agreement/messages.py
@@ -1,19 +1,19 @@
-"""What members say to each other about versions, and what is in the log of them."""
+"""Messages between members about versions of rules, and the commands and state of the replicated log."""
 
 from __future__ import annotations
 
 import msgspec
 
-from martentide.agreement.lists import MOST_TOLD, Record
-from martentide.agreement.raft import Name
+from martentide.agreement.lists import MAX_CHANGES, ServerRecord
+from martentide.agreement.raft import NodeId
 
-MOST_WHY = 200
+MAX_REASON_LENGTH = 200  # characters of ``why`` and of an objection
 
 
 class Version(msgspec.Struct, array_like=True, frozen=True):
-    """``number`` is no other version's, also not a dropped one's; ``base``: that of the one it builds on;
-    ``rules`` as ``write_rules`` has them; ``by`` and ``why`` are for people; ``request`` is who asked for it
-    and a number of theirs."""
+    """A version of the rules. ``number`` is unique, also among dropped versions; ``base`` is the number of
+    the version it builds on; ``rules`` are encoded by ``encode_rules``; ``by`` and ``why`` are for people;
+    ``request`` identifies the proposer and its request."""
 
     number: int
     base: int
@@ -23,67 +23,70 @@
     request: str = ""
 
 
-class Joint(msgspec.Struct, array_like=True, frozen=True, tag="joint"):
-    """In the log: from now on members act by what both this version and the one in force allow."""
+class BeginJointPhase(msgspec.Struct, array_like=True, frozen=True, tag="joint"):
+    """Log command: from now on members prepare this version, that is, act on what both it and the version in
+    force allow."""
 
     version: Version
 
 
-class Force(msgspec.Struct, array_like=True, frozen=True, tag="force"):
-    """In the log: the joint one is in force; or, with a reason, it is dropped."""
+class EndJointPhase(msgspec.Struct, array_like=True, frozen=True, tag="force"):
+    """Log command: the joint version is in force or, if ``dropped`` gives a reason, it is dropped."""
 
     number: int
     dropped: str = ""
 
 
-Command = Joint | Force
+Command = BeginJointPhase | EndJointPhase
 
 
-class Books(msgspec.Struct, array_like=True, frozen=True):
-    """What the log says, all told: the state in a snapshot. ``index`` of the last entry in it; ``last``: the
-    highest number that any version had, since a dropped one's must not be borne by another; ``kept``: what
-    was in force before, newest last; ``past``: number, who, why, and what became of the last versions."""
+class ReplicatedState(msgspec.Struct, array_like=True, frozen=True):
+    """The state that results from applying the log, as kept in snapshots. ``index``: last applied entry;
+    ``history``: number, proposer, reason and outcome of the last versions; ``last_number``: highest version
+    number used so far, because the number of a dropped version must not be used again; ``previous``: versions
+    formerly in force, newest last."""
 
     index: int
-    force: Version
+    in_force: Version
     joint: Version | None
-    past: tuple[tuple[int, str, str, str], ...]
-    last: int = 0
-    kept: tuple[Version, ...] = ()
+    history: tuple[tuple[int, str, str, str], ...]
+    last_number: int = 0
+    previous: tuple[Version, ...] = ()
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """A member asks for its lease. ``stamp`` is its own clock, ``life`` its process; ``index`` of the books
-    it has; ``prepared``: the joint version by which it acts already (0: none); ``no``: it turned that one
-    down."""
+class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
+    """A member requests or renews its lease. ``timestamp``: the member's clock in ms; ``process_id``: differs
+    for each process of one name; ``index``: of the replicated state it has; ``prepared``: the joint version
+    it already acts on (0: none); ``refused``: the joint version it cannot act on (0: none), with its
+    ``objection``."""
 
-    stamp: float
-    life: int
+    timestamp: float
+    process_id: int
     index: int
     prepared: int
     refused: int = 0
-    no: str = ""
+    objection: str = ""
 
 
-class Grant(msgspec.Struct, array_like=True, frozen=True, tag="grant"):
-    """A leader's answer: ``lease`` ms from when ``stamp`` was said; 0 with the leader's name from one that
-    does not lead. ``books`` where the member's are older."""
+class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="grant"):
+    """Reply to a lease request: a lease of ``lease`` ms from ``timestamp``. A voter that is not the leader
+    replies with 0 and the leader's name. ``state`` is included if the member's is older."""
 
-    stamp: float
+    timestamp: float
     lease: float
     index: int
-    leader: Name
-    books: Books | None = None
+    leader: NodeId
+    state: ReplicatedState | None = None
 
 
-class Ballot(msgspec.Struct, array_like=True, frozen=True, tag="ballot"):
-    """Of the replicated log, from voter to voter."""
+class RaftMessage(msgspec.Struct, array_like=True, frozen=True, tag="ballot"):
+    """An encoded message of the replicated log, between voters."""
 
     body: bytes
 
 
 class Proposal(msgspec.Struct, array_like=True, frozen=True, tag="proposal"):
-    """``base`` -1: whatever is in force."""
+    """A proposal to the leader; ``base`` -1: whatever is in force."""
 
     request: str
     base: int
@@ -93,7 +96,7 @@
 
 
 class Verdict(msgspec.Struct, array_like=True, frozen=True, tag="verdict"):
-    """What became of a proposal; ``text`` in words, ``number`` of the version."""
+    """The outcome of a proposal: ``number`` of the version, ``text`` for people."""
 
     request: str
     done: bool
@@ -101,95 +104,111 @@
     text: str
 
 
-class Blank(msgspec.Struct, array_like=True, frozen=True, tag="blank"):
-    """A voter without books asks whether it ever had any (``answer``: of the one asked; ``met``: it had)."""
+class PriorStateQuery(msgspec.Struct, array_like=True, frozen=True, tag="blank"):
+    """A voter without state asks whether it ever had any. ``is_answer``: the reply, in which ``known`` tells
+    whether the replying voter ever received a message of the log from it."""
 
-    life: int
-    answer: bool
-    met: bool
+    process_id: int
+    is_answer: bool
+    known: bool
 
 
-class Replace(msgspec.Struct, array_like=True, frozen=True, tag="replace"):
-    """A voter that has lost its books is to make room for the member ``new``, under an id that is
-    nobody's."""
+class VoterReplacement(msgspec.Struct, array_like=True, frozen=True, tag="replace"):
+    """Replace the voter ``old``, which lost its state, by the member ``new`` under an unused id."""
 
     request: str
-    old: Name
-    new: Name
+    old: NodeId
+    new: NodeId
 
 
-class News(msgspec.Struct, array_like=True, frozen=True, tag="news"):
-    """A leader's books go to ``index`` now: ask for them."""
+class StateChanged(msgspec.Struct, array_like=True, frozen=True, tag="news"):
+    """The leader's state has changed up to ``index``; members request it with their next lease request."""
 
     index: int
 
 
-class WantList(msgspec.Struct, array_like=True, frozen=True, tag="want-list"):
-    """Lists differ: tell me yours."""
+class ListRequest(msgspec.Struct, array_like=True, frozen=True, tag="want-list"):
+    """Request for the receiver's server list, since the digests differ."""
 
     digest: int
 
 
-class TheList(msgspec.Struct, array_like=True, frozen=True, tag="the-list"):
-    records: list[Record]
+class ListReply(msgspec.Struct, array_like=True, frozen=True, tag="the-list"):
+    """The sender's server list."""
 
+    records: list[ServerRecord]
 
-Word = Ask | Grant | Ballot | Proposal | Verdict | Blank | Replace | News | WantList | TheList
+
+AgreementMessage = (
+    LeaseRequest
+    | LeaseGrant
+    | RaftMessage
+    | Proposal
+    | Verdict
+    | PriorStateQuery
+    | VoterReplacement
+    | StateChanged
+    | ListRequest
+    | ListReply
+)
 _ENCODER = msgspec.msgpack.Encoder()
-_WORDS, _COMMANDS = msgspec.msgpack.Decoder(Word), msgspec.msgpack.Decoder(Command)
-_BOOKS = msgspec.msgpack.Decoder(Books)
+_MESSAGES, _COMMANDS = msgspec.msgpack.Decoder(AgreementMessage), msgspec.msgpack.Decoder(Command)
+_STATES = msgspec.msgpack.Decoder(ReplicatedState)
 
 
-def write(word: Word | Command | Books) -> bytes:
-    return _ENCODER.encode(word)
+def encode(item: AgreementMessage | Command | ReplicatedState) -> bytes:
+    """Encode a message, a log command or the replicated state as MessagePack."""
+    return _ENCODER.encode(item)
 
 
-def read_word(body: bytes) -> Word:
+def decode_message(body: bytes) -> AgreementMessage:
     """Raises msgspec.DecodeError or ValidationError."""
-    return _WORDS.decode(body)
+    return _MESSAGES.decode(body)
 
 
-def read_command(body: bytes) -> Command:
+def decode_command(body: bytes) -> Command:
+    """Raises msgspec.DecodeError or ValidationError."""
     return _COMMANDS.decode(body)
 
 
-def read_books(body: bytes) -> Books:
-    return _BOOKS.decode(body)
+def decode_state(body: bytes) -> ReplicatedState:
+    """Raises msgspec.DecodeError or ValidationError."""
+    return _STATES.decode(body)
 
 
-# ---- the facet --------------------------------------------------------------------------------------------
+# ---- gossiped state -------------------------------------------------------------------------------------
 
-FACET, FACET_SCHEMA, FACET_END = 4, 1, 10_000  # kind; ms that a word counts
-SAFE, OWN, AGREED = 0, 1, 2
+STATE_ENTRY_KIND, STATE_ENTRY_SCHEMA, STATE_ENTRY_LIFETIME = 4, 1, 10_000  # lifetime in ms
+SAFE, OWN, AGREED = 0, 1, 2  # what a member acts on: safe rules, its own settings, an agreed version
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True):
-    """What a member tells all others: by what it acts, and since when; its list, by digest and last
-    changes."""
+class MemberStatus(msgspec.Struct, array_like=True, frozen=True):
+    """A member's status, gossiped to all others: what it acts on and for how long, and the digest and latest
+    changes of its server list."""
 
     version: int
     joint: int
     acts: int
-    since: int  # ms before this was said
+    age: int  # ms for which the member has acted on it, at sending
     refused: str
     digest: int
-    changes: list[Record] = []
+    changes: list[ServerRecord] = []
 
 
-_TOLD = msgspec.msgpack.Decoder(Told)
-MOST_FACET = 480  # bytes
+_STATUSES = msgspec.msgpack.Decoder(MemberStatus)
+MAX_STATE_ENTRY_BYTES = 480
 
 
-def write_told(told: Told) -> bytes:
-    """With as many of the changes as fit."""
-    while len(body := _ENCODER.encode(told)) > MOST_FACET and told.changes:
-        told = msgspec.structs.replace(told, changes=told.changes[:-1])
+def encode_status(status: MemberStatus) -> bytes:
+    """Encode a status with as many of the changes as fit into ``MAX_STATE_ENTRY_BYTES``."""
+    while len(body := _ENCODER.encode(status)) > MAX_STATE_ENTRY_BYTES and status.changes:
+        status = msgspec.structs.replace(status, changes=status.changes[:-1])
     return body
 
 
-def read_told(body: bytes) -> Told:
+def decode_status(body: bytes) -> MemberStatus:
     """Raises msgspec.DecodeError or ValidationError."""
-    told = _TOLD.decode(body)
-    if len(told.changes) > MOST_TOLD or told.since < 0:
-        raise msgspec.ValidationError("figures out of range")
-    return told
+    status = _STATUSES.decode(body)
+    if len(status.changes) > MAX_CHANGES or status.age < 0:
+        raise msgspec.ValidationError("number of changes or age out of range")
+    return status
--- a/martentide/agreement/overlay.py
+++ b/martentide/agreement/overlay.py
@@ -1,4 +1,5 @@
-"""What a version, or safe rules, make of the own settings and of the list: always the stricter of both."""
+"""Restricts the local settings and the server list by an agreed version or by safe rules: the stricter of
+both applies."""
 
 from __future__ import annotations
 
@@ -7,29 +8,30 @@
 
 from martentide.agreement.ruleset import (
     ANY_PLACE,
-    AS_TOLD,
+    AS_LISTED,
     DRAINING,
     READY,
-    REPEATS,
+    REPEAT_LEVELS,
     ClassRule,
     RuleSet,
 )
 from martentide.interface import CallClass, Repeat, ServerEntry, ServerState, Settings
 
-ANSWERED = 1_000.0  # ms since a server's last answer, within which safe rules use it
-LEVELS = {level: repeat for repeat, level in REPEATS.items()}
+ANSWERED = 1_000.0  # ms; under safe rules a server is used only if it answered within this time
+REPEAT_BY_LEVEL = {level: repeat for repeat, level in REPEAT_LEVELS.items()}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """``rules`` None: the own settings as they are; with ``safe``: what can be had without any version.
-    ``last``: the set that this member acted on last, whose withdrawals a safe one keeps to."""
+    """What a member acts on. ``rules`` None: the local settings unchanged; ``safe``: rules that contradict no
+    version. ``last``: the rule set this member acted on last, whose server states safe rules still apply."""
 
     rules: RuleSet | None = None
     safe: bool = False
     last: RuleSet | None = None
 
     def settings(self, own: Settings) -> Settings:
+        """The local settings, restricted."""
         if self.safe:
             classes = tuple(dataclasses.replace(kind, repeat=Repeat.ONCE_ONLY) for kind in own.classes)
             tenants = tuple(
@@ -47,19 +49,20 @@
         )
         return dataclasses.replace(
             own,
-            classes=tuple(_class(kind, rules.classes.get(kind.name)) for kind in own.classes),
+            classes=tuple(_restrict_class(kind, rules.classes.get(kind.name)) for kind in own.classes),
             tenants=tenants,
             max_attempts=max(1, min(own.max_attempts, int(rules.attempts.lo))),
             cold_share=min(own.cold_share, rules.cold.lo),
         )
 
     def entries(self, own: Iterable[ServerEntry], answered: Collection[str]) -> tuple[ServerEntry, ...]:
-        """``answered``: servers that answered this proxy within ANSWERED."""
-        return tuple(self._entry(entry, entry.name in answered) for entry in own)
+        """The local server list, restricted; ``answered``: servers that answered this proxy within
+        ANSWERED."""
+        return tuple(self._restrict_entry(entry, entry.name in answered) for entry in own)
 
-    def _entry(self, entry: ServerEntry, answered: bool) -> ServerEntry:
+    def _restrict_entry(self, entry: ServerEntry, answered: bool) -> ServerEntry:
         rules = self.last if self.safe else self.rules
-        held = AS_TOLD if rules is None else rules.servers.get(key_of(entry), AS_TOLD)
+        held = AS_LISTED if rules is None else rules.servers.get(server_key(entry), AS_LISTED)
         level = int(held.lo)
         if self.safe and not answered:
             level = min(level, DRAINING)
@@ -68,19 +71,19 @@
         return dataclasses.replace(entry, state=ServerState.DRAINING)
 
 
-def key_of(entry: ServerEntry) -> str:
-    """ID@START, as rule sets name servers."""
+def server_key(entry: ServerEntry) -> str:
+    """Name of a server in rule sets: ID@START."""
     return f"{entry.name}@{int(entry.started or 0)}"
 
 
-def _class(kind: CallClass, rule: ClassRule | None) -> CallClass:
+def _restrict_class(kind: CallClass, rule: ClassRule | None) -> CallClass:
     if rule is None:
         return dataclasses.replace(kind, pools=())
     pools = kind.pools
-    if ANY_PLACE not in rule.places.narrow:
-        allowed = set(rule.places.narrow)
+    if ANY_PLACE not in rule.places.lower:
+        allowed = set(rule.places.lower)
         pools = tuple(sorted(allowed if pools is None else allowed & set(pools)))
-    repeat = LEVELS[min(REPEATS[kind.repeat], int(rule.repeat.lo))]
+    repeat = REPEAT_BY_LEVEL[min(REPEAT_LEVELS[kind.repeat], int(rule.repeat.lo))]
     deadline = max(1.0, min(kind.deadline, rule.deadline.lo))
     return dataclasses.replace(
         kind, repeat=repeat, pools=pools, deadline=deadline, aim=min(kind.aim, deadline)
@@ -88,7 +91,8 @@
 
 
 def check(rules: RuleSet, own: Settings) -> str:
-    """Whether a process with those settings could act on the set: "" or key, found and expected."""
+    """Whether a process with these settings can act on the rule set: "" or an objection with the key, what
+    was expected and what was found."""
     for kind in own.classes:
         if kind.name not in rules.classes:
             found = ", ".join(sorted(rules.classes)) or "none"
@@ -98,8 +102,8 @@
             known = ", ".join(kind.name for kind in own.classes)
             return f"classes/{name}: expected one of {known}, found {name}"
     for kind in own.classes:
-        if not _class(kind, rules.classes[kind.name]).pools and kind.pools != ():
-            pools = _class(kind, rules.classes[kind.name]).pools
+        if not _restrict_class(kind, rules.classes[kind.name]).pools and kind.pools != ():
+            pools = _restrict_class(kind, rules.classes[kind.name]).pools
             if pools is not None:
                 return f"classes/{kind.name}/pools: expected one that is used here, found none"
     return ""
--- a/martentide/agreement/raft.py
+++ b/martentide/agreement/raft.py
@@ -1,10 +1,11 @@
-"""One voter's part in a replicated log: Raft (Ongaro, Ousterhout, 2014) with pre-vote, check-quorum, leader's
-lease, leadership transfer, single-member changes and snapshots (Ongaro's thesis, 2014).
-
-Pure: events in, actions out; ``now`` is ms of the own monotonic clock, and the host calls with ``Due`` at
-``due``. After a ``Save`` the host makes ``saved()`` durable before it carries out what follows in the list.
-What is said may be lost, doubled, late or reordered. A process that stood still finds by its own clock that
-its lease as a leader is over before it does anything in that name.
+"""One voter of a replicated log: Raft (Ongaro, Ousterhout, 2014) with pre-vote, check-quorum, leader lease,
+leadership transfer, single-server membership changes and snapshots (Ongaro's thesis, 2014).
+
+Without I/O: events in, actions out. ``now`` is the local monotonic clock in ms. The host sends
+``TimerExpired`` at ``next_deadline``. After a ``Persist`` action the host makes ``persistent_state()``
+durable before it carries out the actions that follow in the list. Messages may be lost, duplicated, delayed
+or reordered. A process that was suspended finds by its own clock that its leader lease has expired before it
+does anything as leader.
 """
 
 from __future__ import annotations
@@ -16,71 +17,80 @@
 
 import msgspec
 
-Name = str  # of a voter; one whose disk was lost comes back under another
-MOST_LOG = 48  # entries kept beyond the snapshot before the host is asked to compact
-MOST_SENT = 16  # entries in one message
-MOST_BYTES = 33_000  # and bytes of them, but for the first
-MOST_VOTERS = 7
-FOREVER = 1e18
+NodeId = str  # a voter whose disk was lost comes back under a new id
+MAX_LOG_ENTRIES = 48  # log entries after the snapshot
+MAX_MESSAGE_ENTRIES = 16
+MAX_MESSAGE_BYTES = 33_000  # of entry bodies; a single entry may be larger
+MAX_VOTERS = 7
+FOREVER = 1e18  # ms
 
 
-class Kind(IntEnum):
-    """Of entries."""
+class EntryKind(IntEnum):
+    """Kinds of log entries."""
 
-    NOTHING = 0  # with which a new leader commits what came before
-    VOTERS = 1  # body: names
-    ENTRY = 2  # the host's
+    NO_OP = 0  # lets a new leader commit the entries of earlier terms
+    CONFIGURATION = 1  # body: the ids of the voters
+    COMMAND = 2  # body: opaque to this module, applied by the host
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
+    """One log entry; ``kind`` is an ``EntryKind``."""
+
     term: int
     kind: int
     body: bytes
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """All up to ``index``, as the host's ``state``."""
+    """Replaces all entries up to ``index``; ``state`` is the host's state at that index."""
 
     index: int
     term: int
-    voters: tuple[Name, ...]
+    voters: tuple[NodeId, ...]
     state: bytes
 
 
-class Saved(msgspec.Struct, array_like=True, frozen=True):
-    """What has to outlive the process."""
+class PersistentState(msgspec.Struct, array_like=True, frozen=True):
+    """What a voter must keep on disk: ids, current term, vote, snapshot and log."""
 
-    me: Name
+    voter_id: NodeId
     term: int
-    vote: Name  # "" for none
+    voted_for: NodeId  # "" for none
     snapshot: Snapshot
     log: tuple[Entry, ...]
 
 
-class Say(IntEnum):
+class MessageKind(IntEnum):
+    """Kinds of messages; the numbers go on the wire."""
+
     PRE_VOTE = 1
-    PRE_VOTED = 2
-    VOTE = 3
-    VOTED = 4
-    APPEND = 5
-    APPENDED = 6
-    SNAPSHOT = 7
-    TIME_OUT_NOW = 8
+    PRE_VOTE_REPLY = 2
+    REQUEST_VOTE = 3
+    VOTE_REPLY = 4
+    APPEND_ENTRIES = 5
+    APPEND_REPLY = 6
+    INSTALL_SNAPSHOT = 7
+    TIMEOUT_NOW = 8
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """``index`` and ``index_term``: of the last entry (votes), of the one before ``entries``, or the last
-    that is held (answers). ``stamp`` is the leader's clock, given back by answers."""
+    """A message between two voters; ``kind`` is a ``MessageKind``.
+
+    ``index`` and ``index_term`` describe the sender's last entry (vote requests), the entry before
+    ``entries`` (append requests) or the last matching entry (replies). ``accepted`` is the result in a reply;
+    in a vote request it marks an election that the leader asked for by a leadership transfer. ``timestamp``
+    is the leader's clock in ms, echoed by replies.
+    """
 
-    say: int
-    sender: Name
-    to: Name
+    kind: int
+    sender: NodeId
+    to: NodeId
     term: int
     index: int = 0
     index_term: int = 0
-    yes: bool = False
+    accepted: bool = False
     commit: int = 0
-    stamp: float = 0.0
+    timestamp: float = 0.0
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
 
@@ -89,488 +99,552 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class Received:
+    """A message arrived from another voter."""
+
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
-    """``due`` has come."""
+class TimerExpired:
+    """The time ``next_deadline`` has been reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """An entry for the log; only a leader takes it."""
+    """Append a command to the log; ignored unless this node is the leader."""
 
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeVoters:
-    """One voter more or less; only a leader takes it, one change at a time."""
+    """Add or remove one voter; ignored unless this node is the leader and no other change is uncommitted."""
 
-    voters: tuple[Name, ...]
+    voters: tuple[NodeId, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Compact:
-    """The host's state as of an index that it applied."""
+    """Replace the log up to an applied ``index`` by a snapshot of the host's state."""
 
     index: int
     state: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Transfer:
-    """Lead no more; the other is to be elected at once."""
+class TransferLeadership:
+    """Step down and have the voter ``to`` start an election at once."""
 
-    to: Name
+    to: NodeId
 
 
 @dataclass(frozen=True, slots=True)
-class Elect:
-    """Stand for election now."""
+class StartElection:
+    """Start an election now."""
 
 
-Event = Told | Due | Propose | ChangeVoters | Compact | Transfer | Elect
+Event = Received | TimerExpired | Propose | ChangeVoters | Compact | TransferLeadership | StartElection
 
 # ---- actions --------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send a message; it may be lost."""
+
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Save:
-    """Make ``saved()`` durable before what follows."""
+class Persist:
+    """Make ``persistent_state()`` durable before carrying out the actions that follow."""
 
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Committed: no history will say otherwise."""
+    """Apply a committed entry to the host's state."""
 
     index: int
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
-class Install:
-    """The host's state is this one now."""
+class InstallSnapshot:
+    """Replace the host's state by that of the snapshot."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
-class Led:
-    """This one leads from now on, or no more."""
+class LeadershipChanged:
+    """This node became the leader of ``term``, or stopped being it."""
 
-    leads: bool
+    is_leader: bool
     term: int
 
 
-Action = Send | Save | Apply | Install | Led
+Action = Send | Persist | Apply | InstallSnapshot | LeadershipChanged
 
 
 class Role(IntEnum):
+    """Roles of a voter."""
+
     FOLLOWER = 0
-    ASKING = 1  # whether it would be elected
+    PRE_CANDIDATE = 1  # asks whether it could win an election, without changing its term
     CANDIDATE = 2
     LEADER = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """ms. Who heard a leader within ``election`` votes for nobody, so a leader's word holds for as long."""
+class RaftTimings:
+    """Timeouts in ms. A voter that heard from a leader within ``election_timeout`` grants no vote, so a
+    leader's lease lasts as long."""
 
-    election: float = 900.0  # to twice as much, at random, without a word of a leader
-    beat: float = 200.0
-    drift: float = 0.001  # by which two clocks' paces may differ
+    election_timeout: float = 900.0  # lower bound; the actual timeout is random, up to twice as long
+    heartbeat_interval: float = 200.0
+    clock_drift: float = 0.001  # bound on the relative rate difference of two clocks
     pre_vote: bool = True
 
 
 @dataclass(slots=True)
 class Peer:
-    """What a leader knows of another voter."""
+    """A leader's replication state of another voter."""
 
-    next: int
-    match: int = 0
-    acked: float = -FOREVER  # own clock at which what it last answered was said
-    sent: float = -FOREVER
+    next_index: int
+    match_index: int = 0
+    acked_at: float = -FOREVER  # local send time (ms) of the newest message that it answered
+    sent_at: float = -FOREVER
 
 
 @dataclass(slots=True)
-class Round:
-    """Votes given to this one in one election."""
+class VoteTally:
+    """The voters that granted this node their vote in the current election."""
 
-    yes: set[Name] = field(default_factory=set)
+    granted_by: set[NodeId] = field(default_factory=set)
 
 
-def fresh(me: Name, voters: Sequence[Name]) -> Saved:
-    """A voter's books before anything was said."""
-    return Saved(me, 0, "", Snapshot(0, 0, tuple(voters), b""), ())
+def initial_state(voter_id: NodeId, voters: Sequence[NodeId]) -> PersistentState:
+    """The state of a voter that has exchanged no message yet."""
+    return PersistentState(voter_id, 0, "", Snapshot(0, 0, tuple(voters), b""), ())
 
 
 class Raft:
-    def __init__(self, saved: Saved, terms: Terms, seed: int, now: float) -> None:
-        self.me, self.terms, self.random = saved.me, terms, random.Random(seed)
-        self.term, self.vote, self.snapshot = saved.term, saved.vote, saved.snapshot
+    """One voter. ``seed`` makes the random election timeouts reproducible."""
+
+    def __init__(self, saved: PersistentState, timings: RaftTimings, seed: int, now: float) -> None:
+        self.voter_id, self.timings, self.rng = saved.voter_id, timings, random.Random(seed)
+        self.term, self.voted_for, self.snapshot = saved.term, saved.voted_for, saved.snapshot
         self.log = list(saved.log)
         self.role = Role.FOLLOWER
-        self.leader: Name = ""
-        self.commit = self.applied = saved.snapshot.index
-        self.peers: dict[Name, Peer] = {}
-        self.round = Round()
+        self.leader: NodeId = ""
+        self.commit_index = self.last_applied = saved.snapshot.index
+        self.peers: dict[NodeId, Peer] = {}
+        self.tally = VoteTally()
         self.now = now
-        self.heard = now if terms.pre_vote else -FOREVER  # of a leader; after a start it may have just been
-        self.elect_due = now + self._patience()
-        self.beat_due = FOREVER
-        self.term_began = -FOREVER
+        self.leader_contact_at = now if timings.pre_vote else -FOREVER  # may have been just before a restart
+        self.election_deadline = now + self._random_election_timeout()
+        self.heartbeat_deadline = FOREVER
+        self.elected_at = -FOREVER
         self.actions: list[Action] = []
 
-    # ---- what the host sees -----------------------------------------------------------------------------
+    # ---- interface to the host --------------------------------------------------------------------------
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
+        """Index of the last log entry, committed or not."""
         return self.snapshot.index + len(self.log)
 
     @property
-    def voters(self) -> tuple[Name, ...]:
-        """By the newest entry about them, committed or not."""
+    def voters(self) -> tuple[NodeId, ...]:
+        """The voters of the newest configuration in the log, committed or not."""
         for entry in reversed(self.log):
-            if entry.kind == Kind.VOTERS:
-                return msgspec.msgpack.decode(entry.body, type=tuple[Name, ...])
+            if entry.kind == EntryKind.CONFIGURATION:
+                return msgspec.msgpack.decode(entry.body, type=tuple[NodeId, ...])
         return self.snapshot.voters
 
     @property
-    def due(self) -> float:
-        return self.beat_due if self.role is Role.LEADER else self.elect_due
+    def next_deadline(self) -> float:
+        """When the host is to send ``TimerExpired``, in ms."""
+        return self.heartbeat_deadline if self.role is Role.LEADER else self.election_deadline
 
-    def saved(self) -> Saved:
-        return Saved(self.me, self.term, self.vote, self.snapshot, tuple(self.log))
+    def persistent_state(self) -> PersistentState:
+        """What the host writes to disk at ``Persist``."""
+        return PersistentState(self.voter_id, self.term, self.voted_for, self.snapshot, tuple(self.log))
 
-    def leads(self, now: float) -> bool:
-        """Whether nobody else can have been elected until now: a majority heard this one so lately that it
-        votes for nobody yet."""
-        return self.role is Role.LEADER and now < self._lease_end()
+    def has_leader_lease(self, now: float) -> bool:
+        """Whether this node is the leader and no other can have been elected by ``now``, since a majority
+        heard from it within the election timeout."""
+        return self.role is Role.LEADER and now < self._lease_expiry()
 
     def term_at(self, index: int) -> int | None:
-        """None where it is not held any more, or not yet."""
+        """Term of the entry at ``index``; None if it was compacted away or does not exist yet."""
         if index == self.snapshot.index:
             return self.snapshot.term
         at = index - self.snapshot.index - 1
         return self.log[at].term if 0 <= at < len(self.log) else None
 
     def handle(self, now: float, event: Event) -> list[Action]:
+        """Process one event; returns the actions to carry out, in order."""
         self.actions = []
         self.now = now = max(now, self.now)
         match event:
-            case Told(message):
-                self._told(message)
-            case Due():
-                self._due()
+            case Received(message):
+                self._receive(message)
+            case TimerExpired():
+                self._on_timer()
             case Propose(body) if self.role is Role.LEADER:
-                self._append(Entry(self.term, Kind.ENTRY, body))
+                self._append(Entry(self.term, EntryKind.COMMAND, body))
             case ChangeVoters(voters) if self.role is Role.LEADER:
                 self._change_voters(voters)
             case Compact(index, state):
                 self._compact(index, state)
-            case Transfer(to) if self.role is Role.LEADER and to in self.peers:
+            case TransferLeadership(to) if self.role is Role.LEADER and to in self.peers:
                 self._replicate(to)
-                self._say(Say.TIME_OUT_NOW, to)
-                self._follow(self.term, "")  # from now on another may lead, however late that comes
-            case Elect():
-                self._stand(forced=False)
+                self._send(MessageKind.TIMEOUT_NOW, to)
+                self._become_follower(self.term, "")  # its lease ends now: the message may arrive late
+            case StartElection():
+                self._start_election(forced=False)
         return self.actions
 
-    # ---- time -------------------------------------------------------------------------------------------
+    # ---- timers -----------------------------------------------------------------------------------------
 
-    def _patience(self) -> float:
-        return self.terms.election * (1.0 + self.random.random())
+    def _random_election_timeout(self) -> float:
+        return self.timings.election_timeout * (1.0 + self.rng.random())
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         if self.role is Role.LEADER:
-            if self.now >= self._lease_end() and self.term_began + self.terms.election <= self.now:
-                self._follow(self.term, "")  # no majority answers: it can't know that it still leads
-            elif self.now >= self.beat_due:
-                self.beat_due = self.now + self.terms.beat
+            if (
+                self.now >= self._lease_expiry()
+                and self.elected_at + self.timings.election_timeout <= self.now
+            ):
+                self._become_follower(self.term, "")  # check-quorum: no majority answers
+            elif self.now >= self.heartbeat_deadline:
+                self.heartbeat_deadline = self.now + self.timings.heartbeat_interval
                 for name in self.peers:
                     self._replicate(name)
-        elif self.now >= self.elect_due:
-            self.elect_due = self.now + self._patience()
-            self._stand(forced=False)
+        elif self.now >= self.election_deadline:
+            self.election_deadline = self.now + self._random_election_timeout()
+            self._start_election(forced=False)
 
-    def _lease_end(self) -> float:
-        """Own time until which no majority votes for another, by what was answered."""
+    def _lease_expiry(self) -> float:
+        """Local time until which no majority can elect another leader, by the replies received."""
         voters = self.voters
         acked = sorted(
-            (self.now if one == self.me else self._peer(one).acked for one in voters), reverse=True
+            (self.now if one == self.voter_id else self._peer(one).acked_at for one in voters), reverse=True
         )
-        if len(voters) == 1 and voters == (self.me,):
+        if len(voters) == 1 and voters == (self.voter_id,):
             return FOREVER
-        return acked[len(voters) // 2] + self.terms.election * (1.0 - self.terms.drift)
+        return acked[len(voters) // 2] + self.timings.election_timeout * (1.0 - self.timings.clock_drift)
 
-    def _peer(self, name: Name) -> Peer:
-        return self.peers.get(name) or Peer(self.last + 1)
+    def _peer(self, name: NodeId) -> Peer:
+        return self.peers.get(name) or Peer(self.last_index + 1)
 
     # ---- elections --------------------------------------------------------------------------------------
 
-    def _stand(self, forced: bool) -> None:
-        """Ask for votes; first whether there would be any, so that one that was cut off deposes nobody."""
-        if self.role is Role.LEADER or self.me not in self.voters:
-            return  # a learner elects nobody
-        if self.terms.pre_vote and not forced:
-            self.role, self.leader, self.round = Role.ASKING, "", Round({self.me})
-            self._ask(Say.PRE_VOTE, self.term + 1)
+    def _start_election(self, forced: bool) -> None:
+        """Request votes; with pre-vote, check first that the election can be won, so that a node that was
+        partitioned away does not depose a working leader."""
+        if self.role is Role.LEADER or self.voter_id not in self.voters:
+            return  # a learner does not start elections
+        if self.timings.pre_vote and not forced:
+            self.role, self.leader, self.tally = Role.PRE_CANDIDATE, "", VoteTally({self.voter_id})
+            self._request_votes(MessageKind.PRE_VOTE, self.term + 1)
             self._count_votes()
         else:
-            self._be_candidate(forced)
-        self.elect_due = self.now + self._patience()
+            self._become_candidate(forced)
+        self.election_deadline = self.now + self._random_election_timeout()
 
-    def _ask(self, say: Say, term: int, yes: bool = False) -> None:
+    def _request_votes(self, kind: MessageKind, term: int, forced: bool = False) -> None:
         for name in self.voters:
-            if name != self.me:
-                last = self.term_at(self.last) or 0
-                self.actions.append(Send(Message(say, self.me, name, term, self.last, last, yes)))
+            if name != self.voter_id:
+                last_term = self.term_at(self.last_index) or 0
+                self.actions.append(
+                    Send(Message(kind, self.voter_id, name, term, self.last_index, last_term, forced))
+                )
 
     def _count_votes(self) -> None:
         voters = set(self.voters)
-        if 2 * len(self.round.yes & voters) <= len(voters):
+        if 2 * len(self.tally.granted_by & voters) <= len(voters):
             return
-        if self.role is Role.ASKING:
-            self._be_candidate(forced=False)
+        if self.role is Role.PRE_CANDIDATE:
+            self._become_candidate(forced=False)
         elif self.role is Role.CANDIDATE:
-            self._lead()
+            self._become_leader()
 
-    def _be_candidate(self, forced: bool) -> None:
-        self.role, self.leader, self.round = Role.CANDIDATE, "", Round({self.me})
-        self.term, self.vote = self.term + 1, self.me
-        self.actions.append(Save())
-        self._ask(Say.VOTE, self.term, yes=forced)
+    def _become_candidate(self, forced: bool) -> None:
+        self.role, self.leader, self.tally = Role.CANDIDATE, "", VoteTally({self.voter_id})
+        self.term, self.voted_for = self.term + 1, self.voter_id
+        self.actions.append(Persist())
+        self._request_votes(MessageKind.REQUEST_VOTE, self.term, forced=forced)
         self._count_votes()
 
-    def _lead(self) -> None:
-        self.role, self.leader = Role.LEADER, self.me
-        self.peers = {name: Peer(self.last + 1) for name in self.voters if name != self.me}
-        self.term_began = self.beat_due = self.now
-        self.actions.append(Led(True, self.term))
-        self._append(Entry(self.term, Kind.NOTHING, b""))
+    def _become_leader(self) -> None:
+        self.role, self.leader = Role.LEADER, self.voter_id
+        self.peers = {name: Peer(self.last_index + 1) for name in self.voters if name != self.voter_id}
+        self.elected_at = self.heartbeat_deadline = self.now
+        self.actions.append(LeadershipChanged(True, self.term))
+        self._append(Entry(self.term, EntryKind.NO_OP, b""))
 
-    def _follow(self, term: int, leader: Name) -> None:
+    def _become_follower(self, term: int, leader: NodeId) -> None:
         if self.role is Role.LEADER:
-            self.actions.append(Led(False, self.term))
+            self.actions.append(LeadershipChanged(False, self.term))
         if term > self.term:
-            self.term, self.vote = term, ""
-            self.actions.append(Save())
-        self.role, self.leader, self.beat_due = Role.FOLLOWER, leader, FOREVER
-        self.elect_due = self.now + self._patience()
-
-    def _would_vote(self, message: Message) -> bool:
-        """Whether the other's log holds all that may be committed, and no leader was heard of late (unless
-        that leader itself sent it)."""
-        mine = (self.term_at(self.last) or 0, self.last)
-        sticky = self.now - self.heard < self.terms.election and self.terms.pre_vote and not message.yes
-        leads = self.role is Role.LEADER and self.terms.pre_vote and not message.yes
-        return (message.index_term, message.index) >= mine and not sticky and not leads
-
-    # ---- what others say --------------------------------------------------------------------------------
-
-    def _told(self, message: Message) -> None:
-        if message.to != self.me or message.sender == self.me:
+            self.term, self.voted_for = term, ""
+            self.actions.append(Persist())
+        self.role, self.leader, self.heartbeat_deadline = Role.FOLLOWER, leader, FOREVER
+        self.election_deadline = self.now + self._random_election_timeout()
+
+    def _may_vote_for(self, message: Message) -> bool:
+        """Whether the candidate's log is at least as up to date as the local one and no leader was heard from
+        within the election timeout (unless that leader asked for this election)."""
+        own_position = (self.term_at(self.last_index) or 0, self.last_index)
+        leader_recent = (
+            self.now - self.leader_contact_at < self.timings.election_timeout
+            and self.timings.pre_vote
+            and not message.accepted
+        )
+        is_leader = self.role is Role.LEADER and self.timings.pre_vote and not message.accepted
+        return (message.index_term, message.index) >= own_position and not leader_recent and not is_leader
+
+    # ---- messages ---------------------------------------------------------------------------------------
+
+    def _receive(self, message: Message) -> None:
+        if message.to != self.voter_id or message.sender == self.voter_id:
             return
-        match Say(message.say) if message.say in Say.__members__.values() else None:
-            case Say.PRE_VOTE:
-                yes = message.term > self.term and self._would_vote(message)
-                self._say(Say.PRE_VOTED, message.sender, term=message.term if yes else self.term, yes=yes)
-            case Say.PRE_VOTED:
-                if message.yes and self.role is Role.ASKING and message.term == self.term + 1:
-                    self.round.yes.add(message.sender)
+        match MessageKind(message.kind) if message.kind in MessageKind.__members__.values() else None:
+            case MessageKind.PRE_VOTE:
+                yes = message.term > self.term and self._may_vote_for(message)
+                self._send(
+                    MessageKind.PRE_VOTE_REPLY,
+                    message.sender,
+                    term=message.term if yes else self.term,
+                    accepted=yes,
+                )
+            case MessageKind.PRE_VOTE_REPLY:
+                if message.accepted and self.role is Role.PRE_CANDIDATE and message.term == self.term + 1:
+                    self.tally.granted_by.add(message.sender)
                     self._count_votes()
-                elif not message.yes and message.term > self.term:
-                    self._follow(message.term, "")
-            case Say.VOTE:
-                self._asked(message)
-            case Say.VOTED:
+                elif not message.accepted and message.term > self.term:
+                    self._become_follower(message.term, "")
+            case MessageKind.REQUEST_VOTE:
+                self._on_vote_request(message)
+            case MessageKind.VOTE_REPLY:
                 if message.term > self.term:
-                    self._follow(message.term, "")
-                elif message.yes and self.role is Role.CANDIDATE and message.term == self.term:
-                    self.round.yes.add(message.sender)
+                    self._become_follower(message.term, "")
+                elif message.accepted and self.role is Role.CANDIDATE and message.term == self.term:
+                    self.tally.granted_by.add(message.sender)
                     self._count_votes()
-            case Say.APPEND | Say.SNAPSHOT:
-                self._appended(message)
-            case Say.APPENDED:
-                self._answered(message)
-            case Say.TIME_OUT_NOW:
+            case MessageKind.APPEND_ENTRIES | MessageKind.INSTALL_SNAPSHOT:
+                self._on_append(message)
+            case MessageKind.APPEND_REPLY:
+                self._on_append_reply(message)
+            case MessageKind.TIMEOUT_NOW:
                 if message.term == self.term and self.leader == message.sender:
-                    self._stand(forced=True)
-
-    def _asked(self, message: Message) -> None:
-        would = self._would_vote(message)
-        if message.term > self.term and would:
-            self._follow(message.term, "")
-        yes = message.term == self.term and self.vote in ("", message.sender) and would
-        if yes and self.vote != message.sender:
-            self.vote = message.sender
-            self.elect_due = self.now + self._patience()
-            self.actions.append(Save())
-        self._say(Say.VOTED, message.sender, yes=yes)
-
-    def _say(self, say: Say, to: Name, term: int | None = None, yes: bool = False, **more: object) -> None:
-        message = Message(say, self.me, to, self.term if term is None else term, yes=yes, **more)  # type: ignore[arg-type]
+                    self._start_election(forced=True)
+
+    def _on_vote_request(self, message: Message) -> None:
+        eligible = self._may_vote_for(message)
+        if message.term > self.term and eligible:
+            self._become_follower(message.term, "")
+        granted = message.term == self.term and self.voted_for in ("", message.sender) and eligible
+        if granted and self.voted_for != message.sender:
+            self.voted_for = message.sender
+            self.election_deadline = self.now + self._random_election_timeout()
+            self.actions.append(Persist())
+        self._send(MessageKind.VOTE_REPLY, message.sender, accepted=granted)
+
+    def _send(
+        self, kind: MessageKind, to: NodeId, term: int | None = None, accepted: bool = False, **fields: object
+    ) -> None:
+        message = Message(
+            kind, self.voter_id, to, self.term if term is None else term, accepted=accepted,
+            **fields,  # type: ignore[arg-type]
+        )  # fmt: skip
         self.actions.append(Send(message))
 
     # ---- the log ----------------------------------------------------------------------------------------
 
     def _append(self, entry: Entry) -> None:
         self.log.append(entry)
-        self.actions.append(Save())
+        self.actions.append(Persist())
         for name in self.voters:
-            if name != self.me and name not in self.peers:
-                self.peers[name] = Peer(self.last)
+            if name != self.voter_id and name not in self.peers:
+                self.peers[name] = Peer(self.last_index)
         for name in self.peers:
             self._replicate(name)
-        self._advance()
+        self._advance_commit()
 
-    def _change_voters(self, voters: tuple[Name, ...]) -> None:
-        """By one name at most, and after an entry of this term is committed: so any two majorities meet."""
-        pending = any(one.kind == Kind.VOTERS for one in self.log[self.commit - self.snapshot.index :])
-        apart = set(voters) ^ set(self.voters)
-        if pending or len(apart) != 1 or not 1 <= len(voters) <= MOST_VOTERS:
+    def _change_voters(self, voters: tuple[NodeId, ...]) -> None:
+        """Change one voter at a time, and only after an entry of this term is committed, so that any two
+        majorities overlap."""
+        pending = any(
+            one.kind == EntryKind.CONFIGURATION for one in self.log[self.commit_index - self.snapshot.index :]
+        )
+        changed = set(voters) ^ set(self.voters)
+        if pending or len(changed) != 1 or not 1 <= len(voters) <= MAX_VOTERS:
             return
-        if self.term_at(self.commit) == self.term:
-            self._append(Entry(self.term, Kind.VOTERS, msgspec.msgpack.encode(voters)))
+        if self.term_at(self.commit_index) == self.term:
+            self._append(Entry(self.term, EntryKind.CONFIGURATION, msgspec.msgpack.encode(voters)))
 
-    def _replicate(self, name: Name) -> None:
+    def _replicate(self, name: NodeId) -> None:
         peer = self.peers[name]
-        peer.sent = self.now
-        before = self.term_at(peer.next - 1)
-        if before is None:
-            self._say(Say.SNAPSHOT, name, stamp=self.now, commit=self.commit, snapshot=self.snapshot)
+        peer.sent_at = self.now
+        previous_term = self.term_at(peer.next_index - 1)
+        if previous_term is None:
+            self._send(
+                MessageKind.INSTALL_SNAPSHOT,
+                name,
+                timestamp=self.now,
+                commit=self.commit_index,
+                snapshot=self.snapshot,
+            )
             return
-        start = peer.next - self.snapshot.index - 1
-        entries = self.log[start : start + MOST_SENT]
-        while len(entries) > 1 and sum(len(one.body) for one in entries) > MOST_BYTES:
+        start = peer.next_index - self.snapshot.index - 1
+        entries = self.log[start : start + MAX_MESSAGE_ENTRIES]
+        while len(entries) > 1 and sum(len(one.body) for one in entries) > MAX_MESSAGE_BYTES:
             entries.pop()
-        self._say(
-            Say.APPEND, name, index=peer.next - 1, index_term=before, entries=tuple(entries),
-            commit=self.commit, stamp=self.now,
+        self._send(
+            MessageKind.APPEND_ENTRIES, name, index=peer.next_index - 1, index_term=previous_term,
+            entries=tuple(entries), commit=self.commit_index, timestamp=self.now,
         )  # fmt: skip
 
-    def _appended(self, message: Message) -> None:
-        """A leader's word."""
+    def _on_append(self, message: Message) -> None:
+        """Handle entries or a snapshot from a leader."""
         if message.term < self.term:
-            self._say(Say.APPENDED, message.sender, index=self.last, stamp=-1.0)
+            self._send(MessageKind.APPEND_REPLY, message.sender, index=self.last_index, timestamp=-1.0)
             return
         if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != message.sender:
-            self._follow(message.term, message.sender)
-        self.heard = self.now
-        self.elect_due = self.now + self._patience()
+            self._become_follower(message.term, message.sender)
+        self.leader_contact_at = self.now
+        self.election_deadline = self.now + self._random_election_timeout()
         if message.snapshot is not None:
-            self._install(message.snapshot)
-            match = message.snapshot.index
+            self._install_snapshot(message.snapshot)
+            match_index = message.snapshot.index
         else:
-            match = self._match(message)
-            if match < 0:
-                self._say(Say.APPENDED, message.sender, index=self._hint(message), stamp=message.stamp)
+            match_index = self._merge_entries(message)
+            if match_index < 0:
+                self._send(
+                    MessageKind.APPEND_REPLY,
+                    message.sender,
+                    index=self._next_index_hint(message),
+                    timestamp=message.timestamp,
+                )
                 return
-        self._commit(min(message.commit, match))
-        self._say(Say.APPENDED, message.sender, yes=True, index=match, stamp=message.stamp)
-
-    def _hint(self, message: Message) -> int:
-        return min(self.last, max(self.snapshot.index, message.index - 1))
-
-    def _match(self, message: Message) -> int:
-        """Take the entries; the index up to which the log is the leader's now, -1 where it can't be told."""
-        entries, before = message.entries, message.index
-        if before < self.snapshot.index:  # what the snapshot holds is committed, so it is the same
-            entries = entries[self.snapshot.index - before :]
-            before = self.snapshot.index
-        elif self.term_at(before) != message.index_term:
+        self._commit_up_to(min(message.commit, match_index))
+        self._send(
+            MessageKind.APPEND_REPLY,
+            message.sender,
+            accepted=True,
+            index=match_index,
+            timestamp=message.timestamp,
+        )
+
+    def _next_index_hint(self, message: Message) -> int:
+        return min(self.last_index, max(self.snapshot.index, message.index - 1))
+
+    def _merge_entries(self, message: Message) -> int:
+        """Merge the entries into the log; returns the index up to which it matches the leader's, or -1 if the
+        preceding entry does not match."""
+        entries, previous_index = message.entries, message.index
+        if previous_index < self.snapshot.index:  # entries in the snapshot are committed, so they match
+            entries = entries[self.snapshot.index - previous_index :]
+            previous_index = self.snapshot.index
+        elif self.term_at(previous_index) != message.index_term:
             return -1
-        for at, entry in enumerate(entries):
-            held = self.term_at(before + 1 + at)
-            if held == entry.term:
-                continue  # a late or doubled message must not cut off what came after
-            del self.log[before + at - self.snapshot.index :]
-            self.log += entries[at:]
-            self.actions.append(Save())
+        for offset, entry in enumerate(entries):
+            held_term = self.term_at(previous_index + 1 + offset)
+            if held_term == entry.term:
+                continue  # a delayed or duplicated message must not truncate later entries
+            del self.log[previous_index + offset - self.snapshot.index :]
+            self.log += entries[offset:]
+            self.actions.append(Persist())
             break
-        return max(before + len(entries), before)
+        return max(previous_index + len(entries), previous_index)
 
-    def _install(self, snapshot: Snapshot) -> None:
-        if snapshot.index <= self.commit:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
+        if snapshot.index <= self.commit_index:
             return
         if self.term_at(snapshot.index) == snapshot.term:
-            self.log = self.log[snapshot.index - self.snapshot.index :]  # what is beyond it is kept
+            self.log = self.log[snapshot.index - self.snapshot.index :]  # keep the entries after the snapshot
         else:
             self.log = []
         self.snapshot = snapshot
-        self.commit = self.applied = snapshot.index
-        self.actions += [Save(), Install(snapshot)]
+        self.commit_index = self.last_applied = snapshot.index
+        self.actions += [Persist(), InstallSnapshot(snapshot)]
 
-    def _answered(self, message: Message) -> None:
+    def _on_append_reply(self, message: Message) -> None:
         if message.term > self.term:
-            self._follow(message.term, "")
+            self._become_follower(message.term, "")
             return
         peer = self.peers.get(message.sender)
         if self.role is not Role.LEADER or message.term != self.term or peer is None:
             return
-        peer.acked = max(peer.acked, min(message.stamp, self.now))
-        if message.yes:
-            peer.match = max(peer.match, message.index)
-            peer.next = max(peer.next, peer.match + 1)
-            self._advance()
-            if peer.next <= self.last:
+        peer.acked_at = max(peer.acked_at, min(message.timestamp, self.now))
+        if message.accepted:
+            peer.match_index = max(peer.match_index, message.index)
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
+            self._advance_commit()
+            if peer.next_index <= self.last_index:
                 self._replicate(message.sender)
-        elif message.index < peer.next - 1:
-            peer.next = max(peer.match + 1, message.index + 1)
+        elif message.index < peer.next_index - 1:
+            peer.next_index = max(peer.match_index + 1, message.index + 1)
             self._replicate(message.sender)
 
-    def _advance(self) -> None:
-        """Commit what a majority holds; of an older term's only what a newer entry carries with it."""
+    def _advance_commit(self) -> None:
+        """Commit what a majority holds. Entries of earlier terms are committed only along with one of this
+        term, since a majority alone does not keep them from being overwritten (Raft, section 5.4.2)."""
         voters = self.voters
-        held = sorted(
-            (self.last if one == self.me else self._peer(one).match for one in voters), reverse=True
+        match_indexes = sorted(
+            (self.last_index if one == self.voter_id else self._peer(one).match_index for one in voters),
+            reverse=True,
         )
-        index = held[len(voters) // 2]
-        if index > self.commit and self.term_at(index) == self.term:
-            self._commit(index)
-            if self.me not in self.voters:
-                self._follow(self.term, "")
-
-    def _commit(self, index: int) -> None:
-        self.commit = max(self.commit, min(index, self.last))
-        while self.applied < self.commit:
-            self.applied += 1
-            self.actions.append(Apply(self.applied, self.log[self.applied - self.snapshot.index - 1]))
+        index = match_indexes[len(voters) // 2]
+        if index > self.commit_index and self.term_at(index) == self.term:
+            self._commit_up_to(index)
+            if self.voter_id not in self.voters:
+                self._become_follower(self.term, "")
+
+    def _commit_up_to(self, index: int) -> None:
+        self.commit_index = max(self.commit_index, min(index, self.last_index))
+        while self.last_applied < self.commit_index:
+            self.last_applied += 1
+            self.actions.append(
+                Apply(self.last_applied, self.log[self.last_applied - self.snapshot.index - 1])
+            )
 
     def _compact(self, index: int, state: bytes) -> None:
-        if not self.snapshot.index < index <= self.applied:
+        if not self.snapshot.index < index <= self.last_applied:
             return
         term = self.term_at(index)
         assert term is not None
         voters = self.snapshot.voters
         for entry in self.log[: index - self.snapshot.index]:
-            if entry.kind == Kind.VOTERS:
-                voters = msgspec.msgpack.decode(entry.body, type=tuple[Name, ...])
+            if entry.kind == EntryKind.CONFIGURATION:
+                voters = msgspec.msgpack.decode(entry.body, type=tuple[NodeId, ...])
         self.log = self.log[index - self.snapshot.index :]
         self.snapshot = Snapshot(index, term, voters, state)
-        self.actions.append(Save())
+        self.actions.append(Persist())
 
 
 _MESSAGES, _ENCODER = msgspec.msgpack.Decoder(Message), msgspec.msgpack.Encoder()
 
 
-def write_message(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
+    """Encode a message as MessagePack."""
     return _ENCODER.encode(message)
 
 
-def read_message(body: bytes) -> Message:
-    """Raises msgspec.DecodeError or ValidationError, also for figures that no voter could mean."""
-    said = _MESSAGES.decode(body)
-    sound = 0 <= said.term < 1 << 48 and 0 <= said.index < 1 << 48 and len(said.entries) <= MOST_SENT
-    sound = sound and all(0 <= one.term <= said.term for one in said.entries)
-    if not sound:
-        raise msgspec.ValidationError("figures out of range")
-    return said
+def decode_message(body: bytes) -> Message:
+    """Decode a message. Raises msgspec.DecodeError or ValidationError, also for terms, indexes or entry
+    counts out of range."""
+    message = _MESSAGES.decode(body)
+    in_range = (
+        0 <= message.term < 1 << 48
+        and 0 <= message.index < 1 << 48
+        and len(message.entries) <= MAX_MESSAGE_ENTRIES
+    )
+    in_range = in_range and all(0 <= one.term <= message.term for one in message.entries)
+    if not in_range:
+        raise msgspec.ValidationError("term, index or number of entries out of range")
+    return message
--- a/martentide/versions.py
+++ b/martentide/versions.py
@@ -1,4 +1,5 @@
-"""The commands about versions of rules: ``martentide fleet propose|versions|status|rules|diff|rollback``."""
+"""Commands for versions of rules:
+``martentide fleet propose|versions|status|rules|diff|rollback|replace-voter``."""
 
 from __future__ import annotations
 
@@ -14,18 +15,21 @@
     "--operator", metavar="HOST:PORT", envvar="PROXY_OPERATOR", required=True,
     help="where the proxy's operator's calls come in; default: $PROXY_OPERATOR",
 )  # fmt: skip
-JSON = click.option("--json", "as_json", is_flag=True, help="as JSON")
-BY = click.option("--by", default="", help="who proposes it; default: $USER")
-PATIENCE = click.option("--patience", default=20.0, show_default=True, help="s to wait for its verdict")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="as JSON")
+BY_OPTION = click.option("--by", default="", help="who proposes it; default: $USER")
+PATIENCE_OPTION = click.option(
+    "--patience", default=20.0, show_default=True, help="s to wait for its verdict"
+)
 
 
 def fail(text: str, code: int) -> None:
+    """Print an error and exit with ``code``."""
     click.echo(f"martentide: {text}", err=True)
     sys.exit(code)
 
 
-def asked(operator: str) -> str:
-    """What the proxy tells of versions; the program ends where it can't be asked."""
+def query_status(operator: str) -> str:
+    """The proxy's status of versions as JSON; exits with CANNOT_ASK if the proxy cannot be queried."""
     from martentide.lifecycle.calls import VERSIONS
     from martentide.net.fleet.show import QueryError, query
 
@@ -36,24 +40,27 @@
         raise
 
 
-def kept(said: dict[str, Any], number: int) -> dict[str, Any]:
+def rules_of_version(status: dict[str, Any], number: int) -> dict[str, Any]:
+    """The rules of a version from the status; exits with REFUSED if they are not kept."""
     from martentide.net.fleet.show import QueryError, rules_of
 
     try:
-        return rules_of(said, number)
+        return rules_of(status, number)
     except QueryError as error:
         fail(str(error), REFUSED)
         raise
 
 
-def put(operator: str, rules: Any, file: str, base: int, by: str, why: str, patience: float) -> None:
-    """Propose it and say what became of it; the program ends with that."""
+def propose_and_exit(
+    operator: str, rules: Any, file: str, base: int, by: str, why: str, patience: float
+) -> None:
+    """Propose the rules, wait up to ``patience`` s for the verdict, print it and exit."""
     from martentide.net.fleet.show import QueryError, propose
 
     by = by or os.environ.get("USER", "")
-    said = {"rules": rules, "file": file, "base": base, "by": by, "why": why}
+    proposal = {"rules": rules, "file": file, "base": base, "by": by, "why": why}
     try:
-        verdict = propose(operator, said, patience)
+        verdict = propose(operator, proposal, patience)
     except QueryError as error:
         fail(f"{operator}: {error}", REFUSED)
         raise
@@ -65,49 +72,54 @@
 @click.argument("file")
 @OPERATOR
 @click.option("--base", default=-1, help="the version that it builds on; default: whatever is in force")
-@BY
+@BY_OPTION
 @click.option("--why", default="", help="what for")
-@PATIENCE
+@PATIENCE_OPTION
 def propose(file: str, operator: str, base: int, by: str, why: str, patience: float) -> None:
-    """0: in force; 2: the file can't be used; 3: turned down, or nothing is known of it."""
+    """Exit codes: 0: in force; 2: the file cannot be used; 3: rejected, or the outcome is unknown."""
     from martentide.agreement.ruleset import RuleError, rules_from
 
     rules: Any = None
     try:
-        with open(file, "rb") as opened:
-            rules = json.load(opened)
+        with open(file, "rb") as stream:
+            rules = json.load(stream)
         rules_from(rules, file)
     except (OSError, ValueError, RuleError) as error:
         fail(str(error) if file in str(error) else f"{file}: {error}", BAD_FILE)
-    put(operator, rules, file, base, by, why, patience)
+    propose_and_exit(operator, rules, file, base, by, why, patience)
 
 
 @click.command("versions", help="The version in force, one being brought into force, and the last ones.")
 @OPERATOR
-@JSON
+@JSON_OPTION
 def versions(operator: str, as_json: bool) -> None:
+    """Print the versions."""
     from martentide.net.fleet.show import versions as table
 
-    status = asked(operator)
+    status = query_status(operator)
     click.echo(status if as_json else table(status))
 
 
 @click.command("status", help="By what each member acts, since when, and which list of servers it has.")
 @OPERATOR
-@JSON
+@JSON_OPTION
 def status(operator: str, as_json: bool) -> None:
+    """Print what each member acts on."""
     from martentide.net.fleet.show import acting
 
-    said = asked(operator)
-    click.echo(json.dumps(json.loads(said)["members"]) if as_json else acting(said))
+    text = query_status(operator)
+    click.echo(json.dumps(json.loads(text)["members"]) if as_json else acting(text))
 
 
 @click.command("rules", help="The rules of version NUMBER as a file that can be proposed; default: in force.")
 @click.argument("number", type=int, required=False)
 @OPERATOR
 def rules(number: int | None, operator: str) -> None:
-    said = json.loads(asked(operator))
-    click.echo(json.dumps(kept(said, said["version"] if number is None else number), indent=1))
+    """Print the rules of a version as JSON."""
+    current = json.loads(query_status(operator))
+    click.echo(
+        json.dumps(rules_of_version(current, current["version"] if number is None else number), indent=1)
+    )
 
 
 @click.command("diff", help="What differs between versions ONE and OTHER: 0 nothing, 1 something.")
@@ -115,10 +127,11 @@
 @click.argument("other", type=int)
 @OPERATOR
 def diff(one: int, other: int, operator: str) -> None:
+    """Print the differences between two versions and why they contradict each other."""
     from martentide.net.fleet.show import differences
 
-    said = json.loads(asked(operator))
-    lines = differences(kept(said, one), kept(said, other))
+    current = json.loads(query_status(operator))
+    lines = differences(rules_of_version(current, one), rules_of_version(current, other))
     click.echo("\n".join(lines) or "no difference")
     sys.exit(1 if lines else 0)
 
@@ -126,20 +139,30 @@
 @click.command("rollback", help="Propose the rules of version NUMBER again, as a new version.")
 @click.argument("number", type=int)
 @OPERATOR
-@BY
-@PATIENCE
+@BY_OPTION
+@PATIENCE_OPTION
 def rollback(number: int, operator: str, by: str, patience: float) -> None:
-    said = json.loads(asked(operator))
-    wanted = kept(said, number)
-    put(operator, wanted, f"version {number}", said["version"], by, f"rollback to version {number}", patience)
+    """Propose the rules of an earlier version again."""
+    current = json.loads(query_status(operator))
+    earlier = rules_of_version(current, number)
+    propose_and_exit(
+        operator,
+        earlier,
+        f"version {number}",
+        current["version"],
+        by,
+        f"rollback to version {number}",
+        patience,
+    )
 
 
 @click.command("replace-voter", help="Have member NEW vote in the place of voter OLD, which lost its books.")
 @click.argument("old")
 @click.argument("new")
 @OPERATOR
-@PATIENCE
+@PATIENCE_OPTION
 def replace_voter(old: str, new: str, operator: str, patience: float) -> None:
+    """Replace a voter that lost its state by another member."""
     from martentide.lifecycle.calls import VOTERS
     from martentide.net.fleet.show import QueryError, propose
 
@@ -153,5 +176,6 @@
 
 
 def add_to(group: click.Group) -> None:
+    """Add these commands to a command group."""
     for command in (propose, versions, status, rules, diff, rollback, replace_voter):
         group.add_command(command)
--- a/martentide_lab/fleet/agreeing.py
+++ b/martentide_lab/fleet/agreeing.py
@@ -10,25 +10,25 @@
 from dataclasses import dataclass
 
 from martentide.agreement.core import (
-    Act,
     Agreement,
-    Answered,
+    ApplyRules,
     Check,
     Checked,
-    Due,
-    Heard,
-    Keep,
-    Kept,
-    Noted,
+    LeaseTimings,
+    LogEvent,
+    Persist,
+    ProposalResolved,
     Propose,
-    Tell,
-    Terms,
+    Received,
+    Send,
+    TimerExpired,
+    VoterState,
 )
 from martentide.agreement.core import (
     Event as AgreementEvent,
 )
-from martentide.agreement.messages import write
-from martentide.agreement.ruleset import RuleSet, contradictions, rules_from, write_rules
+from martentide.agreement.messages import encode
+from martentide.agreement.ruleset import RuleSet, contradictions, encode_rules, rules_from
 from martentide_lab.fleet.faults import Link
 from martentide_lab.fleet.search import random_steps
 from martentide_lab.fleet.simulated import Node, SimulatedFleet
@@ -42,7 +42,7 @@
         "classes": {"sign": {"repeat": repeat, "deadline_ms": 6000, "pools": None}},
         "servers": {"s-1@0": state},
     }
-    return write_rules(rules_from(data, "simulated"))
+    return encode_rules(rules_from(data, "simulated"))
 
 
 @dataclass
@@ -63,15 +63,15 @@
         members: int,
         seed: int,
         voters: int = 3,
-        terms: Terms | None = None,
+        terms: LeaseTimings | None = None,
         base: Link | None = None,
         kind: type[Agreement] = Agreement,
     ) -> None:
         super().__init__(members, seed, base=base, wire=False)
-        self.agreement_terms, self.kind = terms or Terms(), kind
+        self.agreement_terms, self.kind = terms or LeaseTimings(), kind
         self.voters = [f"n{at}" for at in range(voters)]
         self.agreements: dict[str, Agreement] = {}
-        self.disks: dict[str, Kept] = {}
+        self.disks: dict[str, VoterState] = {}
         self.words: dict[str, list[tuple[str, bytes]]] = {}  # that lie in the sockets of stopped processes
         self.voiced: list[Voiced] = []
         self.forced: dict[int, str] = {}  # by version, what it holds, by whoever acted on it first
@@ -116,7 +116,7 @@
         super()._run_on(node)
         words, self.words[node.name] = self.words.get(node.name, []), []
         for sender, body in words:
-            self.agree(node.name, Heard(sender, body))
+            self.agree(node.name, Received(sender, body))
         self._wake_later(node.name)
 
     # ---- events -----------------------------------------------------------------------------------------
@@ -127,22 +127,22 @@
             return
         for action in one.handle(node.clock(self.now), event):
             match action:
-                case Tell(to, word):
-                    body = write(word)
+                case Send(to, word):
+                    body = encode(word)
                     said, size = self.words_said.get(name, (0, 0))
                     self.words_said[name] = (said + 1, size + len(body))
                     self._carry_word(name, to, body)
-                case Keep(kept):
+                case Persist(kept):
                     self.disks[name] = kept
                 case Check(version):
                     checked = Checked(version.number, self.refuse.get(name, ""))
                     self.later(self.dice.uniform(1.0, 40.0), functools.partial(self.agree, name, checked))
-                case Act(rules, number, joint, _):
+                case ApplyRules(rules, number, joint, _):
                     self._log("act", name, name, number=number, joint=joint, safe=rules is None)
-                case Answered(request, done, number, text):
+                case ProposalResolved(request, done, number, text):
                     self._log("answered", name, name, request=request, done=done, number=number, text=text)
                     self.voiced.append(Voiced(request, done, number, self.now))
-                case Noted(what, detail):
+                case LogEvent(what, detail):
                     self._log(what, name, name, detail=detail)
         self._look()
         self._wake_later(name)
@@ -153,7 +153,7 @@
         if one is None or self.nodes[name].stopped:
             return ""
         self.agree(name, Propose(number, base, rules, "somebody", "a test"))
-        return f"{name}/{one.life}/{number}"
+        return f"{name}/{one.process_id}/{number}"
 
     def put(self, name: str, rules: bytes) -> None:
         self.propose(name, rules)
@@ -162,7 +162,7 @@
         one, node = self.agreements.get(name), self.nodes[name]
         if one is None:
             return
-        due = max(self.now, node.true(one.due)) + 0.01
+        due = max(self.now, node.true(one.next_deadline)) + 0.01
         if not self.now < self.turns.get(name, 0.0) <= due:
             self.turns[name] = due
             self.later(due - self.now, lambda: self._turn(name, one, due))
@@ -170,7 +170,7 @@
     def _turn(self, name: str, one: Agreement, due: float) -> None:
         if self.agreements.get(name) is one and self.turns.get(name) == due:
             self.turns[name] = 0.0
-            self.agree(name, Due())
+            self.agree(name, TimerExpired())
 
     def _carry_word(self, source: str, target: str, body: bytes) -> None:
         if target not in self.nodes:
@@ -185,7 +185,7 @@
             self.words.setdefault(target, []).append((source, body))
             del self.words[target][256:]
         else:
-            self.agree(target, Heard(source, body))
+            self.agree(target, Received(source, body))
 
     # ---- what must hold -----------------------------------------------------------------------------------
 
@@ -194,7 +194,7 @@
         found = {}
         for name, one in self.agreements.items():
             node = self.nodes[name]
-            if node.core is not None and not node.stopped and one.holds(node.clock(self.now)):
+            if node.core is not None and not node.stopped and one.lease_valid(node.clock(self.now)):
                 rules = one.rules()
                 if rules is not None:
                     found[name] = rules
@@ -206,7 +206,7 @@
         for name in self.agreements:
             if name not in acting and not self.nodes[name].stopped:
                 self.safe_ms[name] += span
-        known = {write_rules(rules): (name, rules) for name, rules in acting.items()}
+        known = {encode_rules(rules): (name, rules) for name, rules in acting.items()}
         for (one, (name, mine)), (other, (peer, theirs)) in itertools.combinations(known.items(), 2):
             key = (one, other)
             if key not in self.verdicts:
@@ -216,14 +216,14 @@
                     f"no-contradiction: {self.now:.0f} ms: {name} and {peer}: {self.verdicts[key][0]}"
                 )
         for name in acting:
-            version = self.agreements[name].known.force
+            version = self.agreements[name].known_state.in_force
             held = self.forced.setdefault(version.number, version.request)
             if held != version.request:
                 self.broken.append(f"one-order: {self.now:.0f} ms: {name}: two versions {version.number}")
 
     def finish(self) -> list[str]:
         """Also that no version is lost of which a proposer heard that it is in force."""
-        newest = max((one.known.force.number for one in self.agreements.values()), default=0)
+        newest = max((one.known_state.in_force.number for one in self.agreements.values()), default=0)
         for one in self.voiced:
             if (
                 one.done
--- a/tests/agreement/test_lists.py
+++ b/tests/agreement/test_lists.py
@@ -6,12 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from martentide.agreement.lists import MOST_GONE, MOST_TOLD, Book, Record
-from martentide.agreement.messages import MOST_FACET, Told, read_told, write_told
+from martentide.agreement.lists import MAX_CHANGES, MAX_GONE, ServerList, ServerRecord
+from martentide.agreement.messages import MAX_STATE_ENTRY_BYTES, MemberStatus, decode_status, encode_status
 
 
-def record(name: str, start: int = 0, state: int = 0, port: int = 1) -> Record:
-    return Record(name, start, state, 1, "sofia", 1.0, "127.0.0.1", port)
+def record(name: str, start: int = 0, state: int = 0, port: int = 1) -> ServerRecord:
+    return ServerRecord(name, start, state, 1, "sofia", 1.0, "127.0.0.1", port)
 
 
 RECORDS = st.lists(
@@ -19,16 +19,19 @@
 )
 
 
-def book_of(records: list[Record]) -> Book:
-    book = Book()
+def book_of(records: list[ServerRecord]) -> ServerList:
+    book = ServerList()
     for one in records:
-        book.hear(one)
+        book.merge(one)
     return book
 
 
 @settings(max_examples=300, deadline=None)
 @given(RECORDS, st.randoms())
-def test_the_same_records_in_any_order_make_the_same_list(records: list[Record], dice: st.Random) -> None:  # type: ignore[name-defined]
+def test_the_same_records_in_any_order_make_the_same_list(
+    records: list[ServerRecord],
+    dice: st.Random,  # type: ignore[name-defined]
+) -> None:
     mixed = [*records, *records]
     dice.shuffle(mixed)
     assert book_of(records).servers == book_of(mixed).servers
@@ -37,40 +40,42 @@
 
 @settings(max_examples=200, deadline=None)
 @given(RECORDS, RECORDS)
-def test_two_that_exchange_their_lists_hold_the_same(one: list[Record], other: list[Record]) -> None:
+def test_two_that_exchange_their_lists_hold_the_same(
+    one: list[ServerRecord], other: list[ServerRecord]
+) -> None:
     a, b = book_of(one), book_of(other)
     for _ in range(2):
-        for record_ in a.all():
-            b.hear(record_)
-        for record_ in b.all():
-            a.hear(record_)
+        for record_ in a.all_records():
+            b.merge(record_)
+        for record_ in b.all_records():
+            a.merge(record_)
     assert a.servers == b.servers
 
 
 def test_a_state_never_goes_back_but_by_a_new_start() -> None:
     book = book_of([record("a", 5, 1)])
-    assert book.hear(record("a", 5, 0)) is None and book.servers["a"].state == 1
-    assert book.hear(record("a", 4, 2)) is None
-    assert book.hear(record("a", 5, 2)) is not None and "a" not in book.servers
-    assert book.hear(record("a", 5, 0)) is None
-    assert book.hear(record("a", 6, 0)) is not None and book.servers["a"].start == 6
+    assert book.merge(record("a", 5, 0)) is None and book.servers["a"].state == 1
+    assert book.merge(record("a", 4, 2)) is None
+    assert book.merge(record("a", 5, 2)) is not None and "a" not in book.servers
+    assert book.merge(record("a", 5, 0)) is None
+    assert book.merge(record("a", 6, 0)) is not None and book.servers["a"].start == 6
 
 
 def test_a_whole_list_takes_away_only_what_the_same_board_told_of() -> None:
     book = book_of([record("mine"), record("others")])
-    new = book.whole([record("new")], ["mine"])
+    new = book.merge_full_list([record("new")], ["mine"])
     assert {(one.name, one.state) for one in new} == {("new", 0), ("mine", 2)}
     assert set(book.servers) == {"others", "new"}
 
 
 def test_what_is_no_record_is_passed_over_and_books_are_bounded() -> None:
-    book = Book()
-    assert book.hear(record("", 0)) is None and book.hear(record("a", 0, 7)) is None
-    for at in range(MOST_GONE + 50):
-        book.hear(record(f"s{at}", 0, 2))
-    assert len(book.gone) == MOST_GONE and len(book.changes) == MOST_TOLD
-    told = Told(1, 0, 2, 3, "x" * 80, book.digest(), book.told())
-    body = write_told(told)
-    assert len(body) <= MOST_FACET and 0 < len(read_told(body).changes) <= MOST_TOLD
+    book = ServerList()
+    assert book.merge(record("", 0)) is None and book.merge(record("a", 0, 7)) is None
+    for at in range(MAX_GONE + 50):
+        book.merge(record(f"s{at}", 0, 2))
+    assert len(book.gone) == MAX_GONE and len(book.changes) == MAX_CHANGES
+    told = MemberStatus(1, 0, 2, 3, "x" * 80, book.digest(), book.recent_changes())
+    body = encode_status(told)
+    assert len(body) <= MAX_STATE_ENTRY_BYTES and 0 < len(decode_status(body).changes) <= MAX_CHANGES
     raw = msgspec.msgpack.decode(body)
-    assert read_told(msgspec.msgpack.encode([*raw, "of a later version"])).version == 1
+    assert decode_status(msgspec.msgpack.encode([*raw, "of a later version"])).version == 1
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -343,28 +343,28 @@
 
 IGNORED = """
 import martentide.agreement.core as core
-core.Agreement.holds = lambda self, now: True
-core.Agreement._lapse = lambda self: None
+core.Agreement.lease_valid = lambda self, now: True
+core.Agreement._expire_lease = lambda self: None
 """
 NOT_JOINT = """
 import martentide.agreement.core as core
-core.Agreement._harmless = lambda self, joint: True
+core.Agreement._is_compatible = lambda self, joint: True
 """
 WALL = """
 import time
 import martentide.agreement.core as core
-granted = core.Agreement._granted
+granted = core.Agreement._on_lease_grant
 def by_wall(self, sender, grant):
     granted(self, sender, grant)
     if grant.lease > 0.0:
         self.wall = time.time() * 1000.0 + grant.lease
 def lapse(self):
-    if self.acts is not None and not self.holds(self.now):
-        self.acts = None
-        self._act()
-core.Agreement._granted = by_wall
-core.Agreement.holds = lambda self, now: time.time() * 1000.0 < getattr(self, "wall", 0.0)
-core.Agreement._lapse = lapse
+    if self.acting_on is not None and not self.lease_valid(self.now):
+        self.acting_on = None
+        self._update_rules()
+core.Agreement._on_lease_grant = by_wall
+core.Agreement.lease_valid = lambda self, now: time.time() * 1000.0 < getattr(self, "wall", 0.0)
+core.Agreement._expire_lease = lapse
 """
 
 
--- a/tests/agreement/test_raft.py
+++ b/tests/agreement/test_raft.py
@@ -1,5 +1,6 @@
-"""The replicated log under exhaustive search: every order of few events, from a few starts; planted faults
-are found. Messages stay where they are once said, so they are lost, doubled, late and reordered at will."""
+"""Bounded exhaustive search over the replicated log: every order of a few events from several initial states,
+and injected faults that the search must find. A message once sent stays deliverable, so loss, duplication,
+delay and reordering are all covered."""
 
 from __future__ import annotations
 
@@ -16,32 +17,32 @@
     Apply,
     ChangeVoters,
     Compact,
-    Elect,
     Event,
-    Install,
-    Led,
+    InstallSnapshot,
+    LeadershipChanged,
     Message,
+    MessageKind,
+    Persist,
+    PersistentState,
     Propose,
     Raft,
+    Received,
     Role,
-    Round,
-    Save,
-    Saved,
-    Say,
     Send,
     Snapshot,
-    Told,
-    fresh,
-    read_message,
-    write_message,
+    StartElection,
+    VoteTally,
+    decode_message,
+    encode_message,
+    initial_state,
 )
 
 VOTERS = ("a", "b", "c")
-TERMS = raft.Terms(pre_vote=False)
+TERMS = raft.RaftTimings(pre_vote=False)
 
 
-class Even:
-    """Dice that always fall alike: time has no part in the search."""
+class FixedRandom:
+    """A constant random source, since the search does not model time."""
 
     @staticmethod
     def random() -> float:
@@ -50,11 +51,11 @@
 
 @dataclass(frozen=True)
 class World:
-    """All processes, what each has on disk, all that was ever said, and what was committed or led."""
+    """All processes, their disks, all messages ever sent, all committed entries and all leaders by term."""
 
     nodes: dict[str, Raft]
-    disks: dict[str, Saved]
-    said: frozenset[bytes]
+    disks: dict[str, PersistentState]
+    sent: frozenset[bytes]
     applied: frozenset[tuple[int, bytes]]
     leaders: frozenset[tuple[int, str]]
     proposals: int = 0
@@ -65,12 +66,13 @@
         return (
             tuple(
                 (
-                    one.saved(), one.role, one.leader, one.commit, frozenset(one.round.yes),
-                    tuple((name, peer.next, peer.match) for name, peer in one.peers.items()),
+                    one.persistent_state(), one.role, one.leader, one.commit_index,
+                    frozenset(one.tally.granted_by),
+                    tuple((name, peer.next_index, peer.match_index) for name, peer in one.peers.items()),
                 )
                 for one in self.nodes.values()
             ),
-            tuple(self.disks.values()), self.said, self.proposals, self.crashes,
+            tuple(self.disks.values()), self.sent, self.proposals, self.crashes,
         )  # fmt: skip
 
 
@@ -78,46 +80,47 @@
     new = copy.copy(one)
     new.log, new.actions = list(one.log), []
     new.peers = {name: copy.copy(peer) for name, peer in one.peers.items()}
-    new.round = Round(set(one.round.yes))
+    new.tally = VoteTally(set(one.tally.granted_by))
     return new
 
 
-def start(kind: type[Raft], disk: Saved) -> Raft:
+def start(kind: type[Raft], disk: PersistentState) -> Raft:
     node = kind(disk, TERMS, 1, 0.0)
-    node.random = Even()  # type: ignore[assignment]
+    node.rng = FixedRandom()  # type: ignore[assignment]
     return node
 
 
 def begin(kind: type[Raft] = Raft, names: tuple[str, ...] = VOTERS) -> World:
-    disks = {name: fresh(name, VOTERS) for name in names}
+    disks = {name: initial_state(name, VOTERS) for name in names}
     nodes = {name: start(kind, disk) for name, disk in disks.items()}
     return World(nodes, disks, frozenset(), frozenset(), frozenset())
 
 
 def step(world: World, name: str, event: Event, forgets: bool = False) -> World:
-    """One process takes one event; what it says is said, what it saves is on disk, unless it forgets."""
+    """One process handles one event; its messages are sent and its state is written to disk, unless
+    ``forgets`` (a missing fsync)."""
     node = clone(world.nodes[name])
-    said, applied, leaders, disks = set(world.said), set(world.applied), set(world.leaders), dict(world.disks)
+    sent, applied, leaders, disks = set(world.sent), set(world.applied), set(world.leaders), dict(world.disks)
     broken = world.broken
     for action in node.handle(0.0, event):
         match action:
-            case Save() if not forgets:
-                disks[name] = node.saved()
+            case Persist() if not forgets:
+                disks[name] = node.persistent_state()
             case Send(message):
-                said.add(write_message(message))
+                sent.add(encode_message(message))
             case Apply(index, entry):
                 body = raft._ENCODER.encode(entry)
                 if any(at == index and other != body for at, other in applied):
                     broken = f"two entries are committed at {index}"
                 applied.add((index, body))
-            case Led(True, term):
+            case LeadershipChanged(True, term):
                 if any(one == term and other != name for one, other in leaders):
                     broken = f"two lead in term {term}"
                 leaders.add((term, name))
-            case Install() | Led():
+            case InstallSnapshot() | LeadershipChanged():
                 pass
     return replace(
-        world, nodes={**world.nodes, name: node}, disks=disks, said=frozenset(said),
+        world, nodes={**world.nodes, name: node}, disks=disks, sent=frozenset(sent),
         applied=frozenset(applied), leaders=frozenset(leaders), broken=broken,
     )  # fmt: skip
 
@@ -138,22 +141,22 @@
 
 
 def following(world: World, bounds: Bounds) -> Iterator[World]:
-    for body in world.said:
-        message = read_message(body)
+    for body in world.sent:
+        message = decode_message(body)
         if message.to in world.nodes:
-            yield step(world, message.to, Told(message), bounds.forgets)
+            yield step(world, message.to, Received(message), bounds.forgets)
     for name, node in world.nodes.items():
         if node.role is Role.LEADER and world.proposals < bounds.proposals:
             after = step(world, name, Propose(b"%d" % world.proposals), bounds.forgets)
             yield replace(after, proposals=world.proposals + 1)
         if node.role is not Role.LEADER and node.term < bounds.term:
-            yield step(world, name, Elect(), bounds.forgets)
+            yield step(world, name, StartElection(), bounds.forgets)
         if world.crashes < bounds.crashes:
             yield crash(world, name)
 
 
 def search(world: World, bounds: Bounds) -> tuple[str, int]:
-    """What is broken first, and how many states were looked at."""
+    """The first violated invariant ("" for none) and the number of states visited."""
     seen = {world.key()}
     queue = deque([(world, 0)])
     while queue:
@@ -172,62 +175,64 @@
     return "", len(seen)
 
 
-def tell(world: World, to: str, say: Say, which: Callable[[Message], bool] = lambda _: True) -> World:
-    """Deliver all such messages to the process, the oldest term first."""
-    messages = sorted((read_message(body) for body in world.said), key=lambda one: (one.term, one.index))
+def deliver(
+    world: World, to: str, kind: MessageKind, matching: Callable[[Message], bool] = lambda _: True
+) -> World:
+    """Deliver all messages of that kind to the process, the oldest term first."""
+    messages = sorted((decode_message(body) for body in world.sent), key=lambda one: (one.term, one.index))
     for message in messages:
-        if message.to == to and message.say == say and which(message):
-            world = step(world, to, Told(message))
+        if message.to == to and message.kind == kind and matching(message):
+            world = step(world, to, Received(message))
     return world
 
 
 def elected(world: World, name: str, by: str) -> World:
-    world = step(world, name, Elect())
+    world = step(world, name, StartElection())
     term = world.nodes[name].term
-    world = tell(world, by, Say.VOTE, lambda one: one.term == term)
-    return tell(world, name, Say.VOTED)
+    world = deliver(world, by, MessageKind.REQUEST_VOTE, lambda one: one.term == term)
+    return deliver(world, name, MessageKind.VOTE_REPLY)
 
 
 def led(kind: type[Raft] = Raft) -> World:
-    """``a`` leads, and ``b`` holds its first entry."""
-    world = tell(elected(begin(kind), "a", "b"), "b", Say.APPEND)
-    return tell(world, "a", Say.APPENDED)
+    """``a`` is the leader, and ``b`` holds its first entry."""
+    world = deliver(elected(begin(kind), "a", "b"), "b", MessageKind.APPEND_ENTRIES)
+    return deliver(world, "a", MessageKind.APPEND_REPLY)
 
 
 def outdated(kind: type[Raft] = Raft) -> World:
-    """The case of the older term: ``a`` has entries of term 1 that nobody else held; ``c`` has led since,
-    with an entry of its own; ``a`` leads again, ``b`` holds the first of the old ones, and ``c`` stands for
-    election."""
+    """The case of an entry of an earlier term: ``a`` has entries of term 1 that no other voter held; ``c``
+    was the leader since, with an entry of its own; ``a`` is the leader again, ``b`` holds the first of the
+    old entries, and ``c`` starts an election."""
     world = step(elected(begin(kind), "a", "b"), "a", Propose(b"old"))
-    world = replace(world, said=frozenset())
-    world = elected(step(world, "c", Elect()), "c", "b")  # at the second try: b has voted in term 1
-    world = replace(world, said=frozenset())
-    world = elected(step(crash(world, "a"), "a", Elect()), "a", "b")
+    world = replace(world, sent=frozenset())
+    world = elected(step(world, "c", StartElection()), "c", "b")  # the second election: b voted in term 1
+    world = replace(world, sent=frozenset())
+    world = elected(step(crash(world, "a"), "a", StartElection()), "a", "b")
     assert [world.nodes[name].role == Role.LEADER for name in VOTERS] == [True, False, True]
-    for _ in range(3):  # turned down, and sent again from further back
-        world = tell(world, "a", Say.APPENDED)
-        world = tell(world, "b", Say.APPEND, lambda one: one.index < 2 and one.term == 3)
-        if world.nodes["b"].last == 1:
+    for _ in range(3):  # rejected, and sent again from an earlier index
+        world = deliver(world, "a", MessageKind.APPEND_REPLY)
+        world = deliver(world, "b", MessageKind.APPEND_ENTRIES, lambda one: one.index < 2 and one.term == 3)
+        if world.nodes["b"].last_index == 1:
             break
-        world = tell(world, "b", Say.APPEND, lambda one: one.term == 3)
-    world = replace(tell(world, "a", Say.APPENDED), said=frozenset())
-    world = step(step(crash(world, "c"), "c", Elect()), "c", Elect())
+        world = deliver(world, "b", MessageKind.APPEND_ENTRIES, lambda one: one.term == 3)
+    world = replace(deliver(world, "a", MessageKind.APPEND_REPLY), sent=frozenset())
+    world = step(step(crash(world, "c"), "c", StartElection()), "c", StartElection())
     return replace(world, proposals=2, crashes=0)
 
 
 def compacted(kind: type[Raft] = Raft) -> World:
-    """``c`` lags; ``a`` has put what came before into a snapshot and sent it."""
+    """``c`` lags behind; ``a`` has compacted its log into a snapshot and sent it."""
     world = led(kind)
     world = step(world, "a", Propose(b"1"))
-    world = tell(tell(world, "b", Say.APPEND), "a", Say.APPENDED)
-    world = replace(world, said=frozenset())
+    world = deliver(deliver(world, "b", MessageKind.APPEND_ENTRIES), "a", MessageKind.APPEND_REPLY)
+    world = replace(world, sent=frozenset())
     world = step(world, "a", Compact(2, b"state"))
-    world.nodes["a"].peers["c"].next = 1
+    world.nodes["a"].peers["c"].next_index = 1
     world = step(world, "a", Propose(b"2"))
-    world = tell(world, "c", Say.SNAPSHOT)
-    world = tell(world, "a", Say.APPENDED)
-    world = tell(world, "c", Say.APPEND)
-    return replace(tell(world, "a", Say.APPENDED), proposals=1)
+    world = deliver(world, "c", MessageKind.INSTALL_SNAPSHOT)
+    world = deliver(world, "a", MessageKind.APPEND_REPLY)
+    world = deliver(world, "c", MessageKind.APPEND_ENTRIES)
+    return replace(deliver(world, "a", MessageKind.APPEND_REPLY), proposals=1)
 
 
 STARTS = {"nothing": begin, "led": led, "an older term": outdated, "a snapshot": compacted}
@@ -235,7 +240,9 @@
 
 @pytest.fixture(autouse=True)
 def one_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(raft, "MOST_SENT", 1)  # an entry of an older term comes without the newer one
+    monkeypatch.setattr(
+        raft, "MAX_MESSAGE_ENTRIES", 1
+    )  # an entry of an earlier term arrives without the newer one
 
 
 @pytest.mark.parametrize("name", STARTS)
@@ -246,17 +253,19 @@
 
 
 class VotesTwice(Raft):
-    def _asked(self, message: Message) -> None:
+    def _on_vote_request(self, message: Message) -> None:
         if message.term == self.term:
-            self.vote = ""
-        super()._asked(message)
+            self.voted_for = ""
+        super()._on_vote_request(message)
 
 
 class CountsOlder(Raft):
-    def _advance(self) -> None:
-        held = sorted(self.last if one == self.me else self._peer(one).match for one in self.voters)
-        if held[1] > self.commit:
-            self._commit(held[1])
+    def _advance_commit(self) -> None:
+        held = sorted(
+            self.last_index if one == self.voter_id else self._peer(one).match_index for one in self.voters
+        )
+        if held[1] > self.commit_index:
+            self._commit_up_to(held[1])
 
 
 class CountsLearners(Raft):
@@ -265,15 +274,15 @@
         return (*super().voters, "l")
 
     def _count_votes(self) -> None:
-        if self.role is Role.CANDIDATE and len(self.round.yes) >= 2:
-            self._lead()
+        if self.role is Role.CANDIDATE and len(self.tally.granted_by) >= 2:
+            self._become_leader()
 
 
 class TakesAnySnapshot(Raft):
-    def _install(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
         self.log, self.snapshot = [], snapshot
-        self.commit = self.applied = snapshot.index
-        self.actions.append(Save())
+        self.commit_index = self.last_applied = snapshot.index
+        self.actions.append(Persist())
 
 
 FAULTS: dict[str, tuple[Callable[[], World], Bounds]] = {
@@ -298,21 +307,21 @@
     assert broken, f"not found in {states} states"
     assert (
         search(START_OF[fault](), replace(bounds, states=4 * states, forgets=False))[0] == ""
-    )  # and nothing else
+    )  # without the fault nothing is found
 
 
-def test_a_voter_more_is_taken_alone_and_after_an_entry_of_the_term() -> None:
+def test_voters_change_one_at_a_time_and_after_an_entry_of_the_term() -> None:
     world = led()
-    assert world.nodes["a"].commit == 1
+    assert world.nodes["a"].commit_index == 1
     world = step(world, "a", ChangeVoters(("a", "b", "c", "d")))
     assert world.nodes["a"].voters == ("a", "b", "c", "d")
     world = step(world, "a", ChangeVoters(("a", "b", "c", "d", "e")))  # one change at a time
     assert world.nodes["a"].voters == ("a", "b", "c", "d")
-    world = step(led(), "a", ChangeVoters(("a", "d")))  # two names apart
+    world = step(led(), "a", ChangeVoters(("a", "d")))  # two voters changed
     assert world.nodes["a"].voters == VOTERS
 
 
-def test_a_message_of_a_liar_is_turned_down() -> None:
+def test_a_message_with_values_out_of_range_is_rejected() -> None:
     for bad in (Message(5, "a", "b", -1), Message(5, "a", "b", 1, entries=(raft.Entry(2, 0, b""),))):
         with pytest.raises(msgspec.ValidationError):
-            read_message(write_message(bad))
+            decode_message(encode_message(bad))
--- a/tests/agreement/test_ruleset.py
+++ b/tests/agreement/test_ruleset.py
@@ -12,11 +12,11 @@
     RuleError,
     RuleSet,
     contradictions,
+    decode_rules,
+    encode_rules,
     meet,
-    plain,
-    read_rules,
     rules_from,
-    write_rules,
+    rules_to_data,
 )
 
 BASE: dict[str, Any] = {
@@ -118,8 +118,8 @@
     assert meet(both, both) == both == meet(both, one)
     assert not contradictions(both, one) and not contradictions(both, other)
     assert contradictions(one, other) == [] or contradictions(other, one) != []
-    assert read_rules(write_rules(both)) == both
-    assert rules_from(plain(one), "again") == one
+    assert decode_rules(encode_rules(both)) == both
+    assert rules_from(rules_to_data(one), "again") == one
 
 
 @settings(max_examples=200, deadline=None)
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -7,11 +7,11 @@
 import msgspec
 import pytest
 
-from martentide.agreement.core import Agreement, Kept, Propose, ReplaceVoter, Terms
-from martentide.agreement.fragments import MOST_PARTS, PART, Joiner, Splitter
-from martentide.agreement.messages import Ask, Force, Grant, Joint
-from martentide.agreement.raft import fresh
-from martentide.agreement.store import read_kept, recover, write_kept
+from martentide.agreement.core import Agreement, LeaseTimings, Propose, ReplaceVoter, VoterState
+from martentide.agreement.fragments import MAX_FRAGMENT_BYTES, MAX_FRAGMENTS, Fragmenter, Reassembler
+from martentide.agreement.messages import BeginJointPhase, EndJointPhase, LeaseGrant, LeaseRequest
+from martentide.agreement.raft import initial_state
+from martentide.agreement.store import decode_voter_state, encode_voter_state, recover
 from martentide.learned.recovery import Found
 from martentide_lab.fleet.agreeing import AgreeingFleet, play_random, rule_set
 from martentide_lab.fleet.faults import Link
@@ -26,39 +26,39 @@
 
 
 class GrantsWhileDeciding(Agreement):
-    def _log(self, command: Joint | Force) -> None:
-        super()._log(command)
-        self.deciding = 0
+    def _append_command(self, command: BeginJointPhase | EndJointPhase) -> None:
+        super()._append_command(command)
+        self.deciding_index = 0
 
 
 class WaitsForNobody(Agreement):
-    def _lead(self) -> None:
+    def _advance_joint_phase(self) -> None:
         self.leases.clear()
-        super()._lead()
+        super()._advance_joint_phase()
 
 
 class CountsFromWhenItCame(Agreement):
-    def _granted(self, sender: str, grant: Grant) -> None:
-        super()._granted(sender, grant)
+    def _on_lease_grant(self, sender: str, grant: LeaseGrant) -> None:
+        super()._on_lease_grant(sender, grant)
         if grant.lease > 0.0:
-            self.until = max(self.until, self.now + 2.0 * grant.lease)
+            self.lease_expiry = max(self.lease_expiry, self.now + 2.0 * grant.lease)
 
 
 class ActsOnWhatItPrepares(Agreement):
     def rules(self) -> Any:
-        joint = self.known.joint
-        if self.acts is not None and self.acts[1] and joint is not None:
-            return self._rules(joint)  # not on what both allow
+        joint = self.known_state.joint
+        if self.acting_on is not None and self.acting_on[1] and joint is not None:
+            return self._decoded(joint)  # not on what both allow
         return super().rules()
 
 
 class ForgetsAtAStart(Agreement):
     """A new leader that takes nobody for having a lease, and does not wait."""
 
-    def _lead(self) -> None:
-        if self.leads_since is not None:
-            self.leads_since = -1e12
-        super()._lead()
+    def _advance_joint_phase(self) -> None:
+        if self.leading_since is not None:
+            self.leading_since = -1e12
+        super()._advance_joint_phase()
 
 
 FAULTS = (GrantsWhileDeciding, WaitsForNobody, CountsFromWhenItCame, ActsOnWhatItPrepares, ForgetsAtAStart)
@@ -102,7 +102,7 @@
     return next(
         name for name, one in fleet.agreements.items()
         if one.raft is not None and not fleet.nodes[name].stopped
-        and one.raft.leads(fleet.nodes[name].clock(fleet.now))
+        and one.raft.has_leader_lease(fleet.nodes[name].clock(fleet.now))
     )  # fmt: skip
 
 
@@ -111,7 +111,7 @@
     for attempts in (3, 2, 1):
         done, took = verdict(fleet, "n4", rule_set(attempts))
         assert done and took < 1_500.0
-    assert {one.known.force.number for one in fleet.agreements.values()} == {3}
+    assert {one.known_state.in_force.number for one in fleet.agreements.values()} == {3}
     assert not fleet.finish()
 
 
@@ -128,7 +128,7 @@
     fleet = begun()
     fleet.refuse["n4"] = "classes: expected voice, found none"
     assert verdict(fleet, "n0", rule_set(2))[0] is False
-    assert "turned down by n4" in fleet.agreements["n0"].books.past[-1][3]
+    assert "turned down by n4" in fleet.agreements["n0"].state.history[-1][3]
     fleet.refuse.clear()
     assert verdict(fleet, "n0", rule_set(2))[0] is True
 
@@ -138,10 +138,10 @@
     assert verdict(fleet, "n0", rule_set(2))[0]
     do(fleet, "split", "n4", "n0,n1,n2,n3")
     done, took = verdict(fleet, "n0", rule_set(1))
-    assert done and took < Terms().bound
+    assert done and took < LeaseTimings().bound
     assert "n4" not in fleet.acting()  # it is on safe rules
     do(fleet, "heal", lasts=2_000.0)
-    assert fleet.agreements["n4"].known.force.number == 2 and "n4" in fleet.acting()
+    assert fleet.agreements["n4"].known_state.in_force.number == 2 and "n4" in fleet.acting()
 
 
 @pytest.mark.parametrize("after", [20.0, 60.0, 120.0, 200.0, 300.0, 400.0])
@@ -152,13 +152,13 @@
     fleet.run(fleet.now + after)
     do(fleet, "kill", leader(fleet), lasts=8_000.0)
     assert fleet.voiced[-1].done and not fleet.finish()
-    assert len({one.known.force.number for one in fleet.agreements.values()}) == 1
+    assert len({one.known_state.in_force.number for one in fleet.agreements.values()}) == 1
 
 
 def test_nothing_new_without_a_majority_and_all_are_safe_in_time() -> None:
     fleet = begun()
     assert verdict(fleet, "n4", rule_set(3))[0]
-    do(fleet, "kill", "n0,n1", lasts=Terms().bound)
+    do(fleet, "kill", "n0,n1", lasts=LeaseTimings().bound)
     assert not fleet.acting()
     assert verdict(fleet, "n4", rule_set(1)) is None
     do(fleet, "start", "n0", lasts=6_000.0)
@@ -179,7 +179,7 @@
     do(fleet, "kill", "n1")
     fleet.lose_disk("n1")
     do(fleet, "start", "n1", lasts=3_000.0)
-    assert not fleet.agreements["n1"].votes and "n1" not in fleet.disks
+    assert not fleet.agreements["n1"].is_voter and "n1" not in fleet.disks
     assert verdict(fleet, "n4", rule_set(3))[0] and "n1" in fleet.acting()
 
 
@@ -212,7 +212,7 @@
     fleet.propose("n4", rule_set(1))
     fleet.run(fleet.now + 60.0)
     do(fleet, "continue", "n3", lasts=5_000.0)
-    assert not fleet.finish() and fleet.agreements["n3"].known.force.number == 2
+    assert not fleet.finish() and fleet.agreements["n3"].known_state.in_force.number == 2
 
 
 # ---- parts
@@ -220,36 +220,38 @@
 
 
 def test_a_long_word_is_joined_from_its_parts_in_any_order() -> None:
-    splitter, joiner = Splitter(), Joiner()
+    splitter, joiner = Fragmenter(), Reassembler()
     word = bytes(range(256)) * 20
     parts = splitter.split(word)
-    assert all(len(one) <= PART + 6 for one in parts)
-    found = [joiner.take(0.0, "a", one) for one in [*reversed(parts), parts[0]]]
+    assert all(len(one) <= MAX_FRAGMENT_BYTES + 6 for one in parts)
+    found = [joiner.add(0.0, "a", one) for one in [*reversed(parts), parts[0]]]
     assert [one for one in found if one is not None] == [word]
-    assert joiner.take(0.0, "a", b"\0\0\0\1\7\3x") is None  # a place beyond the count
+    assert joiner.add(0.0, "a", b"\0\0\0\1\7\3x") is None  # a place beyond the count
     with pytest.raises(ValueError):
-        splitter.split(bytes(PART * MOST_PARTS + 1))
+        splitter.split(bytes(MAX_FRAGMENT_BYTES * MAX_FRAGMENTS + 1))
 
 
 def test_a_book_that_is_damaged_is_not_replaced_by_the_one_before() -> None:
-    kept = Kept(fresh("n0", ("n0",)), ("n1",))
-    data = write_kept(kept)
-    assert read_kept(data) == kept
+    kept = VoterState(initial_state("n0", ("n0",)), ("n1",))
+    data = encode_voter_state(kept)
+    assert decode_voter_state(data) == kept
     spoilt = data[:-1] + bytes((data[-1] ^ 1,))
     none = Found("state", None)
     assert recover([Found("state", data), Found("state.old", None)], "n0") == (kept, "")
     assert recover([none, Found("state.old", data)], "n0") == (kept, "")  # killed between two renames
     assert recover([Found("state", spoilt), Found("state.old", data)], "n0")[0] is None
-    assert "expected the books of n1" in recover([Found("state", data), Found("state.old", None)], "n1")[1]
+    assert "expected the state of n1" in recover([Found("state", data), Found("state.old", None)], "n1")[1]
     assert recover([none, Found("state.old", None)], "n0") == (None, "")
 
 
 def test_a_proposal_that_is_too_long_is_turned_down_at_once() -> None:
-    one = Agreement("n0", 1, ("n0",), Terms(), 1, 0.0)
+    one = Agreement("n0", 1, ("n0",), LeaseTimings(), 1, 0.0)
     actions = one.handle(1.0, Propose("1", -1, bytes(40_000), "", ""))
     assert any(getattr(action, "done", None) is False for action in actions)
 
 
 def test_words_of_a_later_version_are_read() -> None:
-    raw = msgspec.msgpack.decode(msgspec.msgpack.encode(Ask(1.0, 2, 3, 4)))
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode([*raw, "new"]), type=Ask) == Ask(1.0, 2, 3, 4)
+    raw = msgspec.msgpack.decode(msgspec.msgpack.encode(LeaseRequest(1.0, 2, 3, 4)))
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode([*raw, "new"]), type=LeaseRequest) == LeaseRequest(
+        1.0, 2, 3, 4
+    )
