--- a/martentide/agreement/core.py
+++ b/martentide/agreement/core.py
@@ -211,7 +211,7 @@
 class PendingRequest:
     """A proposal or voter replacement made at this member that has no verdict yet."""
 
-    message: Proposal | VoterReplacement
+    submission: Proposal | VoterReplacement
     created_at: float
     sent_at: float
 
@@ -307,7 +307,7 @@
         if joint is None:
             return self._decoded(in_force) if in_force.number else None
         if not in_force.number:
-            return self._decoded(joint)  # no version in in_force to meet with
+            return self._decoded(joint)  # no version is in force yet
         return meet(self._decoded(in_force), self._decoded(joint))
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -349,14 +349,14 @@
             self.renewal_deadline = self.now + self.timings.renewal_interval * self.rng.uniform(0.8, 1.2)
             self._request_lease()
         self._advance_joint_phase()
-        for request, one in list(self.pending_requests.items()):
-            if self.now - one.created_at >= PROPOSAL_TIMEOUT:
+        for request, pending in list(self.pending_requests.items()):
+            if self.now - pending.created_at >= PROPOSAL_TIMEOUT:
                 del self.pending_requests[request]
                 text = "no word of it came back; look with `fleet versions` before proposing it again"
                 self.actions.append(ProposalResolved(request, False, 0, text))
-            elif self.now - one.sent_at >= RESEND_INTERVAL:
-                one.sent_at = self.now
-                self._send_to_leader(one.message)
+            elif self.now - pending.sent_at >= RESEND_INTERVAL:
+                pending.sent_at = self.now
+                self._send_to_leader(pending.submission)
 
     def _expire_lease(self) -> None:
         """Fall back to safe rules if the lease has expired. Runs before each event, since the process may
@@ -577,7 +577,10 @@
     def _start_under_new_id(self, message: raft.Message) -> bool:
         """A leader addresses a new id of this member: vote under that id, for which no vote was ever
         counted."""
-        from_leader = message.kind in (raft.MessageKind.APPEND_ENTRIES, raft.MessageKind.INSTALL_SNAPSHOT)
+        from_leader = message.message_type in (
+            raft.MessageType.APPEND_ENTRIES,
+            raft.MessageType.INSTALL_SNAPSHOT,
+        )
         if not from_leader or VOTER_ID_SEPARATOR not in message.to or "" in self.prior_state_answers:
             return False
         self._become_voter(raft.initial_state(message.to, ()))
@@ -669,8 +672,8 @@
         if not self._is_effective_leader():
             leader = member_of(self.raft.leader) if self.raft is not None else ""
             if sender != self.name:
-                hint = leader if leader != self.name else ""
-                self.actions.append(Send(sender, LeaseGrant(request.timestamp, 0.0, 0, hint)))
+                known_leader = leader if leader != self.name else ""
+                self.actions.append(Send(sender, LeaseGrant(request.timestamp, 0.0, 0, known_leader)))
             elif leader != self.name:
                 self._on_leader_hint(leader)
             return
@@ -825,8 +828,8 @@
         if proposal.base not in (-1, force.number):
             text = f"it builds on version {proposal.base}, version {force.number} is in force"
             if force.number:
-                apart = contradictions(rules, self._decoded(force))
-                text += "; it differs in: " + ("; ".join(apart)[:600] or "nothing that contradicts it")
+                differences = contradictions(rules, self._decoded(force))
+                text += "; it differs in: " + ("; ".join(differences)[:600] or "nothing that contradicts it")
             return text
         if joint is not None:
             return f"version {joint.number} by {joint.by} is being brought into force: propose it again then"
--- a/martentide/agreement/raft.py
+++ b/martentide/agreement/raft.py
@@ -60,7 +60,7 @@
     log: tuple[Entry, ...]
 
 
-class MessageKind(IntEnum):
+class MessageType(IntEnum):
     """Kinds of messages; the numbers go on the wire."""
 
     PRE_VOTE = 1
@@ -74,7 +74,7 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """A message between two voters; ``kind`` is a ``MessageKind``.
+    """A message between two voters; ``message_type`` is a ``MessageType``.
 
     ``index`` and ``index_term`` describe the sender's last entry (vote requests), the entry before
     ``entries`` (append requests) or the last matching entry (replies). ``accepted`` is the result in a reply;
@@ -82,7 +82,7 @@
     is the leader's clock in ms, echoed by replies.
     """
 
-    kind: int
+    message_type: int
     sender: NodeId
     to: NodeId
     term: int
@@ -301,7 +301,7 @@
                 self._compact(index, state)
             case TransferLeadership(to) if self.role is Role.LEADER and to in self.peers:
                 self._replicate(to)
-                self._send(MessageKind.TIMEOUT_NOW, to)
+                self._send(MessageType.TIMEOUT_NOW, to)
                 self._become_follower(self.term, "")  # its lease ends now: the message may arrive late
             case StartElection():
                 self._start_election(forced=False)
@@ -349,18 +349,18 @@
             return  # a learner does not start elections
         if self.timings.pre_vote and not forced:
             self.role, self.leader, self.tally = Role.PRE_CANDIDATE, "", VoteTally({self.voter_id})
-            self._request_votes(MessageKind.PRE_VOTE, self.term + 1)
+            self._request_votes(MessageType.PRE_VOTE, self.term + 1)
             self._count_votes()
         else:
             self._become_candidate(forced)
         self.election_deadline = self.now + self._random_election_timeout()
 
-    def _request_votes(self, kind: MessageKind, term: int, forced: bool = False) -> None:
+    def _request_votes(self, message_type: MessageType, term: int, forced: bool = False) -> None:
         for name in self.voters:
             if name != self.voter_id:
                 last_term = self.term_at(self.last_index) or 0
                 self.actions.append(
-                    Send(Message(kind, self.voter_id, name, term, self.last_index, last_term, forced))
+                    Send(Message(message_type, self.voter_id, name, term, self.last_index, last_term, forced))
                 )
 
     def _count_votes(self) -> None:
@@ -376,7 +376,7 @@
         self.role, self.leader, self.tally = Role.CANDIDATE, "", VoteTally({self.voter_id})
         self.term, self.voted_for = self.term + 1, self.voter_id
         self.actions.append(Persist())
-        self._request_votes(MessageKind.REQUEST_VOTE, self.term, forced=forced)
+        self._request_votes(MessageType.REQUEST_VOTE, self.term, forced=forced)
         self._count_votes()
 
     def _become_leader(self) -> None:
@@ -412,34 +412,38 @@
     def _receive(self, message: Message) -> None:
         if message.to != self.voter_id or message.sender == self.voter_id:
             return
-        match MessageKind(message.kind) if message.kind in MessageKind.__members__.values() else None:
-            case MessageKind.PRE_VOTE:
+        match (
+            MessageType(message.message_type)
+            if message.message_type in MessageType.__members__.values()
+            else None
+        ):
+            case MessageType.PRE_VOTE:
                 yes = message.term > self.term and self._may_vote_for(message)
                 self._send(
-                    MessageKind.PRE_VOTE_REPLY,
+                    MessageType.PRE_VOTE_REPLY,
                     message.sender,
                     term=message.term if yes else self.term,
                     accepted=yes,
                 )
-            case MessageKind.PRE_VOTE_REPLY:
+            case MessageType.PRE_VOTE_REPLY:
                 if message.accepted and self.role is Role.PRE_CANDIDATE and message.term == self.term + 1:
                     self.tally.granted_by.add(message.sender)
                     self._count_votes()
                 elif not message.accepted and message.term > self.term:
                     self._become_follower(message.term, "")
-            case MessageKind.REQUEST_VOTE:
+            case MessageType.REQUEST_VOTE:
                 self._on_vote_request(message)
-            case MessageKind.VOTE_REPLY:
+            case MessageType.VOTE_REPLY:
                 if message.term > self.term:
                     self._become_follower(message.term, "")
                 elif message.accepted and self.role is Role.CANDIDATE and message.term == self.term:
                     self.tally.granted_by.add(message.sender)
                     self._count_votes()
-            case MessageKind.APPEND_ENTRIES | MessageKind.INSTALL_SNAPSHOT:
+            case MessageType.APPEND_ENTRIES | MessageType.INSTALL_SNAPSHOT:
                 self._on_append(message)
-            case MessageKind.APPEND_REPLY:
+            case MessageType.APPEND_REPLY:
                 self._on_append_reply(message)
-            case MessageKind.TIMEOUT_NOW:
+            case MessageType.TIMEOUT_NOW:
                 if message.term == self.term and self.leader == message.sender:
                     self._start_election(forced=True)
 
@@ -452,13 +456,18 @@
             self.voted_for = message.sender
             self.election_deadline = self.now + self._random_election_timeout()
             self.actions.append(Persist())
-        self._send(MessageKind.VOTE_REPLY, message.sender, accepted=granted)
+        self._send(MessageType.VOTE_REPLY, message.sender, accepted=granted)
 
     def _send(
-        self, kind: MessageKind, to: NodeId, term: int | None = None, accepted: bool = False, **fields: object
+        self,
+        message_type: MessageType,
+        to: NodeId,
+        term: int | None = None,
+        accepted: bool = False,
+        **fields: object,
     ) -> None:
         message = Message(
-            kind, self.voter_id, to, self.term if term is None else term, accepted=accepted,
+            message_type, self.voter_id, to, self.term if term is None else term, accepted=accepted,
             **fields,  # type: ignore[arg-type]
         )  # fmt: skip
         self.actions.append(Send(message))
@@ -493,7 +502,7 @@
         previous_term = self.term_at(peer.next_index - 1)
         if previous_term is None:
             self._send(
-                MessageKind.INSTALL_SNAPSHOT,
+                MessageType.INSTALL_SNAPSHOT,
                 name,
                 timestamp=self.now,
                 commit=self.commit_index,
@@ -505,14 +514,14 @@
         while len(entries) > 1 and sum(len(one.body) for one in entries) > MAX_MESSAGE_BYTES:
             entries.pop()
         self._send(
-            MessageKind.APPEND_ENTRIES, name, index=peer.next_index - 1, index_term=previous_term,
+            MessageType.APPEND_ENTRIES, name, index=peer.next_index - 1, index_term=previous_term,
             entries=tuple(entries), commit=self.commit_index, timestamp=self.now,
         )  # fmt: skip
 
     def _on_append(self, message: Message) -> None:
         """Handle entries or a snapshot from a leader."""
         if message.term < self.term:
-            self._send(MessageKind.APPEND_REPLY, message.sender, index=self.last_index, timestamp=-1.0)
+            self._send(MessageType.APPEND_REPLY, message.sender, index=self.last_index, timestamp=-1.0)
             return
         if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != message.sender:
             self._become_follower(message.term, message.sender)
@@ -525,7 +534,7 @@
             match_index = self._merge_entries(message)
             if match_index < 0:
                 self._send(
-                    MessageKind.APPEND_REPLY,
+                    MessageType.APPEND_REPLY,
                     message.sender,
                     index=self._next_index_hint(message),
                     timestamp=message.timestamp,
@@ -533,7 +542,7 @@
                 return
         self._commit_up_to(min(message.commit, match_index))
         self._send(
-            MessageKind.APPEND_REPLY,
+            MessageType.APPEND_REPLY,
             message.sender,
             accepted=True,
             index=match_index,
--- a/martentide/net/fleet/agreement_actor.py
+++ b/martentide/net/fleet/agreement_actor.py
@@ -82,7 +82,7 @@
 if TYPE_CHECKING:
     from martentide.extras import AgreementPart
 
-MAX_QUEUED_ACTIONS = 1_024  # actions waiting for the disk; while it hangs, a voter sends nothing
+MAX_QUEUED_ACTIONS = 1_024  # actions waiting for the disk; while it does not respond, a voter sends nothing
 MAX_VERDICTS = 64
 OPEN_TIMEOUT = 4.0  # s to open, lock and read the folder; after that the member does not vote
 LOCK_ATTEMPTS, LOCK_RETRY_INTERVAL = 60, 0.05  # s; the predecessor may still hold the lock
@@ -120,10 +120,8 @@
         self.stopped = False
         self.request_count = 0
         self.handling = False
-        self.server_list, self.own_servers = (
-            ServerList(),
-            set[str](),
-        )  # names that the own discovery service reported
+        # ``own_servers``: names that the own discovery service reported
+        self.server_list, self.own_servers = ServerList(), set[str]()
         self.applying_list = False
         self.in_force_since = self._now()  # ms
         self.published_status: MemberStatus | None = None
@@ -154,8 +152,8 @@
                 return
         if why and self.name in self.part.voters:
             LOG.warning("agreement-without-books", detail=repr(why))
-        terms = LeaseTimings(bound=self.part.bound_ms)
-        self.core = Agreement(self.name, process_id, self.part.voters, terms, seed, self._now(), stored)
+        timings = LeaseTimings(bound=self.part.bound_ms)
+        self.core = Agreement(self.name, process_id, self.part.voters, timings, seed, self._now(), stored)
         if self.part.folder and self.folder is None:
             self.core.lose_persistent_state(why)  # its state could not be made durable
         log_event(
@@ -288,8 +286,8 @@
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case Send(to, word):
-                self._send(to, word)
+            case Send(to, message):
+                self._send(to, message)
             case Check(version):
                 self.loop.call_soon(self.handle, Checked(version.number, self._check(version.rules)))
             case ApplyRules(rules, number, joint, until):
@@ -299,8 +297,8 @@
                 log_event("fleet-version", version=number, joint=joint, rules="safe" if safe else "agreed")
             case ProposalResolved(request, done, number, text):
                 self._store_verdict(request, {"done": done, "number": number, "text": text})
-            case LogEvent(what, detail):
-                log_event(f"fleet-{what}", detail=repr(detail))
+            case LogEvent(event, detail):
+                log_event(f"fleet-{event}", detail=repr(detail))
 
     def _check(self, rules: bytes) -> str:
         try:
@@ -424,7 +422,7 @@
         if status == self.published_status and now - self.published_at < STATE_ENTRY_LIFETIME / 3.0:
             return []
         self.published_status, self.published_at = status, now
-        body = encode_status(msgspec.structs.replace(status, since=int(now - self.in_force_since)))
+        body = encode_status(msgspec.structs.replace(status, age=int(now - self.in_force_since)))
         return [Publish(STATE_ENTRY_KIND, STATE_ENTRY_SCHEMA, STATE_ENTRY_LIFETIME, body)]
 
     # ---- operators --------------------------------------------------------------------------------------
@@ -502,17 +500,17 @@
         statuses: list[tuple[str, MemberStatus, float]] = []
         if self.published_status is not None:
             statuses.append((self.name, self.published_status, now - self.in_force_since))
-        for word, facet, age in core.state_entries_of(STATE_ENTRY_KIND, now) if core is not None else ():
+        for record, entry, age in core.state_entries_of(STATE_ENTRY_KIND, now) if core is not None else ():
             try:
-                told = decode_status(facet.body)
+                status = decode_status(entry.body)
             except (msgspec.DecodeError, msgspec.ValidationError):
                 continue
-            statuses.append((word.name, told, told.age + age))
+            statuses.append((record.name, status, status.age + age))
         found = [
-            {"name": name, "version": told.version, "prepared": told.joint, "refused": told.refused,
-             "acts": ("safe", "own settings", "agreed")[min(2, max(0, told.acts))],
-             "since_ms": round(since), "list": f"{told.digest:08x}"}
-            for name, told, since in statuses
+            {"name": name, "version": status.version, "prepared": status.joint, "refused": status.refused,
+             "acts": ("safe", "own settings", "agreed")[min(2, max(0, status.acts))],
+             "since_ms": round(since), "list": f"{status.digest:08x}"}
+            for name, status, since in statuses
         ]  # fmt: skip
         return sorted(found, key=lambda one: str(one["name"]))
 
--- a/tests/agreement/test_lists.py
+++ b/tests/agreement/test_lists.py
@@ -1,4 +1,4 @@
-"""Lists of servers are joined: in whatever order and however often word of them comes."""
+"""Server lists merge to the same result, in any order and with duplicates."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 
-def book_of(records: list[ServerRecord]) -> ServerList:
+def list_of(records: list[ServerRecord]) -> ServerList:
     book = ServerList()
     for one in records:
         book.merge(one)
@@ -28,22 +28,22 @@
 
 @settings(max_examples=300, deadline=None)
 @given(RECORDS, st.randoms())
-def test_the_same_records_in_any_order_make_the_same_list(
+def test_the_same_records_in_any_order_give_the_same_list(
     records: list[ServerRecord],
-    dice: st.Random,  # type: ignore[name-defined]
+    rng: st.Random,  # type: ignore[name-defined]
 ) -> None:
     mixed = [*records, *records]
-    dice.shuffle(mixed)
-    assert book_of(records).servers == book_of(mixed).servers
-    assert book_of(records).digest() == book_of(mixed).digest()
+    rng.shuffle(mixed)
+    assert list_of(records).servers == list_of(mixed).servers
+    assert list_of(records).digest() == list_of(mixed).digest()
 
 
 @settings(max_examples=200, deadline=None)
 @given(RECORDS, RECORDS)
-def test_two_that_exchange_their_lists_hold_the_same(
+def test_two_members_that_exchange_their_lists_converge(
     one: list[ServerRecord], other: list[ServerRecord]
 ) -> None:
-    a, b = book_of(one), book_of(other)
+    a, b = list_of(one), list_of(other)
     for _ in range(2):
         for record_ in a.all_records():
             b.merge(record_)
@@ -52,8 +52,8 @@
     assert a.servers == b.servers
 
 
-def test_a_state_never_goes_back_but_by_a_new_start() -> None:
-    book = book_of([record("a", 5, 1)])
+def test_a_state_moves_backwards_only_with_a_new_start() -> None:
+    book = list_of([record("a", 5, 1)])
     assert book.merge(record("a", 5, 0)) is None and book.servers["a"].state == 1
     assert book.merge(record("a", 4, 2)) is None
     assert book.merge(record("a", 5, 2)) is not None and "a" not in book.servers
@@ -61,14 +61,14 @@
     assert book.merge(record("a", 6, 0)) is not None and book.servers["a"].start == 6
 
 
-def test_a_whole_list_takes_away_only_what_the_same_board_told_of() -> None:
-    book = book_of([record("mine"), record("others")])
+def test_a_full_list_removes_only_servers_of_the_same_discovery_service() -> None:
+    book = list_of([record("mine"), record("others")])
     new = book.merge_full_list([record("new")], ["mine"])
     assert {(one.name, one.state) for one in new} == {("new", 0), ("mine", 2)}
     assert set(book.servers) == {"others", "new"}
 
 
-def test_what_is_no_record_is_passed_over_and_books_are_bounded() -> None:
+def test_invalid_records_are_ignored_and_lists_are_bounded() -> None:
     book = ServerList()
     assert book.merge(record("", 0)) is None and book.merge(record("a", 0, 7)) is None
     for at in range(MAX_GONE + 50):
--- a/tests/agreement/test_overlay.py
+++ b/tests/agreement/test_overlay.py
@@ -1,4 +1,5 @@
-"""What a version, or safe rules, make of the own settings and of the list: always the stricter of both."""
+"""Local settings and server lists restricted by an agreed version or by safe rules: the stricter of both
+applies."""
 
 from __future__ import annotations
 
@@ -45,11 +46,11 @@
         ({"each": {"pools": [1, 900]}}, lambda s: {c.pools for c in s.classes}, {(1,)}),
     ],
 )
-def test_the_stricter_counts(more: Any, read: Any, value: Any) -> None:
+def test_the_stricter_value_applies(more: Any, read: Any, value: Any) -> None:
     assert read(under(**more)) == value
 
 
-def test_a_class_that_only_one_of_two_names_is_used_by_none_in_between() -> None:
+def test_a_class_that_only_one_version_names_is_not_used_in_the_joint_phase() -> None:
     lacking = rules()
     del lacking.classes[CLASSES[0][0]]
     both = InForce(meet(rules(), lacking)).settings(OWN)
@@ -69,13 +70,13 @@
         (ServerState.OPEN, "ready", False, False, ServerState.OPEN),
         (ServerState.OPEN, "gone", False, True, ServerState.DRAINING),
         (ServerState.OPEN, "draining", False, True, ServerState.DRAINING),
-        (ServerState.DRAINING, "ready", False, True, ServerState.DRAINING),  # a version ends no drain
+        (ServerState.DRAINING, "ready", False, True, ServerState.DRAINING),  # a version does not end a drain
         (ServerState.OPEN, "ready", True, True, ServerState.OPEN),
         (ServerState.OPEN, "ready", True, False, ServerState.DRAINING),
-        (ServerState.OPEN, "gone", True, True, ServerState.DRAINING),  # what was withdrawn stays so
+        (ServerState.OPEN, "gone", True, True, ServerState.DRAINING),  # a withdrawn server stays withdrawn
     ],
 )
-def test_a_server_of_the_list(
+def test_the_state_of_a_listed_server(
     state: ServerState, version: str, safe: bool, answered: bool, expected: ServerState
 ) -> None:
     one = rules(servers={"s-1@7": version})
@@ -94,7 +95,7 @@
         ({}, ""),
     ],
 )
-def test_a_process_turns_down_what_it_could_not_act_on(change: dict[str, Any], word: str) -> None:
+def test_a_process_rejects_a_version_that_it_cannot_act_on(change: dict[str, Any], word: str) -> None:
     one = rules(**{name: value for name, value in change.items() if name == "each"})
     if "classes" in change:
         one.classes.clear()
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -1,4 +1,5 @@
-"""Versions on real processes with faults between them, by what servers saw and members logged."""
+"""Agreement on versions between real processes under faults, checked by what servers received and members
+report."""
 
 from __future__ import annotations
 
@@ -35,28 +36,28 @@
     return {"attempts": attempts, "classes": classes, "servers": {f"{name}@0": "gone" for name in gone}}
 
 
-async def do(rig: Rig, verb: str, *arguments: object) -> None:
+async def run_step(rig: Rig, verb: str, *arguments: object) -> None:
     await rig.do(Step(0.0, verb, arguments))
 
 
-async def said(rig: Rig, name: str) -> dict[str, Any]:
+async def query_versions(rig: Rig, name: str) -> dict[str, Any]:
     found: dict[str, Any] = json.loads(await asyncio.to_thread(query, rig.proxies[name].operator, VERSIONS))
     return found
 
 
-async def put(rig: Rig, name: str, wanted: dict[str, Any], base: int = -1) -> dict[str, Any]:
-    """Propose there; what became of it."""
+async def propose_rules(rig: Rig, name: str, wanted: dict[str, Any], base: int = -1) -> dict[str, Any]:
+    """Propose rules at a member; returns the verdict."""
     body = {"rules": wanted, "base": base, "by": "a test", "why": "a case"}
     return await asyncio.to_thread(propose, rig.proxies[name].operator, body, LIMIT)
 
 
-async def acting(rig: Rig, version: int, *names: str) -> None:
-    """Wait until they all act by that version."""
+async def wait_until_acting(rig: Rig, version: int, *names: str) -> None:
+    """Wait until all of them act on that version."""
     async with asyncio.timeout(LIMIT):
         while True:
             found = []
-            with contextlib.suppress(QueryError):  # one that has just begun is no member yet
-                found = [await said(rig, name) for name in names or tuple(rig.proxies)]
+            with contextlib.suppress(QueryError):  # a process that has just started is no member yet
+                found = [await query_versions(rig, name) for name in names or tuple(rig.proxies)]
             if found and all(
                 (one["version"], one["acts"], one["joint"]) == (version, "agreed", None) for one in found
             ):
@@ -64,16 +65,16 @@
             await asyncio.sleep(0.1)
 
 
-def versioned(folder: Path, scene: Callable[[Rig], Awaitable[None]], **more: Any) -> None:
-    """Play it once version 1 is in force; nothing may be broken by it, and no two may ever act on versions
-    that contradict each other."""
+def play_with_version_1(folder: Path, scene: Callable[[Rig], Awaitable[None]], **more: Any) -> None:
+    """Run the scene once version 1 is in force; no invariant may be violated, and no two members may ever act
+    on contradicting versions."""
 
     async def whole(rig: Rig) -> None:
         async with asyncio.timeout(LIMIT):
-            while (await said(rig, "n0"))["acts"] != "own settings":
+            while (await query_versions(rig, "n0"))["acts"] != "own settings":
                 await asyncio.sleep(0.1)
-        assert (await put(rig, "n4", rules()))["done"]
-        await acting(rig, 1)
+        assert (await propose_rules(rig, "n4", rules()))["done"]
+        await wait_until_acting(rig, 1)
         await scene(rig)
 
     extra = {
@@ -83,123 +84,125 @@
 
 
 async def withdraw(rig: Rig, by: str, server: SessionServer) -> float:
-    """A version that takes the server away; when its proposer heard that it is in force."""
-    verdict = await put(rig, by, rules(gone=(server.name,)))
+    """Propose a version without the server; returns when its proposer learned that it is in force."""
+    verdict = await propose_rules(rig, by, rules(gone=(server.name,)))
     assert verdict["done"], verdict
     return unix_ms()
 
 
-def test_a_server_taken_away_gets_nothing_new_once_that_is_in_force(tmp_path: Path) -> None:
+def test_a_withdrawn_server_gets_no_new_calls_once_the_version_is_in_force(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         since = await withdraw(rig, "n3", rig.servers[0])
-        await acting(rig, 2)
+        await wait_until_acting(rig, 2)
         await asyncio.sleep(2.0)
         assert not check_withdrawn(rig.servers[0], since, BOUND)
         assert len(rig.servers[1].arrivals) > 0
-        assert (await put(rig, "n1", rules()))["done"]
+        assert (await propose_rules(rig, "n1", rules()))["done"]
         before = len(rig.servers[0].arrivals)
         await asyncio.sleep(2.0)
-        assert len(rig.servers[0].arrivals) > before  # and it is used again
+        assert len(rig.servers[0].arrivals) > before  # used again
 
-    versioned(tmp_path, scene)
+    play_with_version_1(tmp_path, scene)
 
 
-def test_a_member_cut_off_from_the_others_stops_in_time(tmp_path: Path) -> None:
+def test_a_partitioned_member_falls_back_to_safe_rules_in_time(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
-        await do(rig, "split", "n4", "n0,n1,n2,n3")  # it still reaches servers, board and callers
+        await run_step(
+            rig, "split", "n4", "n0,n1,n2,n3"
+        )  # servers, discovery service and callers stay reachable
         since = await withdraw(rig, "n0", rig.servers[0])
         await asyncio.sleep(BOUND / 1000.0)
-        assert (await said(rig, "n4"))["acts"] == "safe"
+        assert (await query_versions(rig, "n4"))["acts"] == "safe"
         served = sum(load.told["answer"] for name, load in rig.all_loads if name == "n4")
         await asyncio.sleep(2.0)
         assert sum(load.told["answer"] for name, load in rig.all_loads if name == "n4") > served
-        await do(rig, "heal")
-        await acting(rig, 2)
+        await run_step(rig, "heal")
+        await wait_until_acting(rig, 2)
         assert since
 
-    versioned(tmp_path, scene)
+    play_with_version_1(tmp_path, scene)
 
 
 @pytest.mark.parametrize("after", [0.0, 0.15, 0.4])
 def test_the_leader_is_killed_while_a_version_comes_into_force(tmp_path: Path, after: float) -> None:
     async def scene(rig: Rig) -> None:
-        leader = (await said(rig, "n4"))["leader"]
+        leader = (await query_versions(rig, "n4"))["leader"]
         other = next(name for name in ("n3", "n4") if name != leader)
-        proposed = asyncio.create_task(put(rig, other, rules(attempts=1)))
+        proposed = asyncio.create_task(propose_rules(rig, other, rules(attempts=1)))
         await asyncio.sleep(after)
-        await do(rig, "kill", leader)
+        await run_step(rig, "kill", leader)
         assert (await proposed)["done"]
-        await acting(rig, 2, *(name for name in rig.proxies if name != leader))
-        await do(rig, "start", leader)
-        await acting(rig, 2)
+        await wait_until_acting(rig, 2, *(name for name in rig.proxies if name != leader))
+        await run_step(rig, "start", leader)
+        await wait_until_acting(rig, 2)
 
-    versioned(tmp_path, scene)
+    play_with_version_1(tmp_path, scene)
 
 
-def test_all_killed_and_back_keep_what_was_in_force(tmp_path: Path) -> None:
+def test_the_version_in_force_survives_a_restart_of_all(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         names = ",".join(rig.script.names())
-        await do(rig, "kill", names)
-        await do(rig, "start", names)
+        await run_step(rig, "kill", names)
+        await run_step(rig, "start", names)
         await rig.until(rig.whole, LIMIT)
-        await acting(rig, 1)
-        assert not (await put(rig, "n4", rules(attempts=2), base=0))["done"]  # stale
-        assert (await put(rig, "n4", rules(attempts=2), base=1))["done"]
+        await wait_until_acting(rig, 1)
+        assert not (await propose_rules(rig, "n4", rules(attempts=2), base=0))["done"]  # stale
+        assert (await propose_rules(rig, "n4", rules(attempts=2), base=1))["done"]
 
-    versioned(tmp_path, scene)
+    play_with_version_1(tmp_path, scene)
 
 
-def test_split_without_a_majority_of_voters_nothing_new_comes_into_force(tmp_path: Path) -> None:
+def test_a_partition_without_a_majority_of_voters_gets_no_new_version(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
-        await do(rig, "split", "n0,n3", "n1,n2,n4")
-        assert (await put(rig, "n4", rules(attempts=1)))["done"]
-        await acting(rig, 2, "n1", "n2", "n4")
-        assert {(await said(rig, name))["acts"] for name in ("n0", "n3")} == {"safe"}
+        await run_step(rig, "split", "n0,n3", "n1,n2,n4")
+        assert (await propose_rules(rig, "n4", rules(attempts=1)))["done"]
+        await wait_until_acting(rig, 2, "n1", "n2", "n4")
+        assert {(await query_versions(rig, name))["acts"] for name in ("n0", "n3")} == {"safe"}
         with pytest.raises(QueryError):
             await asyncio.to_thread(propose, rig.proxies["n3"].operator, {"rules": rules(), "base": 1}, 2.0)
-        await do(rig, "heal")
-        await acting(rig, 2)
+        await run_step(rig, "heal")
+        await wait_until_acting(rig, 2)
 
-    versioned(tmp_path, scene)
+    play_with_version_1(tmp_path, scene)
 
 
-def test_stopped_for_5_s_it_wakes_and_acts_on_nothing_old(tmp_path: Path) -> None:
+def test_a_process_suspended_for_5_s_does_not_act_on_outdated_rules(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
-        await do(rig, "stop", "n4")
+        await run_step(rig, "stop", "n4")
         since = await withdraw(rig, "n0", rig.servers[0])
         await asyncio.sleep(5.0)
         woken = unix_ms()
-        await do(rig, "continue", "n4")
-        await acting(rig, 2)
+        await run_step(rig, "continue", "n4")
+        await wait_until_acting(rig, 2)
         assert not [one for one in rig.servers[0].arrivals if one.at > woken + 50.0]
         assert not check_withdrawn(rig.servers[0], since, BOUND)
 
-    versioned(tmp_path, scene)
+    play_with_version_1(tmp_path, scene)
 
 
 @pytest.mark.parametrize("new", ["n1", "n3"])
-def test_a_voter_whose_disk_is_emptied_learns_only_until_replaced(tmp_path: Path, new: str) -> None:
+def test_a_voter_whose_disk_is_emptied_has_no_vote_until_replaced(tmp_path: Path, new: str) -> None:
     async def scene(rig: Rig) -> None:
-        await do(rig, "kill", "n1")
+        await run_step(rig, "kill", "n1")
         for file in (tmp_path / "n1").iterdir():
             file.unlink()
-        await do(rig, "start", "n1")
-        await acting(rig, 1)
-        assert not (await said(rig, "n1"))["votes"]
+        await run_step(rig, "start", "n1")
+        await wait_until_acting(rig, 1)
+        assert not (await query_versions(rig, "n1"))["votes"]
         found = await asyncio.to_thread(
             CliRunner().invoke,
             top, ["fleet", "replace-voter", "n1", new, "--operator", rig.proxies["n4"].operator],
         )  # fmt: skip
         assert found.exit_code == 0 and f"{new} votes already" in found.stdout, found.output
-        assert (await said(rig, new))["votes"]
-        await do(rig, "kill", "n0")  # one of the three that vote
-        await do(rig, "kill", new)
-        await do(rig, "start", new)  # with the books that it began
-        await acting(rig, 1)
-        assert (await said(rig, new))["votes"]
-        assert (await put(rig, "n1", rules(attempts=2)))["done"]
+        assert (await query_versions(rig, new))["votes"]
+        await run_step(rig, "kill", "n0")  # one of the three voters
+        await run_step(rig, "kill", new)
+        await run_step(rig, "start", new)  # with the state it has stored since
+        await wait_until_acting(rig, 1)
+        assert (await query_versions(rig, new))["votes"]
+        assert (await propose_rules(rig, "n1", rules(attempts=2)))["done"]
 
-    versioned(tmp_path, scene)
+    play_with_version_1(tmp_path, scene)
 
 
 def test_a_version_is_proposed_and_shown_by_the_command(tmp_path: Path) -> None:
@@ -222,7 +225,7 @@
         assert found.exit_code == 3 and "expected status-check" in found.stderr
         found = await asyncio.to_thread(called, "propose", str(good), "--why", "month end")
         assert found.exit_code == 0 and "version 2 is in force" in found.stdout
-        await acting(rig, 2)
+        await wait_until_acting(rig, 2)
         found = await asyncio.to_thread(called, "versions")
         assert "month end" in found.stdout and "acts by agreed" in found.stdout
         found = await asyncio.to_thread(called, "diff", "1", "2")
@@ -235,36 +238,38 @@
         assert found.exit_code == 3 and "version 7: expected one whose rules are kept (1, 2)" in found.stderr
         found = await asyncio.to_thread(called, "rollback", "1")
         assert found.exit_code == 0 and "version 3 is in force" in found.stdout
-        await acting(rig, 3)
+        await wait_until_acting(rig, 3)
         found = await asyncio.to_thread(called, "rules")
         assert json.loads(found.stdout)["attempts"] == 5
-        await asyncio.sleep(1.5)  # for the word of all
+        await asyncio.sleep(1.5)  # until every status has been gossiped
         found = await asyncio.to_thread(called, "status")
         assert found.stdout.count("agreed") == PROXIES and found.stdout.startswith("member")
-        assert "learns" in versions(json.dumps(await said(rig, "n3")))
+        assert "learns" in versions(json.dumps(await query_versions(rig, "n3")))
 
-    versioned(tmp_path, scene)
+    play_with_version_1(tmp_path, scene)
 
 
-def test_a_drain_that_one_member_hears_holds_for_all_while_their_boards_are_dead(tmp_path: Path) -> None:
+def test_a_drain_received_by_one_member_applies_to_all_while_their_discovery_service_is_down(
+    tmp_path: Path,
+) -> None:
     async def scene(rig: Rig) -> None:
         others = "n1,n2,n3,n4"
-        await do(rig, "split", others, "board")
+        await run_step(rig, "split", others, "board")
         rig.board.tell([(rig.servers[0], DRAINING)])
         since = unix_ms()
         await asyncio.sleep(4.0)
         assert not check_withdrawn(rig.servers[0], since, BOUND)
-        digests = {(await said(rig, name))["list"] for name in rig.proxies}
+        digests = {(await query_versions(rig, name))["list"] for name in rig.proxies}
         assert len(digests) == 1
-        await do(rig, "heal")
-        rig.board.tell([(rig.servers[0], READY)])  # one that goes back: of the same start it means nothing
+        await run_step(rig, "heal")
+        rig.board.tell([(rig.servers[0], READY)])  # moves backwards for the same start: ignored
         await asyncio.sleep(1.0)
         assert not check_withdrawn(rig.servers[0], since, BOUND)
 
-    versioned(tmp_path, scene)
+    play_with_version_1(tmp_path, scene)
 
 
-Steps = list[tuple[Any, ...]]  # s to wait, the verb, its arguments; "put": propose at that member, and wait
+Steps = list[tuple[Any, ...]]  # s to wait, verb, arguments; "put": propose at that member
 CASES: dict[str, Steps] = {
     "stopped for 1 s in the joint phase": [(0.0, "stop", "n4"), (0.0, "put", "n3"), (1.0, "continue", "n4")],
     "stopped for 3 s in the joint phase": [(0.0, "stop", "n4"), (0.0, "put", "n3"), (3.0, "continue", "n4")],
@@ -298,33 +303,33 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_a_version_comes_into_force_and_nothing_acts_against_it(tmp_path: Path, case: str) -> None:
+def test_a_version_comes_into_force_and_nothing_contradicts_it(tmp_path: Path, case: str) -> None:
     async def scene(rig: Rig) -> None:
-        await do(rig, "server", "s1", "error")
+        await run_step(rig, "server", "s1", "error")
         puts: list[asyncio.Task[dict[str, Any]]] = []
         for wait, verb, *arguments in CASES[case]:
             await asyncio.sleep(wait)
             if verb == "put":
-                puts.append(asyncio.create_task(put(rig, arguments[0], rules(attempts=1))))
+                puts.append(asyncio.create_task(propose_rules(rig, arguments[0], rules(attempts=1))))
             elif verb == "disk":
                 for word in ("hang", "full"):
                     (tmp_path / arguments[0] / word).unlink(missing_ok=True)
                 if arguments[1]:
                     (tmp_path / arguments[0] / arguments[1]).touch()
             else:
-                await do(rig, verb, *arguments)
+                await run_step(rig, verb, *arguments)
         verdicts = [await one for one in puts]
         assert verdicts[-1]["done"], verdicts
-        await acting(rig, max(one["number"] for one in verdicts))
+        await wait_until_acting(rig, max(one["number"] for one in verdicts))
         since = unix_ms()
         await asyncio.sleep(1.5)
         assert not check_attempts(rig.servers, since, unix_ms(), 1, 50.0)
-        await do(rig, "server", "s1", "well")
+        await run_step(rig, "server", "s1", "well")
 
-    versioned(tmp_path, scene, mutant=DISK, clocks={"n4": 0.0}, rate=80.0)
+    play_with_version_1(tmp_path, scene, mutant=DISK, clocks={"n4": 0.0}, rate=80.0)
 
 
-def test_many_versions_a_tenth_of_them_bad(tmp_path: Path) -> None:
+def test_many_versions_one_in_ten_invalid(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         done = 0
         for at in range(50):
@@ -332,13 +337,13 @@
             if at % 10 == 9:
                 wanted["classes"]["no-such-class"] = wanted["classes"].pop(CLASSES[0][0])
                 with pytest.raises(QueryError, match="expected status-check"):
-                    await put(rig, f"n{at % PROXIES}", wanted)
+                    await propose_rules(rig, f"n{at % PROXIES}", wanted)
             else:
-                done += (await put(rig, f"n{at % PROXIES}", wanted))["done"]
+                done += (await propose_rules(rig, f"n{at % PROXIES}", wanted))["done"]
         assert done == 45
-        await acting(rig, 46)
+        await wait_until_acting(rig, 46)
 
-    versioned(tmp_path, scene)
+    play_with_version_1(tmp_path, scene)
 
 
 IGNORED = """
@@ -368,23 +373,23 @@
 """
 
 
-def test_half_of_the_fleet_on_a_program_without_agreement_neither_holds_it_up_nor_is_held(
+def test_members_without_agreement_neither_delay_it_nor_are_restricted_by_it(
     tmp_path: Path,
 ) -> None:
     async def scene(rig: Rig) -> None:
         named = ("n0", "n1", "n2")
         async with asyncio.timeout(LIMIT):
-            while (await said(rig, "n0"))["acts"] != "own settings":
+            while (await query_versions(rig, "n0"))["acts"] != "own settings":
                 await asyncio.sleep(0.1)
-        assert (await put(rig, "n1", rules(gone=(rig.servers[0].name,))))["done"]
-        await acting(rig, 1, *named)
+        assert (await propose_rules(rig, "n1", rules(gone=(rig.servers[0].name,))))["done"]
+        await wait_until_acting(rig, 1, *named)
         names = ",".join(rig.script.names())
-        await do(rig, "kill", names)
-        await do(rig, "start", names)
+        await run_step(rig, "kill", names)
+        await run_step(rig, "start", names)
         await rig.until(rig.whole, LIMIT)
-        await acting(rig, 1, *named)
+        await wait_until_acting(rig, 1, *named)
         with pytest.raises(QueryError, match="no agreement is set"):
-            await said(rig, "n4")
+            await query_versions(rig, "n4")
         since, owners = unix_ms(), {name: load for name, load in rig.loads.items()}
         await asyncio.sleep(2.0)
         late = [one.call for one in rig.servers[0].arrivals if one.at > since]
@@ -399,29 +404,27 @@
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
-def test_a_fault_planted_in_the_program_is_found_by_what_came_to_the_server(
-    tmp_path: Path, mutant: str
-) -> None:
+def test_an_injected_fault_is_found_by_the_calls_that_servers_received(tmp_path: Path, mutant: str) -> None:
     async def scene(rig: Rig) -> None:
-        await do(rig, "server", "s1", "error")  # so that further attempts are made, where they may be
-        await do(rig, "split", "n4", "n0,n1,n2,n3")
-        await do(rig, "clock", "n4", -3600.0)
-        assert (await put(rig, "n0", rules(attempts=1)))["done"]
+        await run_step(rig, "server", "s1", "error")  # so that calls are retried where that is allowed
+        await run_step(rig, "split", "n4", "n0,n1,n2,n3")
+        await run_step(rig, "clock", "n4", -3600.0)
+        assert (await propose_rules(rig, "n0", rules(attempts=1)))["done"]
         since = unix_ms()
         await asyncio.sleep(4.0)
         assert bool(check_attempts(rig.servers, since, unix_ms(), 1, 150.0)) is bool(mutant)
-        await do(rig, "server", "s1", "well")
-        await do(rig, "heal")
-        await acting(rig, 2)
+        await run_step(rig, "server", "s1", "well")
+        await run_step(rig, "heal")
+        await wait_until_acting(rig, 2)
 
-    versioned(tmp_path, scene, mutant=MUTANTS[mutant], clocks={"n4": 0.0}, rate=100.0)
+    play_with_version_1(tmp_path, scene, mutant=MUTANTS[mutant], clocks={"n4": 0.0}, rate=100.0)
 
 
 @pytest.mark.parametrize(("attempts", "broken"), [(1, False), (2, True)])
 def test_the_checker_of_attempts_can_fail(attempts: int, broken: bool) -> None:
     server = SessionServer(0)
     server.arrivals += [Arrival(b"1", b"", 7_000.0 + at) for at in range(attempts)]
-    server.arrivals += [Arrival(b"0", b"", 4_000.0 + at) for at in range(3)]  # came before
+    server.arrivals += [Arrival(b"0", b"", 4_000.0 + at) for at in range(3)]  # before the checked period
     assert bool(check_attempts([server], 5_000.0, 9_000.0, 1, 100.0)) is broken
 
 
--- a/tests/agreement/test_raft.py
+++ b/tests/agreement/test_raft.py
@@ -21,7 +21,7 @@
     InstallSnapshot,
     LeadershipChanged,
     Message,
-    MessageKind,
+    MessageType,
     Persist,
     PersistentState,
     Propose,
@@ -41,7 +41,7 @@
 TERMS = raft.RaftTimings(pre_vote=False)
 
 
-class FixedRandom:
+class ConstantRandom:
     """A constant random source, since the search does not model time."""
 
     @staticmethod
@@ -60,7 +60,7 @@
     leaders: frozenset[tuple[int, str]]
     proposals: int = 0
     crashes: int = 0
-    broken: str = ""
+    violation: str = ""
 
     def key(self) -> tuple[object, ...]:
         return (
@@ -84,15 +84,15 @@
     return new
 
 
-def start(kind: type[Raft], disk: PersistentState) -> Raft:
+def start_node(kind: type[Raft], disk: PersistentState) -> Raft:
     node = kind(disk, TERMS, 1, 0.0)
-    node.rng = FixedRandom()  # type: ignore[assignment]
+    node.rng = ConstantRandom()  # type: ignore[assignment]
     return node
 
 
-def begin(kind: type[Raft] = Raft, names: tuple[str, ...] = VOTERS) -> World:
+def initial_world(kind: type[Raft] = Raft, names: tuple[str, ...] = VOTERS) -> World:
     disks = {name: initial_state(name, VOTERS) for name in names}
-    nodes = {name: start(kind, disk) for name, disk in disks.items()}
+    nodes = {name: start_node(kind, disk) for name, disk in disks.items()}
     return World(nodes, disks, frozenset(), frozenset(), frozenset())
 
 
@@ -101,7 +101,7 @@
     ``forgets`` (a missing fsync)."""
     node = clone(world.nodes[name])
     sent, applied, leaders, disks = set(world.sent), set(world.applied), set(world.leaders), dict(world.disks)
-    broken = world.broken
+    violation = world.violation
     for action in node.handle(0.0, event):
         match action:
             case Persist() if not forgets:
@@ -111,22 +111,22 @@
             case Apply(index, entry):
                 body = raft._ENCODER.encode(entry)
                 if any(at == index and other != body for at, other in applied):
-                    broken = f"two entries are committed at {index}"
+                    violation = f"two entries are committed at {index}"
                 applied.add((index, body))
             case LeadershipChanged(True, term):
                 if any(one == term and other != name for one, other in leaders):
-                    broken = f"two lead in term {term}"
+                    violation = f"two lead in term {term}"
                 leaders.add((term, name))
             case InstallSnapshot() | LeadershipChanged():
                 pass
     return replace(
         world, nodes={**world.nodes, name: node}, disks=disks, sent=frozenset(sent),
-        applied=frozenset(applied), leaders=frozenset(leaders), broken=broken,
+        applied=frozenset(applied), leaders=frozenset(leaders), violation=violation,
     )  # fmt: skip
 
 
 def crash(world: World, name: str) -> World:
-    node = start(type(world.nodes[name]), world.disks[name])
+    node = start_node(type(world.nodes[name]), world.disks[name])
     return replace(world, nodes={**world.nodes, name: node}, crashes=world.crashes + 1)
 
 
@@ -140,7 +140,7 @@
     forgets: bool = False
 
 
-def following(world: World, bounds: Bounds) -> Iterator[World]:
+def successors(world: World, bounds: Bounds) -> Iterator[World]:
     for body in world.sent:
         message = decode_message(body)
         if message.to in world.nodes:
@@ -161,27 +161,27 @@
     queue = deque([(world, 0)])
     while queue:
         one, depth = queue.popleft()
-        if one.broken:
-            return one.broken, len(seen)
+        if one.violation:
+            return one.violation, len(seen)
         if depth == bounds.depth or len(seen) >= bounds.states:
             continue
-        for after in following(one, bounds):
+        for after in successors(one, bounds):
             key = after.key()
             if key not in seen:
                 seen.add(key)
-                if after.broken:
-                    return after.broken, len(seen)
+                if after.violation:
+                    return after.violation, len(seen)
                 queue.append((after, depth + 1))
     return "", len(seen)
 
 
 def deliver(
-    world: World, to: str, kind: MessageKind, matching: Callable[[Message], bool] = lambda _: True
+    world: World, to: str, kind: MessageType, matching: Callable[[Message], bool] = lambda _: True
 ) -> World:
     """Deliver all messages of that kind to the process, the oldest term first."""
     messages = sorted((decode_message(body) for body in world.sent), key=lambda one: (one.term, one.index))
     for message in messages:
-        if message.to == to and message.kind == kind and matching(message):
+        if message.to == to and message.message_type == kind and matching(message):
             world = step(world, to, Received(message))
     return world
 
@@ -189,53 +189,58 @@
 def elected(world: World, name: str, by: str) -> World:
     world = step(world, name, StartElection())
     term = world.nodes[name].term
-    world = deliver(world, by, MessageKind.REQUEST_VOTE, lambda one: one.term == term)
-    return deliver(world, name, MessageKind.VOTE_REPLY)
+    world = deliver(world, by, MessageType.REQUEST_VOTE, lambda one: one.term == term)
+    return deliver(world, name, MessageType.VOTE_REPLY)
 
 
-def led(kind: type[Raft] = Raft) -> World:
+def with_leader(kind: type[Raft] = Raft) -> World:
     """``a`` is the leader, and ``b`` holds its first entry."""
-    world = deliver(elected(begin(kind), "a", "b"), "b", MessageKind.APPEND_ENTRIES)
-    return deliver(world, "a", MessageKind.APPEND_REPLY)
+    world = deliver(elected(initial_world(kind), "a", "b"), "b", MessageType.APPEND_ENTRIES)
+    return deliver(world, "a", MessageType.APPEND_REPLY)
 
 
-def outdated(kind: type[Raft] = Raft) -> World:
+def with_older_term(kind: type[Raft] = Raft) -> World:
     """The case of an entry of an earlier term: ``a`` has entries of term 1 that no other voter held; ``c``
     was the leader since, with an entry of its own; ``a`` is the leader again, ``b`` holds the first of the
     old entries, and ``c`` starts an election."""
-    world = step(elected(begin(kind), "a", "b"), "a", Propose(b"old"))
+    world = step(elected(initial_world(kind), "a", "b"), "a", Propose(b"old"))
     world = replace(world, sent=frozenset())
     world = elected(step(world, "c", StartElection()), "c", "b")  # the second election: b voted in term 1
     world = replace(world, sent=frozenset())
     world = elected(step(crash(world, "a"), "a", StartElection()), "a", "b")
     assert [world.nodes[name].role == Role.LEADER for name in VOTERS] == [True, False, True]
     for _ in range(3):  # rejected, and sent again from an earlier index
-        world = deliver(world, "a", MessageKind.APPEND_REPLY)
-        world = deliver(world, "b", MessageKind.APPEND_ENTRIES, lambda one: one.index < 2 and one.term == 3)
+        world = deliver(world, "a", MessageType.APPEND_REPLY)
+        world = deliver(world, "b", MessageType.APPEND_ENTRIES, lambda one: one.index < 2 and one.term == 3)
         if world.nodes["b"].last_index == 1:
             break
-        world = deliver(world, "b", MessageKind.APPEND_ENTRIES, lambda one: one.term == 3)
-    world = replace(deliver(world, "a", MessageKind.APPEND_REPLY), sent=frozenset())
+        world = deliver(world, "b", MessageType.APPEND_ENTRIES, lambda one: one.term == 3)
+    world = replace(deliver(world, "a", MessageType.APPEND_REPLY), sent=frozenset())
     world = step(step(crash(world, "c"), "c", StartElection()), "c", StartElection())
     return replace(world, proposals=2, crashes=0)
 
 
-def compacted(kind: type[Raft] = Raft) -> World:
+def with_snapshot(kind: type[Raft] = Raft) -> World:
     """``c`` lags behind; ``a`` has compacted its log into a snapshot and sent it."""
-    world = led(kind)
+    world = with_leader(kind)
     world = step(world, "a", Propose(b"1"))
-    world = deliver(deliver(world, "b", MessageKind.APPEND_ENTRIES), "a", MessageKind.APPEND_REPLY)
+    world = deliver(deliver(world, "b", MessageType.APPEND_ENTRIES), "a", MessageType.APPEND_REPLY)
     world = replace(world, sent=frozenset())
     world = step(world, "a", Compact(2, b"state"))
     world.nodes["a"].peers["c"].next_index = 1
     world = step(world, "a", Propose(b"2"))
-    world = deliver(world, "c", MessageKind.INSTALL_SNAPSHOT)
-    world = deliver(world, "a", MessageKind.APPEND_REPLY)
-    world = deliver(world, "c", MessageKind.APPEND_ENTRIES)
-    return replace(deliver(world, "a", MessageKind.APPEND_REPLY), proposals=1)
+    world = deliver(world, "c", MessageType.INSTALL_SNAPSHOT)
+    world = deliver(world, "a", MessageType.APPEND_REPLY)
+    world = deliver(world, "c", MessageType.APPEND_ENTRIES)
+    return replace(deliver(world, "a", MessageType.APPEND_REPLY), proposals=1)
 
 
-STARTS = {"nothing": begin, "led": led, "an older term": outdated, "a snapshot": compacted}
+STARTS = {
+    "nothing": initial_world,
+    "led": with_leader,
+    "an older term": with_older_term,
+    "a snapshot": with_snapshot,
+}
 
 
 @pytest.fixture(autouse=True)
@@ -246,10 +251,10 @@
 
 
 @pytest.mark.parametrize("name", STARTS)
-def test_every_order_of_events_leaves_one_log(name: str) -> None:
+def test_every_order_of_events_keeps_logs_consistent(name: str) -> None:
     depth = {"nothing": 6, "led": 5, "an older term": 6, "a snapshot": 5}[name]
-    broken, states = search(STARTS[name](), Bounds(depth, states=12_000, term=6))
-    assert not broken and states > 2_000, (broken, states)
+    violation, states = search(STARTS[name](), Bounds(depth, states=12_000, term=6))
+    assert not violation and states > 2_000, (violation, states)
 
 
 class VotesTwice(Raft):
@@ -286,38 +291,39 @@
 
 
 FAULTS: dict[str, tuple[Callable[[], World], Bounds]] = {
-    "vote twice in a term": (lambda: begin(VotesTwice), Bounds(7, term=1, proposals=0, crashes=0)),
+    "vote twice in a term": (lambda: initial_world(VotesTwice), Bounds(7, term=1, proposals=0, crashes=0)),
     "commit by count of an older term": (
-        lambda: outdated(CountsOlder), Bounds(8, term=4, proposals=0, crashes=0)),
-    "forgotten fsync": (lambda: begin(), Bounds(8, term=1, proposals=0, forgets=True)),
+        lambda: with_older_term(CountsOlder), Bounds(8, term=4, proposals=0, crashes=0)),
+    "forgotten fsync": (lambda: initial_world(), Bounds(8, term=1, proposals=0, forgets=True)),
     "a learner that votes": (
-        lambda: begin(CountsLearners, (*VOTERS, "l")), Bounds(7, term=1, proposals=0, crashes=0)),
-    "snapshot over a longer log": (lambda: compacted(TakesAnySnapshot), Bounds(7, term=3, proposals=2)),
+        lambda: initial_world(CountsLearners, (*VOTERS, "l")), Bounds(7, term=1, proposals=0, crashes=0)),
+    "snapshot over a longer log": (lambda: with_snapshot(TakesAnySnapshot), Bounds(7, term=3, proposals=2)),
 }  # fmt: skip
 
 
-START_OF: dict[str, Callable[..., World]] = dict.fromkeys(FAULTS, begin) | {
-    "commit by count of an older term": outdated, "snapshot over a longer log": compacted}  # fmt: skip
+START_OF: dict[str, Callable[..., World]] = dict.fromkeys(FAULTS, initial_world) | {
+    "commit by count of an older term": with_older_term,
+    "snapshot over a longer log": with_snapshot}  # fmt: skip
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_planted_fault_is_found(fault: str) -> None:
+def test_an_injected_fault_is_found(fault: str) -> None:
     world, bounds = FAULTS[fault]
-    broken, states = search(world(), bounds)
-    assert broken, f"not found in {states} states"
+    violation, states = search(world(), bounds)
+    assert violation, f"not found in {states} states"
     assert (
         search(START_OF[fault](), replace(bounds, states=4 * states, forgets=False))[0] == ""
     )  # without the fault nothing is found
 
 
 def test_voters_change_one_at_a_time_and_after_an_entry_of_the_term() -> None:
-    world = led()
+    world = with_leader()
     assert world.nodes["a"].commit_index == 1
     world = step(world, "a", ChangeVoters(("a", "b", "c", "d")))
     assert world.nodes["a"].voters == ("a", "b", "c", "d")
     world = step(world, "a", ChangeVoters(("a", "b", "c", "d", "e")))  # one change at a time
     assert world.nodes["a"].voters == ("a", "b", "c", "d")
-    world = step(led(), "a", ChangeVoters(("a", "d")))  # two voters changed
+    world = step(with_leader(), "a", ChangeVoters(("a", "d")))  # two voters changed
     assert world.nodes["a"].voters == VOTERS
 
 
--- a/tests/agreement/test_ruleset.py
+++ b/tests/agreement/test_ruleset.py
@@ -1,4 +1,4 @@
-"""What contradicts what, and what both allow: a table, and properties."""
+"""Contradictions and meets of rule sets: a table of cases and properties."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """BASE with one entry other; None takes it out."""
+    """BASE with one entry changed; None removes it."""
     copy = {name: dict(one) if isinstance(one, dict) else one for name, one in BASE.items()}
     copy["classes"] = {name: dict(one) for name, one in copy["classes"].items()}
-    *way, last = path.split("/")
+    *parents, last = path.split("/")
     table = copy
-    for name in way:
+    for name in parents:
         table = table[name]
     if value is None:
         del table[last]
@@ -57,7 +57,7 @@
         ("cold_share", 0.2, "cold server"),
         ("servers/s-1@0", "draining", "gone or draining"),
         ("servers/s-1@0", None, ""),
-        ("servers/s-1@77", "ready", ""),  # another life of it
+        ("servers/s-1@77", "ready", ""),  # another start of the server
         ("servers/s-1@77", "gone", "gone or draining"),
     ],
 )
@@ -83,7 +83,7 @@
         ("cold_share", 2, "cold_share: expected a number from 0 to 1, found 2"),
     ],
 )
-def test_a_bad_file_is_turned_down_with_key_found_and_expected(path: str, value: Any, word: str) -> None:
+def test_a_bad_file_is_rejected_with_key_found_and_expected(path: str, value: Any, word: str) -> None:
     with pytest.raises(RuleError, match=word.replace("[", r"\[")):
         rules_from(changed(path, value), "f.json")
 
@@ -124,7 +124,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(SETS, SETS)
-def test_nothing_that_one_forbids_is_allowed_by_meet(one: RuleSet, other: RuleSet) -> None:
+def test_the_meet_allows_nothing_that_one_does_not_allow(one: RuleSet, other: RuleSet) -> None:
     both = meet(one, other)
     for name, rule in both.classes.items():
         for mine in (one.classes.get(name), other.classes.get(name)):
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -1,4 +1,5 @@
-"""Versions in simulated time: random faults and proposals, hard cases one by one, and planted faults."""
+"""Agreement on versions in simulated time: random faults and proposals, single hard cases, and injected
+faults that the invariants must catch."""
 
 from __future__ import annotations
 
@@ -25,35 +26,35 @@
     assert sum(one.done for one in fleet.voiced) >= 3
 
 
-class GrantsWhileDeciding(Agreement):
+class GrantsBeforeCommit(Agreement):
     def _append_command(self, command: BeginJointPhase | EndJointPhase) -> None:
         super()._append_command(command)
         self.deciding_index = 0
 
 
-class WaitsForNobody(Agreement):
+class IgnoresLeases(Agreement):
     def _advance_joint_phase(self) -> None:
         self.leases.clear()
         super()._advance_joint_phase()
 
 
-class CountsFromWhenItCame(Agreement):
+class CountsLeaseFromArrival(Agreement):
     def _on_lease_grant(self, sender: str, grant: LeaseGrant) -> None:
         super()._on_lease_grant(sender, grant)
         if grant.lease > 0.0:
             self.lease_expiry = max(self.lease_expiry, self.now + 2.0 * grant.lease)
 
 
-class ActsOnWhatItPrepares(Agreement):
+class ActsOnJointVersionAlone(Agreement):
     def rules(self) -> Any:
         joint = self.known_state.joint
         if self.acting_on is not None and self.acting_on[1] and joint is not None:
-            return self._decoded(joint)  # not on what both allow
+            return self._decoded(joint)  # instead of the meet of both versions
         return super().rules()
 
 
-class ForgetsAtAStart(Agreement):
-    """A new leader that takes nobody for having a lease, and does not wait."""
+class NewLeaderDoesNotWait(Agreement):
+    """A new leader does not wait for leases that an earlier leader may have granted."""
 
     def _advance_joint_phase(self) -> None:
         if self.leading_since is not None:
@@ -61,11 +62,17 @@
         super()._advance_joint_phase()
 
 
-FAULTS = (GrantsWhileDeciding, WaitsForNobody, CountsFromWhenItCame, ActsOnWhatItPrepares, ForgetsAtAStart)
+FAULTS = (
+    GrantsBeforeCommit,
+    IgnoresLeases,
+    CountsLeaseFromArrival,
+    ActsOnJointVersionAlone,
+    NewLeaderDoesNotWait,
+)
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_planted_fault_is_found(fault: type[Agreement]) -> None:
+def test_an_injected_fault_is_found(fault: type[Agreement]) -> None:
     for seed in range(1, 60):
         broken = play_random(seed, kind=fault).broken
         if any(one.startswith("no-contradiction") for one in broken):
@@ -73,11 +80,10 @@
     pytest.fail("not found")
 
 
-# ---- hard cases
-# ---------------------------------------------------------------------------------------------
+# ---- hard cases -----------------------------------------------------------------------------------------
 
 
-def begun(members: int = 5, voters: int = 3) -> AgreeingFleet:
+def running_fleet(members: int = 5, voters: int = 3) -> AgreeingFleet:
     fleet = AgreeingFleet(members, 7, voters, base=Link(delay=2.0, jitter=4.0))
     for name in fleet.nodes:
         fleet.start(name)
@@ -85,13 +91,15 @@
     return fleet
 
 
-def do(fleet: AgreeingFleet, verb: str, *arguments: object, lasts: float = 0.0) -> None:
+def run_step(fleet: AgreeingFleet, verb: str, *arguments: object, lasts: float = 0.0) -> None:
     fleet.do(Step(0.0, verb, arguments))
     fleet.run(fleet.now + lasts)
 
 
-def verdict(fleet: AgreeingFleet, name: str, rules: bytes, base: int = -1, lasts: float = 4_000.0) -> Any:
-    """What became of a proposal, and in how many ms; None: nothing yet."""
+def propose_and_wait(
+    fleet: AgreeingFleet, name: str, rules: bytes, base: int = -1, lasts: float = 4_000.0
+) -> Any:
+    """Whether a proposal was accepted and after how many ms; None: no verdict within ``lasts`` ms."""
     request, since = fleet.propose(name, rules, base), fleet.now
     fleet.run(fleet.now + lasts)
     found = [one for one in fleet.voiced if one.request == request]
@@ -106,151 +114,150 @@
     )  # fmt: skip
 
 
-def test_a_version_that_contradicts_is_in_force_at_all_soon() -> None:
-    fleet = begun()
+def test_a_contradicting_version_is_in_force_at_all_members_soon() -> None:
+    fleet = running_fleet()
     for attempts in (3, 2, 1):
-        done, took = verdict(fleet, "n4", rule_set(attempts))
+        done, took = propose_and_wait(fleet, "n4", rule_set(attempts))
         assert done and took < 1_500.0
     assert {one.known_state.in_force.number for one in fleet.agreements.values()} == {3}
     assert not fleet.finish()
 
 
-def test_two_proposed_at_once_one_comes_into_force() -> None:
-    fleet = begun()
+def test_of_two_concurrent_proposals_one_comes_into_force() -> None:
+    fleet = running_fleet()
     fleet.propose("n3", rule_set(2), base=0)
     fleet.propose("n4", rule_set(3), base=0)
     fleet.run(6_000.0)
     assert sorted(one.done for one in fleet.voiced) == [False, True]
-    assert verdict(fleet, "n3", rule_set(2), base=0)[0] is False  # it builds on what is not in force any more
+    assert propose_and_wait(fleet, "n3", rule_set(2), base=0)[0] is False  # its base is no longer in force
 
 
-def test_a_member_that_turns_it_down_ends_it_for_all() -> None:
-    fleet = begun()
+def test_a_member_that_rejects_a_version_ends_it_for_all() -> None:
+    fleet = running_fleet()
     fleet.refuse["n4"] = "classes: expected voice, found none"
-    assert verdict(fleet, "n0", rule_set(2))[0] is False
+    assert propose_and_wait(fleet, "n0", rule_set(2))[0] is False
     assert "turned down by n4" in fleet.agreements["n0"].state.history[-1][3]
     fleet.refuse.clear()
-    assert verdict(fleet, "n0", rule_set(2))[0] is True
+    assert propose_and_wait(fleet, "n0", rule_set(2))[0] is True
 
 
-def test_a_member_cut_off_holds_it_up_no_longer_than_its_lease() -> None:
-    fleet = begun()
-    assert verdict(fleet, "n0", rule_set(2))[0]
-    do(fleet, "split", "n4", "n0,n1,n2,n3")
-    done, took = verdict(fleet, "n0", rule_set(1))
+def test_a_partitioned_member_delays_a_version_no_longer_than_its_lease() -> None:
+    fleet = running_fleet()
+    assert propose_and_wait(fleet, "n0", rule_set(2))[0]
+    run_step(fleet, "split", "n4", "n0,n1,n2,n3")
+    done, took = propose_and_wait(fleet, "n0", rule_set(1))
     assert done and took < LeaseTimings().bound
     assert "n4" not in fleet.acting()  # it is on safe rules
-    do(fleet, "heal", lasts=2_000.0)
+    run_step(fleet, "heal", lasts=2_000.0)
     assert fleet.agreements["n4"].known_state.in_force.number == 2 and "n4" in fleet.acting()
 
 
 @pytest.mark.parametrize("after", [20.0, 60.0, 120.0, 200.0, 300.0, 400.0])
 def test_the_leader_is_killed_in_each_phase(after: float) -> None:
-    fleet = begun()
-    assert verdict(fleet, "n4", rule_set(3))[0]
+    fleet = running_fleet()
+    assert propose_and_wait(fleet, "n4", rule_set(3))[0]
     fleet.propose("n4", rule_set(1))
     fleet.run(fleet.now + after)
-    do(fleet, "kill", leader(fleet), lasts=8_000.0)
+    run_step(fleet, "kill", leader(fleet), lasts=8_000.0)
     assert fleet.voiced[-1].done and not fleet.finish()
     assert len({one.known_state.in_force.number for one in fleet.agreements.values()}) == 1
 
 
-def test_nothing_new_without_a_majority_and_all_are_safe_in_time() -> None:
-    fleet = begun()
-    assert verdict(fleet, "n4", rule_set(3))[0]
-    do(fleet, "kill", "n0,n1", lasts=LeaseTimings().bound)
+def test_without_a_majority_nothing_new_comes_into_force_and_all_fall_back_to_safe_rules() -> None:
+    fleet = running_fleet()
+    assert propose_and_wait(fleet, "n4", rule_set(3))[0]
+    run_step(fleet, "kill", "n0,n1", lasts=LeaseTimings().bound)
     assert not fleet.acting()
-    assert verdict(fleet, "n4", rule_set(1)) is None
-    do(fleet, "start", "n0", lasts=6_000.0)
+    assert propose_and_wait(fleet, "n4", rule_set(1)) is None
+    run_step(fleet, "start", "n0", lasts=6_000.0)
     assert len(fleet.acting()) == 4 and not fleet.finish()
 
 
-def test_all_voters_lost_and_back_with_their_disks() -> None:
-    fleet = begun()
-    assert verdict(fleet, "n4", rule_set(3))[0]
-    do(fleet, "kill", "n0,n1,n2", lasts=3_000.0)
-    do(fleet, "start", "n0,n1,n2", lasts=6_000.0)
-    assert verdict(fleet, "n4", rule_set(2), base=1)[0]
+def test_all_voters_restart_with_their_disks() -> None:
+    fleet = running_fleet()
+    assert propose_and_wait(fleet, "n4", rule_set(3))[0]
+    run_step(fleet, "kill", "n0,n1,n2", lasts=3_000.0)
+    run_step(fleet, "start", "n0,n1,n2", lasts=6_000.0)
+    assert propose_and_wait(fleet, "n4", rule_set(2), base=1)[0]
     assert not fleet.finish()
 
 
-def test_a_voter_whose_disk_was_lost_learns_and_does_not_vote() -> None:
-    fleet = begun()
-    do(fleet, "kill", "n1")
+def test_a_voter_whose_disk_was_lost_follows_without_a_vote() -> None:
+    fleet = running_fleet()
+    run_step(fleet, "kill", "n1")
     fleet.lose_disk("n1")
-    do(fleet, "start", "n1", lasts=3_000.0)
+    run_step(fleet, "start", "n1", lasts=3_000.0)
     assert not fleet.agreements["n1"].is_voter and "n1" not in fleet.disks
-    assert verdict(fleet, "n4", rule_set(3))[0] and "n1" in fleet.acting()
+    assert propose_and_wait(fleet, "n4", rule_set(3))[0] and "n1" in fleet.acting()
 
 
 @pytest.mark.parametrize("new", ["n1", "n4"])
 def test_a_voter_whose_disk_was_lost_is_replaced(new: str) -> None:
-    fleet = begun()
-    assert verdict(fleet, "n4", rule_set(3))[0]
+    fleet = running_fleet()
+    assert propose_and_wait(fleet, "n4", rule_set(3))[0]
     lost = "n1" if leader(fleet) != "n1" else "n2"
     new = lost if new == "n1" else new
-    do(fleet, "kill", lost)
+    run_step(fleet, "kill", lost)
     fleet.lose_disk(lost)
-    do(fleet, "start", lost, lasts=2_000.0)
+    run_step(fleet, "start", lost, lasts=2_000.0)
     fleet.agree("n3", ReplaceVoter("r", lost, new))
     fleet.run(fleet.now + 3_000.0)
     assert [one.done for one in fleet.voiced] == [True, True]
     votes = [one.raft.voters for one in fleet.agreements.values() if one.raft is not None]
     assert len(votes) == 3 and len(set(votes)) == 1 and any(one.startswith(f"{new}#") for one in votes[0])
     other = next(one for one in ("n0", "n1", "n2") if one not in (lost, leader(fleet)))
-    do(fleet, "kill", other, lasts=3_000.0)  # the new one is needed for a majority now
-    assert verdict(fleet, "n4", rule_set(1))[0]
-    do(fleet, "kill", new)
-    do(fleet, "start", f"{new},{other}", lasts=4_000.0)
-    assert verdict(fleet, "n3", rule_set(2))[0] and not fleet.finish()
+    run_step(fleet, "kill", other, lasts=3_000.0)  # the majority now needs the new voter
+    assert propose_and_wait(fleet, "n4", rule_set(1))[0]
+    run_step(fleet, "kill", new)
+    run_step(fleet, "start", f"{new},{other}", lasts=4_000.0)
+    assert propose_and_wait(fleet, "n3", rule_set(2))[0] and not fleet.finish()
 
 
-def test_a_member_that_stood_still_for_5_s_wakes_in_the_joint_phase_safely() -> None:
-    fleet = begun()
-    assert verdict(fleet, "n4", rule_set(3))[0]
-    do(fleet, "stop", "n3", lasts=5_000.0)
+def test_a_member_suspended_for_5_s_resumes_safely_in_the_joint_phase() -> None:
+    fleet = running_fleet()
+    assert propose_and_wait(fleet, "n4", rule_set(3))[0]
+    run_step(fleet, "stop", "n3", lasts=5_000.0)
     fleet.propose("n4", rule_set(1))
     fleet.run(fleet.now + 60.0)
-    do(fleet, "continue", "n3", lasts=5_000.0)
+    run_step(fleet, "continue", "n3", lasts=5_000.0)
     assert not fleet.finish() and fleet.agreements["n3"].known_state.in_force.number == 2
 
 
-# ---- parts
-# ----------------------------------------------------------------------------------------------------
+# ---- fragments and stored state -------------------------------------------------------------------------
 
 
-def test_a_long_word_is_joined_from_its_parts_in_any_order() -> None:
-    splitter, joiner = Fragmenter(), Reassembler()
-    word = bytes(range(256)) * 20
-    parts = splitter.split(word)
-    assert all(len(one) <= MAX_FRAGMENT_BYTES + 6 for one in parts)
-    found = [joiner.add(0.0, "a", one) for one in [*reversed(parts), parts[0]]]
-    assert [one for one in found if one is not None] == [word]
-    assert joiner.add(0.0, "a", b"\0\0\0\1\7\3x") is None  # a place beyond the count
+def test_a_long_message_is_reassembled_from_fragments_in_any_order() -> None:
+    fragmenter, reassembler = Fragmenter(), Reassembler()
+    message = bytes(range(256)) * 20
+    fragments = fragmenter.split(message)
+    assert all(len(one) <= MAX_FRAGMENT_BYTES + 6 for one in fragments)
+    found = [reassembler.add(0.0, "a", one) for one in [*reversed(fragments), fragments[0]]]
+    assert [one for one in found if one is not None] == [message]
+    assert reassembler.add(0.0, "a", b"\0\0\0\1\7\3x") is None  # index beyond the count
     with pytest.raises(ValueError):
-        splitter.split(bytes(MAX_FRAGMENT_BYTES * MAX_FRAGMENTS + 1))
+        fragmenter.split(bytes(MAX_FRAGMENT_BYTES * MAX_FRAGMENTS + 1))
 
 
-def test_a_book_that_is_damaged_is_not_replaced_by_the_one_before() -> None:
+def test_damaged_state_is_not_replaced_by_the_previous_generation() -> None:
     kept = VoterState(initial_state("n0", ("n0",)), ("n1",))
     data = encode_voter_state(kept)
     assert decode_voter_state(data) == kept
     spoilt = data[:-1] + bytes((data[-1] ^ 1,))
     none = Found("state", None)
     assert recover([Found("state", data), Found("state.old", None)], "n0") == (kept, "")
-    assert recover([none, Found("state.old", data)], "n0") == (kept, "")  # killed between two renames
+    assert recover([none, Found("state.old", data)], "n0") == (kept, "")  # killed between the two renames
     assert recover([Found("state", spoilt), Found("state.old", data)], "n0")[0] is None
     assert "expected the state of n1" in recover([Found("state", data), Found("state.old", None)], "n1")[1]
     assert recover([none, Found("state.old", None)], "n0") == (None, "")
 
 
-def test_a_proposal_that_is_too_long_is_turned_down_at_once() -> None:
+def test_a_proposal_that_is_too_long_is_rejected_at_once() -> None:
     one = Agreement("n0", 1, ("n0",), LeaseTimings(), 1, 0.0)
     actions = one.handle(1.0, Propose("1", -1, bytes(40_000), "", ""))
     assert any(getattr(action, "done", None) is False for action in actions)
 
 
-def test_words_of_a_later_version_are_read() -> None:
+def test_messages_of_a_later_build_are_decoded() -> None:
     raw = msgspec.msgpack.decode(msgspec.msgpack.encode(LeaseRequest(1.0, 2, 3, 4)))
     assert msgspec.msgpack.decode(msgspec.msgpack.encode([*raw, "new"]), type=LeaseRequest) == LeaseRequest(
         1.0, 2, 3, 4
