--- a/martentide/agreement/core.py
+++ b/martentide/agreement/core.py
@@ -58,7 +58,7 @@
 MAX_RULES_BYTES = 32_000  # of one rule set: two of them with their metadata fit into one message
 PROPOSAL_TIMEOUT = 15_000.0  # ms after which the proposer is told that the outcome is unknown
 RESEND_INTERVAL = 500.0  # ms between two sends of a pending proposal or of a prior-state query
-MAX_INDEX_LEAD = 10_000  # entries; a ``StateChanged`` that is further ahead is ignored as bogus
+MAX_INDEX_LEAD = 10_000  # entries; a ``StateChanged`` that is further ahead is ignored as invalid
 CHECK_RETRY_INTERVAL = 1_000.0  # ms after which a host that did not answer a check is asked again
 PREPARE_TIMEOUT = 10_000.0  # ms after which a version is dropped if a live member has not prepared it
 LEADER_HINT_DELAY = 20.0  # ms from a hint naming the leader to the lease request
@@ -569,9 +569,8 @@
         assert self.raft is not None
         if member_of(message.sender) not in self.known_voters and len(self.known_voters) < MAX_KNOWN_VOTERS:
             self.known_voters.add(sender)
-            self.actions.append(
-                self._persist()
-            )  # durable before its vote counts, so that it cannot vote again after losing its disk
+            # Durable before its vote counts, so that it cannot vote again after losing its disk.
+            self.actions.append(self._persist())
         self._step_raft(raft.Received(message))
 
     def _start_under_new_id(self, message: raft.Message) -> bool:
@@ -774,12 +773,12 @@
         by ``request``."""
         if not self._is_effective_leader():
             return
-        force, joint = self.state.in_force, self.state.joint
-        for version in (force, joint):
+        in_force, joint = self.state.in_force, self.state.joint
+        for version in (in_force, joint):
             if version is not None and version.request == proposal.request:
-                if version is force:
-                    text = f"version {force.number} is in force"
-                    self._send(sender, Verdict(proposal.request, True, force.number, text))
+                if version is in_force:
+                    text = f"version {in_force.number} is in force"
+                    self._send(sender, Verdict(proposal.request, True, in_force.number, text))
                 else:
                     self.verdict_recipients[proposal.request] = sender
                 return
@@ -792,7 +791,7 @@
                 self.verdict_recipients.popitem(last=False)
             version = Version(
                 self.state.last_number + 1,
-                force.number,
+                in_force.number,
                 proposal.rules,
                 proposal.by,
                 proposal.why,
@@ -820,15 +819,15 @@
             self.joining_member = replacement.new
 
     def _objection_to(self, proposal: Proposal) -> str:
-        force, joint = self.state.in_force, self.state.joint
+        in_force, joint = self.state.in_force, self.state.joint
         try:
             rules = decode_rules(proposal.rules)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             return f"it can't be read here: {error}"
-        if proposal.base not in (-1, force.number):
-            text = f"it builds on version {proposal.base}, version {force.number} is in force"
-            if force.number:
-                differences = contradictions(rules, self._decoded(force))
+        if proposal.base not in (-1, in_force.number):
+            text = f"it builds on version {proposal.base}, version {in_force.number} is in force"
+            if in_force.number:
+                differences = contradictions(rules, self._decoded(in_force))
                 text += "; it differs in: " + ("; ".join(differences)[:600] or "nothing that contradicts it")
             return text
         if joint is not None:
--- a/martentide/agreement/raft.py
+++ b/martentide/agreement/raft.py
@@ -242,7 +242,7 @@
         self.peers: dict[NodeId, Peer] = {}
         self.tally = VoteTally()
         self.now = now
-        self.leader_contact_at = now if timings.pre_vote else -FOREVER  # may have been just before a restart
+        self.leader_contact_at = now if timings.pre_vote else -FOREVER  # unknown after a restart: assume now
         self.election_deadline = now + self._random_election_timeout()
         self.heartbeat_deadline = FOREVER
         self.elected_at = -FOREVER
--- a/martentide/agreement/ruleset.py
+++ b/martentide/agreement/ruleset.py
@@ -122,9 +122,8 @@
 UNKNOWN_CLASS = ClassRule(UNCONSTRAINED, UNCONSTRAINED, Places((), (ANY_PLACE,)))
 # A tenant that a set does not name has no limit there: everything is allowed and nothing is forbidden.
 UNLIMITED = Range(float(1 << 52), float(1 << 52))
-AS_LISTED = Range(
-    float(READY), float(READY)
-)  # a server that a set does not name: as the discovery service says
+# A server that a set does not name has the state given by the discovery service.
+AS_LISTED = Range(float(READY), float(READY))
 
 
 def meet(one: RuleSet, other: RuleSet) -> RuleSet:
--- a/martentide/agreement/store.py
+++ b/martentide/agreement/store.py
@@ -43,7 +43,7 @@
         raise ValueError(f"cannot decode its content: {error}") from None
 
 
-def recover(files: list[Found], me: str) -> tuple[VoterState | None, str]:
+def recover(files: list[Found], member: str) -> tuple[VoterState | None, str]:
     """Choose between the two generations of the file: the voter's state, or None and the reason why there is
     none ("" if there never was a file)."""
     by_name = {one.name: one for one in files}
@@ -57,6 +57,9 @@
         state = decode_voter_state(chosen.raw)
     except ValueError as error:
         return None, f"{chosen.name}: {error}"
-    if member_of(state.raft_state.voter_id) != me:
-        return None, f"{chosen.name}: expected the state of {me}, found that of {state.raft_state.voter_id}"
+    if member_of(state.raft_state.voter_id) != member:
+        return (
+            None,
+            f"{chosen.name}: expected the state of {member}, found that of {state.raft_state.voter_id}",
+        )
     return state, ""
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -107,9 +107,8 @@
 
 def test_a_partitioned_member_falls_back_to_safe_rules_in_time(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
-        await run_step(
-            rig, "split", "n4", "n0,n1,n2,n3"
-        )  # servers, discovery service and callers stay reachable
+        # Servers, discovery service and callers stay reachable.
+        await run_step(rig, "split", "n4", "n0,n1,n2,n3")
         since = await withdraw(rig, "n0", rig.servers[0])
         await asyncio.sleep(BOUND / 1000.0)
         assert (await query_versions(rig, "n4"))["acts"] == "safe"
--- a/tests/agreement/test_raft.py
+++ b/tests/agreement/test_raft.py
@@ -245,9 +245,8 @@
 
 @pytest.fixture(autouse=True)
 def one_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(
-        raft, "MAX_MESSAGE_ENTRIES", 1
-    )  # an entry of an earlier term arrives without the newer one
+    # An entry of an earlier term arrives without the newer one.
+    monkeypatch.setattr(raft, "MAX_MESSAGE_ENTRIES", 1)
 
 
 @pytest.mark.parametrize("name", STARTS)
@@ -303,7 +302,8 @@
 
 START_OF: dict[str, Callable[..., World]] = dict.fromkeys(FAULTS, initial_world) | {
     "commit by count of an older term": with_older_term,
-    "snapshot over a longer log": with_snapshot}  # fmt: skip
+    "snapshot over a longer log": with_snapshot,
+}  # fmt: skip
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -311,9 +311,8 @@
     world, bounds = FAULTS[fault]
     violation, states = search(world(), bounds)
     assert violation, f"not found in {states} states"
-    assert (
-        search(START_OF[fault](), replace(bounds, states=4 * states, forgets=False))[0] == ""
-    )  # without the fault nothing is found
+    # Without the fault nothing is found.
+    assert search(START_OF[fault](), replace(bounds, states=4 * states, forgets=False))[0] == ""
 
 
 def test_voters_change_one_at_a_time_and_after_an_entry_of_the_term() -> None:
