--- a/martentide/codec/control.py
+++ b/martentide/codec/control.py
@@ -9,8 +9,8 @@
 
 from martentide.lifecycle.calls import METHODS, MOST_BODIES
 
-MOST_HEAD = 8 * 1024  # bytes of request line and headers
-MOST_BODY = 4 * 1024  # bytes of a body, where it means nothing
+MAX_HEADER_BYTES = 8 * 1024  # bytes of request line and headers
+MAX_BODY_BYTES = 4 * 1024  # bytes of a body, where it means nothing
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     """One connection, which carries one call."""
 
     def __init__(self) -> None:
-        self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+        self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
         self.request: h11.Request | None = None
         self.body = bytearray()
 
@@ -52,11 +52,11 @@
             match event:
                 case h11.Request():
                     self.request = event
-                    if self.connection.they_are_waiting_for_100_continue and self._most() == MOST_BODY:
+                    if self.connection.they_are_waiting_for_100_continue and self._max_body() == MAX_BODY_BYTES:
                         return self._route(event)  # the final answer spares the body
                 case h11.Data():
                     self.body += event.data
-                    if len(self.body) > (most := self._most()):
+                    if len(self.body) > (most := self._max_body()):
                         return Refused(413, f"a body of more than {most} bytes")
                 case h11.EndOfMessage() if self.request is not None:
                     return self._route(self.request)
@@ -65,9 +65,9 @@
                 case _:
                     return None
 
-    def _most(self) -> int:
+    def _max_body(self) -> int:
         target = b"" if self.request is None else self.request.target
-        return MOST_BODIES.get(target.decode("ascii", "replace"), MOST_BODY)
+        return MOST_BODIES.get(target.decode("ascii", "replace"), MAX_BODY_BYTES)
 
     def _route(self, request: h11.Request) -> Request | Refused:
         try:
--- a/martentide/codec/discovery.py
+++ b/martentide/codec/discovery.py
@@ -19,8 +19,8 @@
 FRAME = struct.Struct(">QB")
 RECORD = struct.Struct(">I4sHBBBHIQ")
 NUMBER = struct.Struct(">Q")
-MOST_BYTES = 1024 * 1024  # of one frame: far more servers than any list holds
-NOTHING_NEW, WHOLE, CHANGES = 0, 1, 2
+MAX_FRAME_BYTES = 1024 * 1024  # of one frame: far more servers than any list holds
+NO_CHANGE, FULL_LIST, DELTA = 0, 1, 2
 STATES = (ServerState.OPEN, ServerState.DRAINING, ServerState.GONE)
 STATE_NAMES = {
     "SERVING": ServerState.OPEN, "DRAINING": ServerState.DRAINING, "DELETED": ServerState.GONE,
@@ -48,7 +48,7 @@
 def frame_length(head: bytes) -> int:
     """How many bytes follow the four of the length."""
     length: int = LENGTH.unpack(head)[0]
-    if not FRAME.size <= length <= MOST_BYTES:
+    if not FRAME.size <= length <= MAX_FRAME_BYTES:
         raise CodecError(f"a frame of {length} bytes")
     return length
 
@@ -56,13 +56,13 @@
 def read_frame(body: bytes, zones: tuple[str, ...]) -> Notice | None:
     """The notice in a frame whose length has been taken off; None for 'nothing new' and unknown kinds."""
     number, kind = FRAME.unpack_from(body)
-    if kind not in (WHOLE, CHANGES):
+    if kind not in (FULL_LIST, DELTA):
         return None
     records, rest = divmod(len(body) - FRAME.size, RECORD.size)
     if rest:
         raise CodecError(f"{rest} bytes after {records} records")
     rows = RECORD.iter_unpack(body[FRAME.size :])
-    return Notice(number, kind == WHOLE, tuple(_record(row, zones) for row in rows))
+    return Notice(number, kind == FULL_LIST, tuple(_record(row, zones) for row in rows))
 
 
 def _record(row: tuple[Any, ...], zones: tuple[str, ...]) -> Listed:
--- a/martentide/codec/messages.py
+++ b/martentide/codec/messages.py
@@ -19,7 +19,7 @@
 HEAD = struct.Struct(">HB8s")
 PARAMETER = struct.Struct(">BH")
 ID_BYTES = 8
-LEAST_LENGTH = HEAD.size - 2
+MIN_LENGTH = HEAD.size - 2
 
 
 class Type(IntEnum):
@@ -81,7 +81,7 @@
 def body_length(head: bytes | bytearray) -> int:
     """How many bytes follow the two of the length."""
     length = int.from_bytes(head, "big")
-    if not LEAST_LENGTH <= length <= MOST_BYTES - 2:
+    if not MIN_LENGTH <= length <= MOST_BYTES - 2:
         raise CodecError(f"a message of {length} bytes")
     return length
 
@@ -99,11 +99,11 @@
 
 def read_message(body: bytes) -> Message:
     """The message whose length has been taken off."""
-    if len(body) < LEAST_LENGTH:
+    if len(body) < MIN_LENGTH:
         raise CodecError(f"a message of {len(body)} bytes")
-    kind, call = body[0], body[1:LEAST_LENGTH]
+    kind, call = body[0], body[1:MIN_LENGTH]
     parameters: dict[int, bytes] = {}
-    at = LEAST_LENGTH
+    at = MIN_LENGTH
     while at < len(body):
         if at + PARAMETER.size > len(body):
             raise CodecError("a parameter's head is cut short")
@@ -120,9 +120,9 @@
     """One whole message."""
     parts = [PARAMETER.pack(code, len(value)) + value for code, value in (parameters or {}).items()]
     body = b"".join(parts)
-    if LEAST_LENGTH + len(body) > MOST_BYTES - 2:
-        raise CodecError(f"a message of {LEAST_LENGTH + len(body)} bytes")
-    return HEAD.pack(LEAST_LENGTH + len(body), kind, call) + body
+    if MIN_LENGTH + len(body) > MOST_BYTES - 2:
+        raise CodecError(f"a message of {MIN_LENGTH + len(body)} bytes")
+    return HEAD.pack(MIN_LENGTH + len(body), kind, call) + body
 
 
 def write_release(call: bytes, cause: int, hold_off: float = 0.0) -> bytes:
--- a/martentide/control/messages.py
+++ b/martentide/control/messages.py
@@ -10,7 +10,7 @@
 
 from martentide.fleet.wire import DatagramError, DatagramFault
 
-MOST_PRESSURE = 1_000  # thousandths
+MAX_PRESSURE = 1_000  # thousandths
 
 
 class MemberState(msgspec.Struct, array_like=True, frozen=True, gc=False):
@@ -45,14 +45,14 @@
     subscribes to, 0 for nothing."""
 
     name: str
-    life: int
+    incarnation: int
     epoch: int
     region: str
     zone: str
     service: str
     capacity: int
     pressure: int
-    held: dict[str, int]
+    digests: dict[str, int]
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
@@ -81,17 +81,17 @@
 
     node: str
     epoch: int
-    same: list[str]
+    matching_services: list[str]
 
 
-class TurnedAway(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
+class LeaseRefused(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
     """No lease here. ``full``: another node has room; otherwise try again after ``retry`` ms. ``unknown``:
     the node holds no such lease (any more)."""
 
     node: str
     epoch: int
     full: bool
-    retry: int
+    retry_after: int
     unknown: bool = False
 
 
@@ -104,7 +104,7 @@
     epoch: int
     beat: int
     number: int
-    behind: int
+    backlog_age: int
     ages: dict[str, int]
     entries: list[StateEntry]
 
@@ -121,59 +121,59 @@
     entries: list[StateEntry]
 
 
-class AskAnew(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=8):
+class SnapshotRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=8):
     """A node missed a summary and asks for the whole set."""
 
     node: str
 
 
 ToNode = Join | Heartbeat | Leave
-ToProxy = Granted | TurnedAway | Update
-BetweenNodes = Summary | AskAnew
+ToProxy = Granted | LeaseRefused | Update
+BetweenNodes = Summary | SnapshotRequest
 ControlMessage = ToNode | ToProxy | BetweenNodes
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(ControlMessage)
 
 
-def write_control(message: ControlMessage) -> bytes:
+def encode_control(message: ControlMessage) -> bytes:
     return _ENCODER.encode(message)
 
 
-def read_control(body: bytes) -> ControlMessage:
+def decode_control(body: bytes) -> ControlMessage:
     """Raises DatagramError, also for figures that nobody could mean."""
     try:
         message: ControlMessage = _DECODER.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
         raise DatagramError(DatagramFault.MALFORMED) from None
-    if not _sound(message):
+    if not _is_valid(message):
         raise DatagramError(DatagramFault.MALFORMED)
     return message
 
 
-def size(entry: StateEntry) -> int:
+def entry_size(entry: StateEntry) -> int:
     """Bytes it takes in a message."""
     return len(_ENCODER.encode(entry))
 
 
-def _sound(message: ControlMessage) -> bool:
+def _is_valid(message: ControlMessage) -> bool:
     match message:
         case Join():
-            return _sound_figures(message.capacity, message.pressure) and 1 <= len(message.name) <= 64
+            return _is_valid_load(message.capacity, message.pressure) and 1 <= len(message.name) <= 64
         case Heartbeat():
-            return _sound_figures(message.capacity, message.pressure) and len(message.missing) <= 64
+            return _is_valid_load(message.capacity, message.pressure) and len(message.missing) <= 64
         case Update() | Summary():
-            return all(_sound_entry(entry) for entry in message.entries)
+            return all(_is_valid_entry(entry) for entry in message.entries)
     return True
 
 
-def _sound_figures(capacity: int, pressure: int) -> bool:
-    return 0 <= capacity < 1 << 32 and 0 <= pressure <= MOST_PRESSURE
+def _is_valid_load(capacity: int, pressure: int) -> bool:
+    return 0 <= capacity < 1 << 32 and 0 <= pressure <= MAX_PRESSURE
 
 
-def _sound_entry(entry: StateEntry) -> bool:
+def _is_valid_entry(entry: StateEntry) -> bool:
     return (
         entry.up >= 0
-        and _sound_figures(entry.capacity, entry.pressure)
-        and all(_sound_figures(one.capacity, one.pressure) for one in entry.members)
+        and _is_valid_load(entry.capacity, entry.pressure)
+        and all(_is_valid_load(one.capacity, one.pressure) for one in entry.members)
     )
--- a/martentide/control/node.py
+++ b/martentide/control/node.py
@@ -11,9 +11,9 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, field
 
-from martentide.control.budget import TokenBucket
+from martentide.control.token_bucket import TokenBucket
 from martentide.control.messages import (
-    AskAnew,
+    SnapshotRequest,
     BetweenNodes,
     Granted,
     Heartbeat,
@@ -23,20 +23,20 @@
     Summary,
     ToNode,
     ToProxy,
-    TurnedAway,
-    size,
+    LeaseRefused,
+    entry_size,
 )
 from martentide.control.placement import NodeInfo
-from martentide.control.shares import DetailKey, Shares, SumKey, digest
+from martentide.control.service_table import DetailKey, ServiceTable, SumKey, digest
 from martentide.control.subscriber import Subscriber
 from martentide.control.terms import ControlTerms
 
-SUMMARY_ROOM = 1_100  # bytes of entries in one message between nodes: it travels inside a datagram
-MOST_EARLY = 512  # summaries of one node that wait for one before them
-GAP_LIMIT = 500.0  # ms for which they wait, before the whole set is asked for
-SUMMARY_GAP = 1_000.0  # ms without a change after which a node says all the same that it lives
-SHED_AT_A_TIME = 4  # leases that a node with too many gives up at one look
-HURRIED_JOIN = 3  # times the join pace after which a proxy is told to come back
+SUMMARY_MAX_BYTES = 1_100  # bytes of entries in one message between nodes: it travels inside a datagram
+MAX_OUT_OF_ORDER = 512  # summaries of one node that wait for one before them
+GAP_TIMEOUT_MS = 500.0  # ms for which they wait, before the whole set is asked for
+SUMMARY_KEEPALIVE_MS = 1_000.0  # ms without a change after which a node says all the same that it lives
+MAX_SHED_PER_PASS = 4  # leases that a node with too many gives up at one look
+JOIN_RETRY_TOKENS = 3  # times the join pace after which a proxy is told to come back
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,18 +89,18 @@
 
     info: NodeInfo
     up: bool = False
-    heard: float = -math.inf
+    last_received_at: float = -math.inf
     leases: int = 0
     series: int = -1  # of its summaries, and the number of the last one that was taken
-    number: int = 0
-    early: dict[int, Summary] = field(default_factory=dict)  # that came ahead of one before them
+    applied_number: int = 0
+    out_of_order: dict[int, Summary] = field(default_factory=dict)  # that came ahead of one before them
     gap_since: float | None = None
-    asked_at: float = -math.inf  # for the whole set
-    told: int = 0  # number of the last summary to it, and its series
-    told_series: int = 0
-    waiting: OrderedDict[DetailKey, None] = field(default_factory=OrderedDict)
-    anew: bool = True
-    sent: float = -math.inf
+    snapshot_requested_at: float = -math.inf  # for the whole set
+    sent_number: int = 0  # number of the last summary to it, and its series
+    sent_series: int = 0
+    pending: OrderedDict[DetailKey, None] = field(default_factory=OrderedDict)
+    needs_snapshot: bool = True
+    last_sent_at: float = -math.inf
 
 
 class ControlNode:
@@ -115,11 +115,11 @@
         self.info, self.terms = infos[name], terms
         self.name, self.region = name, self.info.region
         self.peers = {info.name: Peer(info) for info in infos.values() if info.name != name}
-        self.shares = Shares(name)
+        self.service_table = ServiceTable(name)
         self.leases: dict[str, Subscriber] = {}
         self.by_service: dict[str, dict[str, Subscriber]] = {}
         self.pending: dict[str, Subscriber] = {}  # who has something waiting
-        self.joins = TokenBucket(terms.joins_s, terms.joins_burst, now)
+        self.joins = TokenBucket(terms.joins_per_s, terms.joins_burst, now)
         self.counts: Counter[str] = Counter()
         self.now = now
         self.due = now + terms.flush
@@ -159,55 +159,55 @@
 
     def _join(self, join: Join, address: Hashable, now: float) -> None:
         known = self.leases.get(join.name)
-        if known is not None and (known.epoch > join.epoch and known.life == join.life):
+        if known is not None and (known.epoch > join.epoch and known.incarnation == join.incarnation):
             self.counts["old-join"] += 1
             return
         if known is None or known.epoch != join.epoch:
-            if len(join.held) > self.terms.most_subscriptions:
+            if len(join.digests) > self.terms.max_subscriptions:
                 self.counts["too-many-subscriptions"] += 1
                 return
             if known is None and self._over_bound(1, now):
-                self._turn_away(join, address, full=True, retry=0.0)
+                self._refuse(join, address, full=True, retry=0.0)
                 return
             if not self.joins.take(now, 1.0):
-                self._turn_away(join, address, full=False, retry=self.joins.wait(HURRIED_JOIN))
+                self._refuse(join, address, full=False, retry=self.joins.time_until(JOIN_RETRY_TOKENS))
                 return
             if known is not None:
                 self._end_lease(known)
             self._grant(join, address, now)
-        granted = Granted(self.name, join.epoch, sorted(self.leases[join.name].same))
+        granted = Granted(self.name, join.epoch, sorted(self.leases[join.name].matching_services))
         self.actions.append(SendToProxy(address, granted))
 
-    def _turn_away(self, join: Join, address: Hashable, full: bool, retry: float) -> None:
+    def _refuse(self, join: Join, address: Hashable, full: bool, retry: float) -> None:
         self.counts["full" if full else "hurried"] += 1
-        answer = TurnedAway(self.name, join.epoch, full, math.ceil(retry))
+        answer = LeaseRefused(self.name, join.epoch, full, math.ceil(retry))
         self.actions.append(SendToProxy(address, answer))
 
     def _grant(self, join: Join, address: Hashable, now: float) -> None:
         subscriber = self.leases[join.name] = Subscriber(join, address, self.terms, now)
         for service in subscriber.services:
             self.by_service.setdefault(service, {})[join.name] = subscriber
-        self.shares.set_member(subscriber.key, subscriber.member())
-        self._changed_own(subscriber.key, urgent=True)
-        for service, held in join.held.items():
-            keys = self.shares.keys(service, subscriber.region)
-            if held == digest(self.shares.value(key, subscriber.region).entry for key in keys):
-                subscriber.same.add(service)
+        self.service_table.set_member(subscriber.key, subscriber.member())
+        self._mark_own_changed(subscriber.key, urgent=True)
+        for service, held in join.digests.items():
+            keys = self.service_table.keys(service, subscriber.region)
+            if held == digest(self.service_table.value(key, subscriber.region).entry for key in keys):
+                subscriber.matching_services.add(service)
             else:
-                subscriber.mark(keys, now)
+                subscriber.mark_changed(keys, now)
                 self.pending[join.name] = subscriber
 
     def _heartbeat(self, heartbeat: Heartbeat, address: Hashable, now: float) -> None:
         known = self.leases.get(heartbeat.name)
         if known is None or known.epoch != heartbeat.epoch:
-            answer = TurnedAway(self.name, heartbeat.epoch, False, 0, unknown=True)
+            answer = LeaseRefused(self.name, heartbeat.epoch, False, 0, unknown=True)
             self.actions.append(SendToProxy(address, answer))
             return
         known.address = address
-        if known.renewed(heartbeat, now):
-            self.shares.set_member(known.key, known.member())
-            self._changed_own(known.key, urgent=False)
-        self._tell(known, now, answer=True)
+        if known.apply_heartbeat(heartbeat, now):
+            self.service_table.set_member(known.key, known.member())
+            self._mark_own_changed(known.key, urgent=False)
+        self._send_update(known, now, answer=True)
 
     def _end_lease(self, subscriber: Subscriber) -> None:
         del self.leases[subscriber.name]
@@ -217,11 +217,11 @@
             del table[subscriber.name]
             if not table:
                 del self.by_service[service]
-        self.shares.drop_member(subscriber.key, subscriber.name)
-        self._changed_own(subscriber.key, urgent=True)
+        self.service_table.drop_member(subscriber.key, subscriber.name)
+        self._mark_own_changed(subscriber.key, urgent=True)
 
     def _expire(self, now: float) -> None:
-        for subscriber in [one for one in self.leases.values() if now - one.heard > self.terms.lease]:
+        for subscriber in [one for one in self.leases.values() if now - one.last_received_at > self.terms.lease]:
             self.counts["expired"] += 1
             self._end_lease(subscriber)
 
@@ -231,11 +231,11 @@
         """The most leases that this node may hold, by the mean of its region's nodes that are up."""
         peers = [peer for peer in self.peers.values() if peer.info.region == self.region]
         living = [peer for peer in peers if peer.up]
-        remembered = [peer for peer in peers if now - peer.heard <= self.terms.load_memory]
+        remembered = [peer for peer in peers if now - peer.last_received_at <= self.terms.load_retention]
         total = len(self.leases) + sum(peer.leases for peer in remembered)
         share = self.info.weight / (self.info.weight + sum(peer.info.weight for peer in living))
-        most = max(self.terms.least_bound, math.floor(self.terms.load_bound * total * share))
-        return min(self.terms.most_leases, most if living else self.terms.most_leases)
+        most = max(self.terms.min_bound, math.floor(self.terms.load_bound * total * share))
+        return min(self.terms.max_leases, most if living else self.terms.max_leases)
 
     def _over_bound(self, more: int, now: float) -> bool:
         return len(self.leases) + more > self.bound(now)
@@ -245,45 +245,45 @@
         beyond = len(self.leases) - self.bound(now)
         if beyond <= 0:
             return
-        for subscriber in list(self.leases.values())[-min(beyond, SHED_AT_A_TIME) :]:
+        for subscriber in list(self.leases.values())[-min(beyond, MAX_SHED_PER_PASS) :]:
             self.counts["shed"] += 1
-            answer = TurnedAway(self.name, subscriber.epoch, True, 0)
+            answer = LeaseRefused(self.name, subscriber.epoch, True, 0)
             self.actions.append(SendToProxy(subscriber.address, answer))
 
     # ---- telling subscribers ----------------------------------------------------------------------------
 
-    def _changed(self, key: DetailKey, urgent: bool) -> None:
+    def _mark_changed(self, key: DetailKey, urgent: bool) -> None:
         """Mark the key for all that may hold it: as it is in its own region, as a sum in the others."""
         service, region, zone = key
         for subscriber in self.by_service.get(service, {}).values():
             mine = key if zone and subscriber.region == region else (service, region, "")
-            subscriber.mark((mine,), self.now, urgent)
+            subscriber.mark_changed((mine,), self.now, urgent)
             self.pending[subscriber.name] = subscriber
 
-    def _changed_own(self, key: DetailKey, urgent: bool) -> None:
-        self._changed(key, urgent)
+    def _mark_own_changed(self, key: DetailKey, urgent: bool) -> None:
+        self._mark_changed(key, urgent)
         for peer in self.peers.values():
             near = peer.info.region == self.region
             mine: DetailKey = key if near else (key[0], key[1], "")
-            peer.waiting[mine] = None
+            peer.pending[mine] = None
 
-    def _tell(self, subscriber: Subscriber, now: float, answer: bool) -> None:
-        shares, region = self.shares, subscriber.region
-        update = subscriber.update(
+    def _send_update(self, subscriber: Subscriber, now: float, answer: bool) -> None:
+        shares, region = self.service_table, subscriber.region
+        update = subscriber.build_update(
             self.name, self.ages, lambda key: shares.value(key, region), now, answer
         )  # fmt: skip
         if update is not None:
             self.actions.append(SendToProxy(subscriber.address, update))
-        if not subscriber.waiting:
+        if not subscriber.pending:
             self.pending.pop(subscriber.name, None)
 
     def _region_ages(self, now: float) -> dict[str, int]:
         """ms since the last word of the least heard node of each region that counts here."""
         ages = {self.region: 0.0}
         for peer in self.peers.values():
-            if peer.heard > -math.inf and peer.number:
+            if peer.last_received_at > -math.inf and peer.applied_number:
                 region = peer.info.region
-                ages[region] = max(ages.get(region, 0.0), now - peer.heard)
+                ages[region] = max(ages.get(region, 0.0), now - peer.last_received_at)
         return {region: int(age) for region, age in ages.items()}
 
     # ---- the other nodes --------------------------------------------------------------------------------
@@ -291,7 +291,7 @@
     def _peer_up(self, name: str) -> None:
         peer = self.peers.get(name)
         if peer is not None and not peer.up:
-            peer.up, peer.anew = True, True
+            peer.up, peer.needs_snapshot = True, True
 
     def _from_peer(self, message: BetweenNodes, now: float) -> None:
         peer = self.peers.get(message.node)
@@ -299,86 +299,86 @@
             self.counts["stranger"] += 1
             return
         match message:
-            case AskAnew():
-                peer.anew = True
+            case SnapshotRequest():
+                peer.needs_snapshot = True
             case Summary():
-                self._summary(peer, message, now)
+                self._receive_summary(peer, message, now)
 
-    def _summary(self, peer: Peer, summary: Summary, now: float) -> None:
+    def _receive_summary(self, peer: Peer, summary: Summary, now: float) -> None:
         """Take summaries in their order: datagrams overtake each other, and a few are waited for."""
         if summary.series < peer.series:
             return
         if summary.series > peer.series:
-            peer.series, peer.number, peer.gap_since = summary.series, 0, None
-            peer.early.clear()
-        if summary.number > peer.number and len(peer.early) < MOST_EARLY:
-            peer.early[summary.number] = summary
-        while (following := peer.early.pop(peer.number + 1, None)) is not None:
-            self._take_summary(peer, following, now)
-        if not peer.early:
+            peer.series, peer.applied_number, peer.gap_since = summary.series, 0, None
+            peer.out_of_order.clear()
+        if summary.number > peer.applied_number and len(peer.out_of_order) < MAX_OUT_OF_ORDER:
+            peer.out_of_order[summary.number] = summary
+        while (following := peer.out_of_order.pop(peer.applied_number + 1, None)) is not None:
+            self._apply_summary(peer, following, now)
+        if not peer.out_of_order:
             peer.gap_since = None
         elif peer.gap_since is None:
             peer.gap_since = now
-        elif now - max(peer.gap_since, peer.asked_at) > GAP_LIMIT:
-            peer.asked_at = now
-            self.actions.append(SendToPeer(peer.info.name, AskAnew(self.name)))
+        elif now - max(peer.gap_since, peer.snapshot_requested_at) > GAP_TIMEOUT_MS:
+            peer.snapshot_requested_at = now
+            self.actions.append(SendToPeer(peer.info.name, SnapshotRequest(self.name)))
 
-    def _take_summary(self, peer: Peer, summary: Summary, now: float) -> None:
+    def _apply_summary(self, peer: Peer, summary: Summary, now: float) -> None:
         whole = summary.number == 1
         if whole:
-            for key in self.shares.drop_source(peer.info.name):
-                self._changed(key, urgent=False)
-        peer.heard, peer.number, peer.leases = now, summary.number, summary.leases
+            for key in self.service_table.drop_source(peer.info.name):
+                self._mark_changed(key, urgent=False)
+        peer.last_received_at, peer.applied_number, peer.leases = now, summary.number, summary.leases
         for entry in summary.entries:
-            moved = self.shares.set_share(peer.info.name, entry)
-            self._changed(entry.key, urgent=moved and not whole)
+            moved = self.service_table.set_entry(peer.info.name, entry)
+            self._mark_changed(entry.key, urgent=moved and not whole)
 
-    def _tell_peer(self, peer: Peer, now: float) -> None:
+    def _send_summaries(self, peer: Peer, now: float) -> None:
         if not peer.up:
             return
         near = peer.info.region == self.region
-        anew = peer.anew
+        anew = peer.needs_snapshot
         if anew:
-            keys = self.shares.own_keys()
-            peer.waiting = OrderedDict.fromkeys(keys if near else [(key[0], key[1], "") for key in keys])
-            peer.anew, peer.told = False, 0
+            keys = self.service_table.own_keys()
+            peer.pending = OrderedDict.fromkeys(keys if near else [(key[0], key[1], "") for key in keys])
+            peer.needs_snapshot, peer.sent_number = False, 0
             self.series += 1
-            peer.told_series = self.series
-        if not peer.waiting and not anew and now - peer.sent < SUMMARY_GAP:
+            peer.sent_series = self.series
+        if not peer.pending and not anew and now - peer.last_sent_at < SUMMARY_KEEPALIVE_MS:
             return
         while True:
             entries: list[StateEntry] = []
-            room = SUMMARY_ROOM
-            while peer.waiting:
-                entry = self._own(next(iter(peer.waiting)))
-                room -= size(entry)
+            room = SUMMARY_MAX_BYTES
+            while peer.pending:
+                entry = self._own_entry(next(iter(peer.pending)))
+                room -= entry_size(entry)
                 if room < 0 and entries:
                     break
-                peer.waiting.popitem(last=False)
+                peer.pending.popitem(last=False)
                 entries.append(entry)
-            peer.told += 1
-            peer.sent = now
-            told = Summary(self.name, self.region, len(self.leases), peer.told_series, peer.told, entries)
+            peer.sent_number += 1
+            peer.last_sent_at = now
+            told = Summary(self.name, self.region, len(self.leases), peer.sent_series, peer.sent_number, entries)
             self.actions.append(SendToPeer(peer.info.name, told))
-            if not peer.waiting:
+            if not peer.pending:
                 return
 
-    def _own(self, key: DetailKey) -> StateEntry:
+    def _own_entry(self, key: DetailKey) -> StateEntry:
         service, region, zone = key
         sum_key: SumKey = (service, region)
-        return self.shares.own_share(key) if zone else self.shares.own_sum(sum_key)
+        return self.service_table.own_entry(key) if zone else self.service_table.own_sum(sum_key)
 
-    def _forget_peers(self, now: float) -> None:
+    def _drop_silent_peers(self, now: float) -> None:
         """A node that is silent counts no more, where its proxies can be elsewhere by now. Of a region that
         is cut off whole, what was last known stays, marked by its age."""
         heard = {
-            peer.info.region for peer in self.peers.values() if now - peer.heard <= self.terms.peer_end
+            peer.info.region for peer in self.peers.values() if now - peer.last_received_at <= self.terms.peer_timeout
         } | {self.region}
         for peer in self.peers.values():
-            if peer.number and now - peer.heard > self.terms.peer_end and peer.info.region in heard:
-                peer.number, peer.series = 0, -1
-                for key in self.shares.drop_source(peer.info.name):
-                    self._changed(key, urgent=True)
+            if peer.applied_number and now - peer.last_received_at > self.terms.peer_timeout and peer.info.region in heard:
+                peer.applied_number, peer.series = 0, -1
+                for key in self.service_table.drop_source(peer.info.name):
+                    self._mark_changed(key, urgent=True)
 
     # ---- time -------------------------------------------------------------------------------------------
 
@@ -390,9 +390,9 @@
         if now >= self.expiry_due:
             self.expiry_due = now + self.terms.flush
             self._expire(now)
-            self._forget_peers(now)
+            self._drop_silent_peers(now)
             self._shed(now)
         for subscriber in list(self.pending.values()):
-            self._tell(subscriber, now, answer=False)
+            self._send_update(subscriber, now, answer=False)
         for peer in self.peers.values():
-            self._tell_peer(peer, now)
+            self._send_summaries(peer, now)
--- a/martentide/control/shares.py
+++ b/martentide/control/service_table.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from martentide.control.messages import MemberState, StateEntry, size
+from martentide.control.messages import MemberState, StateEntry, entry_size
 
 DetailKey = tuple[str, str, str]  # service, region, zone
 SumKey = tuple[str, str]  # service, region
 
 
-def summed(service: str, region: str, entries: Iterable[StateEntry]) -> StateEntry:
+def sum_entries(service: str, region: str, entries: Iterable[StateEntry]) -> StateEntry:
     """One entry for all of them: members up, capacity, and pressure weighted by capacity."""
     up = capacity = weighted = 0
     for entry in entries:
@@ -26,7 +26,7 @@
     return StateEntry(service, region, "", up, capacity, weighted // capacity if capacity else 0)
 
 
-def of_members(key: DetailKey, members: Iterable[MemberState]) -> StateEntry:
+def zone_entry(key: DetailKey, members: Iterable[MemberState]) -> StateEntry:
     """The entry of a zone from its members."""
     listed = sorted(members, key=lambda member: member.name)
     capacity = sum(member.capacity for member in listed)
@@ -42,7 +42,7 @@
     size: int
 
 
-class Shares:
+class ServiceTable:
     """``own`` is this node's name. Values are merged as they are asked for, and kept until a part changes."""
 
     def __init__(self, own: str) -> None:
@@ -60,35 +60,35 @@
 
     def set_member(self, key: DetailKey, member: MemberState) -> None:
         """An own lease's member is as ``member`` says from now on."""
-        self._source(key, self.own)[member.name] = member
-        self._outdated(key)
+        self._source_members(key, self.own)[member.name] = member
+        self._invalidate(key)
 
     def drop_member(self, key: DetailKey, name: str) -> None:
         sources = self.members.get(key)
         if sources is not None and sources.get(self.own, {}).pop(name, None) is not None:
-            self._tidy(key, self.own)
-            self._outdated(key)
+            self._prune(key, self.own)
+            self._invalidate(key)
 
-    def set_share(self, source: str, entry: StateEntry) -> bool:
+    def set_entry(self, source: str, entry: StateEntry) -> bool:
         """Another node's entry takes the place of its earlier one; whether somebody came or went by it."""
         if entry.zone:
-            known = self._source(entry.key, source)
+            known = self._source_members(entry.key, source)
             names = set(known)
             known.clear()
             known.update({member.name: member for member in entry.members})
             moved = names != known.keys()
-            self._tidy(entry.key, source)
-            self._outdated(entry.key)
+            self._prune(entry.key, source)
+            self._invalidate(entry.key)
             return moved
         key = (entry.service, entry.region)
-        self._outdated(entry.key)
+        self._invalidate(entry.key)
         former = self.sums.get(key, {}).get(source)
         if entry.up:
             self.regions.setdefault(entry.service, set()).add(entry.region)
             self.sums.setdefault(key, {})[source] = entry
         else:
             self.sums.get(key, {}).pop(source, None)
-            self._tidy_region(*key)
+            self._prune_region(*key)
         return entry.up != (former.up if former is not None else 0)
 
     def drop_source(self, source: str) -> list[DetailKey]:
@@ -96,30 +96,30 @@
         changed: list[DetailKey] = []
         for key in [key for key, sources in self.members.items() if source in sources]:
             del self.members[key][source]
-            self._tidy(key, source)
-            self._outdated(key)
+            self._prune(key, source)
+            self._invalidate(key)
             changed.append(key)
         for (service, region), sums in list(self.sums.items()):
             if sums.pop(source, None) is not None:
                 changed.append((service, region, ""))
-                self._outdated((service, region, ""))
-                self._tidy_region(service, region)
+                self._invalidate((service, region, ""))
+                self._prune_region(service, region)
         return changed
 
-    def _outdated(self, key: DetailKey) -> None:
+    def _invalidate(self, key: DetailKey) -> None:
         """The values that the key is part of are to be merged anew."""
         self.merged.pop(key, None)
         whole = (key[0], key[1], "")
         for one in ((key, True), (key, False), (whole, True), (whole, False)):
             self.values.pop(one, None)
 
-    def _source(self, key: DetailKey, source: str) -> dict[str, MemberState]:
+    def _source_members(self, key: DetailKey, source: str) -> dict[str, MemberState]:
         service, region, zone = key
         self.zones.setdefault((service, region), set()).add(zone)
         self.regions.setdefault(service, set()).add(region)
         return self.members.setdefault(key, {}).setdefault(source, {})
 
-    def _tidy(self, key: DetailKey, source: str) -> None:
+    def _prune(self, key: DetailKey, source: str) -> None:
         """Keep no empty tables: services and zones come and go."""
         sources = self.members.get(key, {})
         if source in sources and not sources[source]:
@@ -132,9 +132,9 @@
         zones.discard(zone)
         if not zones:
             self.zones.pop((service, region), None)
-            self._tidy_region(service, region)
+            self._prune_region(service, region)
 
-    def _tidy_region(self, service: str, region: str) -> None:
+    def _prune_region(self, service: str, region: str) -> None:
         if (service, region) in self.zones or self.sums.get((service, region)):
             return
         self.sums.pop((service, region), None)
@@ -145,14 +145,14 @@
 
     # ---- values -----------------------------------------------------------------------------------------
 
-    def own_share(self, key: DetailKey) -> StateEntry:
+    def own_entry(self, key: DetailKey) -> StateEntry:
         """What this node tells the others of its region: its own members of that zone."""
-        return of_members(key, self.members.get(key, {}).get(self.own, {}).values())
+        return zone_entry(key, self.members.get(key, {}).get(self.own, {}).values())
 
     def own_sum(self, key: SumKey) -> StateEntry:
         """What this node tells other regions: the sum of its own members."""
-        shares = [self.own_share((*key, zone)) for zone in self.zones.get(key, ())]
-        return summed(*key, shares)
+        shares = [self.own_entry((*key, zone)) for zone in self.zones.get(key, ())]
+        return sum_entries(*key, shares)
 
     def own_keys(self) -> list[DetailKey]:
         return [key for key, sources in self.members.items() if self.own in sources]
@@ -164,7 +164,7 @@
         known = self.values.get((key, near))
         if known is None:
             entry = self._detail(key) if key[2] else self._sum(key, near)
-            known = self.values[(key, near)] = SizedEntry(entry, size(entry))
+            known = self.values[(key, near)] = SizedEntry(entry, entry_size(entry))
         return known
 
     def _sum(self, key: DetailKey, near: bool) -> StateEntry:
@@ -172,7 +172,7 @@
         parts = list(self.sums.get((service, region), {}).values())
         if not near:
             parts += [self._detail((service, region, zone)) for zone in self.zones.get((service, region), ())]
-        return summed(service, region, parts)
+        return sum_entries(service, region, parts)
 
     def keys(self, service: str, reader: str) -> list[DetailKey]:
         """All keys of a service that a reader of that region may hold."""
@@ -193,7 +193,7 @@
                     known = latest.get(name)
                     if known is None or member.epoch > known.epoch:
                         latest[name] = member
-            entry = self.merged[key] = of_members(key, latest.values())
+            entry = self.merged[key] = zone_entry(key, latest.values())
         return entry
 
 
--- a/martentide/learned/ageing.py
+++ b/martentide/learned/ageing.py
@@ -11,13 +11,13 @@
 
 from martentide.learned.schema import SERVER_FIELDS, ImageState, Learned, ServerState
 
-FORGOTTEN = 0.02  # of the weight: six half-lives and a little
-AHEAD = 2_000.0  # ms by which a clock may have been set back without the state being refused
-USELESS = 300_000.0  # ms after which nothing but ways to servers can be left, and the start says so
-SUSPICION_COUNTS = 0.25  # of the weight: below, a server is no longer suspect
+MIN_WEIGHT = 0.02  # of the weight: six half-lives and a little
+CLOCK_TOLERANCE_MS = 2_000.0  # ms by which a clock may have been set back without the state being refused
+STALE_AFTER_MS = 300_000.0  # ms after which nothing but ways to servers can be left, and the start says so
+MIN_SUSPECT_WEIGHT = 0.25  # of the weight: below, a server is no longer suspect
 
 
-class Clock(Enum):
+class ClockStatus(Enum):
     """What the time of the save says."""
 
     USUAL = "usual"
@@ -26,13 +26,13 @@
     STALE = "stale"  # so old that practically nothing is left
 
 
-def clock(saved_at: float, now: float) -> Clock:
+def classify_clock(saved_at: float, now: float) -> ClockStatus:
     age = now - saved_at
-    if age < -AHEAD:
-        return Clock.FUTURE
+    if age < -CLOCK_TOLERANCE_MS:
+        return ClockStatus.FUTURE
     if age < 0:
-        return Clock.BACK
-    return Clock.STALE if age > USELESS else Clock.USUAL
+        return ClockStatus.BACK
+    return ClockStatus.STALE if age > STALE_AFTER_MS else ClockStatus.USUAL
 
 
 def weight(age: float, field: str) -> float:
@@ -44,7 +44,7 @@
 def least_lag(value: float | None, age: float) -> float | None:
     """Grows as it loses weight, so that the next answer takes its place; beyond belief it is left out."""
     part = weight(age, "least_lag")
-    return None if value is None or part < FORGOTTEN else value / part
+    return None if value is None or part < MIN_WEIGHT else value / part
 
 
 def aged_image(image: ImageState | None, age: float, now: float) -> ImageState | None:
@@ -52,7 +52,7 @@
     if image is None or now >= image.expires:
         return None
     part = weight(age, "image")
-    if part < FORGOTTEN:
+    if part < MIN_WEIGHT:
         return None
     # u was the offered rate times one minus the share: with less held back it is more by that much.
     share = image.hold_back * part
@@ -63,7 +63,7 @@
 def aged_server(server: ServerState, age: float, now: float) -> ServerState:
     """What is left of the beliefs on one server after ``age`` ms."""
     trusted = weight(age, "suspect")
-    suspect = server.suspect and trusted >= SUSPICION_COUNTS
+    suspect = server.suspect and trusted >= MIN_SUSPECT_WEIGHT
     faults = server.faults * weight(age, "faults")
     return ServerState(
         name=server.name,
@@ -74,7 +74,7 @@
         lag=server.lag,
         lag_at=min(server.lag_at, now),
         least_lag=least_lag(server.least_lag, age),
-        faults=faults if faults >= FORGOTTEN else 0.0,
+        faults=faults if faults >= MIN_WEIGHT else 0.0,
         suspect=suspect,
         silent=server.silent and suspect,
         suspect_from=min(server.suspect_from, now) if suspect else 0.0,
@@ -92,16 +92,16 @@
 class Aged:
     """State as it counts now. ``age`` ms since the save, 0 where the clock went back."""
 
-    clock: Clock
+    clock: ClockStatus
     age: float
     learned: Learned
 
 
 def age_state(learned: Learned, now: float) -> Aged:
     """Whole state aged to ``now``; from the future nothing is left."""
-    verdict = clock(learned.saved_at, now)
+    verdict = classify_clock(learned.saved_at, now)
     age = max(0.0, now - learned.saved_at)
-    if verdict is Clock.FUTURE:
+    if verdict is ClockStatus.FUTURE:
         return Aged(verdict, 0.0, Learned(learned.saved_at, learned.sequence))
     servers = tuple(aged_server(server, age, now) for server in learned.servers)
     redials = {number: min(at, now) for number, at in learned.redials.items()}
--- a/martentide/learned/codec.py
+++ b/martentide/learned/codec.py
@@ -19,15 +19,15 @@
 import msgspec
 
 from martentide.interface import Settings
-from martentide.learned.schema import MOST_REDIALS, MOST_SERVERS, SCHEMA_VERSION, Learned
+from martentide.learned.schema import MAX_REDIALS, MAX_SERVERS, SCHEMA_VERSION, Learned
 
 MAGIC = b"MTLEARN\n"
 FORMAT_VERSION = 1
-HEAD = struct.Struct(">8sHH16sQdI")
-SUM = struct.Struct(">I")
-HEAD_BYTES = HEAD.size + SUM.size
-MOST_PAYLOAD = 64 * 1024 * 1024
-MOST_FILE = HEAD_BYTES + MOST_PAYLOAD + SUM.size
+HEADER = struct.Struct(">8sHH16sQdI")
+CHECKSUM = struct.Struct(">I")
+HEADER_BYTES = HEADER.size + CHECKSUM.size
+MAX_PAYLOAD_BYTES = 64 * 1024 * 1024
+MOST_FILE = HEADER_BYTES + MAX_PAYLOAD_BYTES + CHECKSUM.size
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Learned)
@@ -71,9 +71,9 @@
 def write_state(learned: Learned, settings_print: bytes) -> bytes:
     """One whole file. Raises StateError where it would be too large to be read again."""
     payload = _encoder.encode(learned)
-    if len(payload) > MOST_PAYLOAD:
-        raise StateError(Fault.TOO_LARGE, f"{len(payload)} bytes, expected {MOST_PAYLOAD} at most")
-    head = HEAD.pack(
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        raise StateError(Fault.TOO_LARGE, f"{len(payload)} bytes, expected {MAX_PAYLOAD_BYTES} at most")
+    head = HEADER.pack(
         MAGIC,
         FORMAT_VERSION,
         SCHEMA_VERSION,
@@ -82,7 +82,7 @@
         learned.saved_at,
         len(payload),
     )
-    return b"".join((head, SUM.pack(crc32c.crc32c(head)), payload, SUM.pack(crc32c.crc32c(payload))))
+    return b"".join((head, CHECKSUM.pack(crc32c.crc32c(head)), payload, CHECKSUM.pack(crc32c.crc32c(payload))))
 
 
 def read_state(raw: bytes, settings_print: bytes | None) -> Learned:
@@ -91,25 +91,25 @@
         raise StateError(Fault.EMPTY, "no bytes")
     if raw[: len(MAGIC)] != MAGIC[: len(raw)]:
         raise StateError(Fault.NOT_STATE, f"begins with {raw[:8]!r}, expected {MAGIC!r}")
-    if len(raw) < HEAD_BYTES:
-        raise StateError(Fault.CUT, f"{len(raw)} bytes, expected a head of {HEAD_BYTES}")
-    _, form, schema, found_print, sequence, saved_at, length = HEAD.unpack_from(raw)
+    if len(raw) < HEADER_BYTES:
+        raise StateError(Fault.CUT, f"{len(raw)} bytes, expected a head of {HEADER_BYTES}")
+    _, form, schema, found_print, sequence, saved_at, length = HEADER.unpack_from(raw)
     if form != FORMAT_VERSION:  # before the sum: where that stands, another format may say otherwise
         raise StateError(Fault.OTHER_FORMAT, f"format {form}, expected {FORMAT_VERSION}")
-    (head_sum,) = SUM.unpack_from(raw, HEAD.size)
-    if crc32c.crc32c(raw[: HEAD.size]) != head_sum:
+    (head_sum,) = CHECKSUM.unpack_from(raw, HEADER.size)
+    if crc32c.crc32c(raw[: HEADER.size]) != head_sum:
         raise StateError(Fault.CHECKSUM, "the head's sum does not fit")
     if schema != SCHEMA_VERSION:
         raise StateError(Fault.OTHER_SCHEMA, f"schema {schema}, expected {SCHEMA_VERSION}")
-    if length > MOST_PAYLOAD:
-        raise StateError(Fault.TOO_LARGE, f"a payload of {length} bytes, expected {MOST_PAYLOAD} at most")
-    whole = HEAD_BYTES + length + SUM.size
+    if length > MAX_PAYLOAD_BYTES:
+        raise StateError(Fault.TOO_LARGE, f"a payload of {length} bytes, expected {MAX_PAYLOAD_BYTES} at most")
+    whole = HEADER_BYTES + length + CHECKSUM.size
     if len(raw) < whole:
         raise StateError(Fault.CUT, f"{len(raw)} bytes, expected {whole}")
     if len(raw) > whole:
         raise StateError(Fault.TRAILING, f"{len(raw) - whole} bytes behind the end")
-    payload = raw[HEAD_BYTES : HEAD_BYTES + length]
-    (payload_sum,) = SUM.unpack_from(raw, HEAD_BYTES + length)
+    payload = raw[HEADER_BYTES : HEADER_BYTES + length]
+    (payload_sum,) = CHECKSUM.unpack_from(raw, HEADER_BYTES + length)
     if crc32c.crc32c(payload) != payload_sum:
         raise StateError(Fault.CHECKSUM, "the payload's sum does not fit")
     if settings_print is not None and found_print != settings_print:
@@ -126,6 +126,6 @@
         raise StateError(Fault.PAYLOAD, str(error)) from None
     if learned.sequence != sequence or learned.saved_at != saved_at:
         raise StateError(Fault.PAYLOAD, "the head and the payload name different saves")
-    if len(learned.servers) > MOST_SERVERS or len(learned.redials) > MOST_REDIALS:
+    if len(learned.servers) > MAX_SERVERS or len(learned.redials) > MAX_REDIALS:
         raise StateError(Fault.TOO_LARGE, f"{len(learned.servers)} servers, {len(learned.redials)} redials")
     return learned
--- a/martentide/learned/pacing.py
+++ b/martentide/learned/pacing.py
@@ -27,35 +27,35 @@
     """``due`` says when to look again; all times are handed in."""
 
     pace: Pace
-    begun: float | None = None  # a save is under way since
+    started_at: float | None = None  # a save is under way since
     not_before: float = 0.0
-    last_try: float = -1e18
+    last_attempt_at: float = -1e18
     failures: int = 0
-    hang_said: bool = False
-    asked: bool = False  # a save was asked for (a change of the list, an end)
+    hang_reported: bool = False
+    requested: bool = False  # a save was asked for (a change of the list, an end)
 
     def may_begin(self, now: float) -> bool:
         """Whether a save may begin now: none is under way, and the gap has passed."""
-        if self.begun is not None or now < self.not_before:
+        if self.started_at is not None or now < self.not_before:
             return False
-        return self.asked or now >= self.last_try + self.pace.period
+        return self.requested or now >= self.last_attempt_at + self.pace.period
 
     def ask(self) -> None:
         """Save as soon as the gap allows."""
-        self.asked = True
+        self.requested = True
 
     def begin(self, now: float) -> None:
-        self.begun = self.last_try = now
-        self.asked = self.hang_said = False
+        self.started_at = self.last_attempt_at = now
+        self.requested = self.hang_reported = False
 
     def done(self, now: float, size: int) -> None:
         """The save is on the disk."""
-        self.begun, self.failures = None, 0
+        self.started_at, self.failures = None, 0
         self.not_before = now + max(self.pace.gap, size * 1000.0 / self.pace.bytes_per_s)
 
     def failed(self, now: float) -> float:
         """It is not; returns the ms until the next try."""
-        self.begun = None
+        self.started_at = None
         wait = min(self.pace.last_retry, self.pace.first_retry * 2.0 ** min(self.failures, 16))
         self.failures += 1
         self.not_before = now + wait
@@ -63,14 +63,14 @@
 
     def hangs(self, now: float) -> bool:
         """Whether to say, once, that the save under way does not come back."""
-        if self.begun is None or self.hang_said or now - self.begun < self.pace.hung:
+        if self.started_at is None or self.hang_reported or now - self.started_at < self.pace.hung:
             return False
-        self.hang_said = True
+        self.hang_reported = True
         return True
 
     def due(self, now: float) -> float:
         """When to look again (absolute ms)."""
-        if self.begun is not None:
-            return self.begun + self.pace.hung if not self.hang_said else now + self.pace.hung
-        wanted = now if self.asked else self.last_try + self.pace.period
+        if self.started_at is not None:
+            return self.started_at + self.pace.hung if not self.hang_reported else now + self.pace.hung
+        wanted = now if self.requested else self.last_attempt_at + self.pace.period
         return max(self.not_before, wanted)
--- a/martentide/learned/recovery.py
+++ b/martentide/learned/recovery.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from martentide.learned.ageing import Aged, Clock, age_state
+from martentide.learned.ageing import Aged, ClockStatus, age_state
 from martentide.learned.codec import StateError, read_state
 from martentide.learned.schema import Learned
 
 
-class Start(Enum):
+class StartOutcome(Enum):
     NOTHING = "nothing"
     LAST_GOOD = "last-good"
     EARLIER_GOOD = "earlier-good"
@@ -39,7 +39,7 @@
 class Decision:
     """``state`` None: start fresh. ``refused``: name and reason of each file that can't be used."""
 
-    start: Start
+    start: StartOutcome
     state: Aged | None
     used: str
     refused: tuple[tuple[str, str], ...]
@@ -63,16 +63,16 @@
     good.sort(key=lambda pair: -pair[0].sequence)
     for learned, file in good:
         aged = age_state(learned, now)
-        if aged.clock is Clock.FUTURE:
+        if aged.clock is ClockStatus.FUTURE:
             ahead = (learned.saved_at - now) / 1000.0
-            refused.append((file.name, f"{Clock.FUTURE.value}: saved {ahead:.0f} s ahead of the clock"))
+            refused.append((file.name, f"{ClockStatus.FUTURE.value}: saved {ahead:.0f} s ahead of the clock"))
             continue
         first = not any(name == files[0].name for name, _ in refused) and files[0].raw is not None
-        start = Start.LAST_GOOD if first else Start.EARLIER_GOOD
-        if aged.clock is Clock.STALE:
-            start = Start.AGED_OUT
+        start = StartOutcome.LAST_GOOD if first else StartOutcome.EARLIER_GOOD
+        if aged.clock is ClockStatus.STALE:
+            start = StartOutcome.AGED_OUT
         return Decision(start, aged, file.name, tuple(refused), sequence)
-    return Decision(Start.REFUSED if refused else Start.NOTHING, None, "", tuple(refused), sequence)
+    return Decision(StartOutcome.REFUSED if refused else StartOutcome.NOTHING, None, "", tuple(refused), sequence)
 
 
 def diff(old: Learned, new: Learned) -> list[str]:
--- a/martentide/learned/restore.py
+++ b/martentide/learned/restore.py
@@ -16,9 +16,9 @@
 from martentide.learned.schema import ServerState
 from martentide.rules import TRIAL_GAP, TRIAL_SPREAD, Controller, Image, Server
 
-WARM_UP = 10_000.0  # ms after the start in which restored beliefs are dropped by fresh evidence
-QUICK = 2.0  # times the restored way to a server, and QUICK_LAG ms, within which an answer is quick
-QUICK_LAG = 50.0
+HINT_LIFETIME_MS = 10_000.0  # ms after the start in which restored beliefs are dropped by fresh evidence
+QUICK_FACTOR = 2.0  # times the restored way to a server, and QUICK_LAG ms, within which an answer is quick
+QUICK_MARGIN_MS = 50.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     cold: int
 
 
-def restore(controller: Controller, aged: Aged, now: float, dice: random.Random) -> tuple[Restored, Hints]:
+def restore(controller: Controller, aged: Aged, now: float, rng: random.Random) -> tuple[Restored, Hints]:
     """Fill a Controller that has its list and has decided nothing yet."""
     known = unknown = restarted = images = suspects = cold = 0
     hints: dict[str, ServerState] = {}
@@ -46,7 +46,7 @@
         if (server.entry.started or 0.0) != saved.started:
             restarted += 1  # another process: nothing that was learned of the old one holds
             continue
-        _give(server, saved, now, dice, controller)
+        _restore_server(server, saved, now, rng, controller)
         hints[saved.name] = saved
         known += 1
         images += server.image is not None
@@ -60,8 +60,8 @@
     return counts, Hints(hints, now)
 
 
-def _give(
-    server: Server, saved: ServerState, now: float, dice: random.Random, controller: Controller
+def _restore_server(
+    server: Server, saved: ServerState, now: float, rng: random.Random, controller: Controller
 ) -> None:
     server.wait, server.wait_at = saved.wait, saved.wait_at
     server.lag, server.lag_at = saved.lag, saved.lag_at
@@ -74,13 +74,13 @@
         server.suspect_from = saved.suspect_from
         server.trial_gap = max(saved.trial_gap, TRIAL_GAP * controller.trial_scale)
         # Drawn anew: proxies that were restarted together must not try together.
-        server.trial_due = now + dice.random() * (server.trial_gap + TRIAL_SPREAD * controller.trial_scale)
+        server.trial_due = now + rng.random() * (server.trial_gap + TRIAL_SPREAD * controller.trial_scale)
         server.probe_due = now
     if server.cold_from is None and saved.cold_from is not None:
         age = now - saved.cold_from
         if 0 <= age < controller.settings.cold_time:
-            server.cold_from, server.cold_tokens = saved.cold_from, dice.random()
-            server.cold_spread = dice.random()
+            server.cold_from, server.cold_tokens = saved.cold_from, rng.random()
+            server.cold_spread = rng.random()
     if server.cold_from is not None:
         # A debt stays, and the time between brings nothing back. What was unspent is not known: what was sent
         # since the save is not in it. So the new process begins where any does, at a random place between two
@@ -95,7 +95,7 @@
     """Restored beliefs that no fresh evidence has confirmed or ended yet."""
 
     def __init__(self, servers: dict[str, ServerState], now: float) -> None:
-        self.servers, self.until = servers, now + WARM_UP
+        self.servers, self.expires_at = servers, now + HINT_LIFETIME_MS
         self.dropped = 0
 
     @property
@@ -104,7 +104,7 @@
 
     def heard(self, now: float, event: Event, controller: Controller) -> None:
         """Told of each event after the decisions have taken it."""
-        if now >= self.until:
+        if now >= self.expires_at:
             self.servers.clear()
             return
         if isinstance(event, Stands):
@@ -112,7 +112,7 @@
             server = controller.servers.get(event.server)
             if saved is None or server is None:
                 return
-            if event.delay <= QUICK * (saved.least_lag or 0.0) + QUICK_LAG:
+            if event.delay <= QUICK_FACTOR * (saved.least_lag or 0.0) + QUICK_MARGIN_MS:
                 self._drop(server, saved)
         elif isinstance(event, AttemptEnded):
             told = event.report is not None and event.ending is not Ending.NOT_SENT
--- a/martentide/learned/schema.py
+++ b/martentide/learned/schema.py
@@ -11,9 +11,9 @@
 import msgspec
 
 SCHEMA_VERSION = 1
-MOST_SERVERS = 20_000
-MOST_REDIALS = 5_000  # numbers that failed lately
-MOST_OFFERS = 256  # times of offers to one server: more than the window of a busy proxy holds
+MAX_SERVERS = 20_000
+MAX_REDIALS = 5_000  # numbers that failed lately
+MAX_OFFERS = 256  # times of offers to one server: more than the window of a busy proxy holds
 
 
 class ImageState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -58,61 +58,61 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class FieldPolicy:
     """``half_life`` ms in which the field loses half its weight; None: by times of its own, or not at all."""
 
-    kept: bool
+    persisted: bool
     why: str
     half_life: float | None = None
 
 
-DELAY_FADE = 3_000.0  # the decisions' own half-life of waits and lags
-SERVER_FIELDS: dict[str, Kept] = {
-    "entry": Kept(False, "told by the list; its name and start are the key"),
-    "image": Kept(True, "made by a report: lapses 6 s after it, whatever happened between", 1_500.0),
-    "offered": Kept(True, "own offered rate, from which u is counted; counts by its times, over 2 s"),
-    "stood": Kept(False, "shows the pace of warm servers: seen anew within a second"),
-    "out": Kept(False, "attempts of a process that is no more"),
-    "wait": Kept(True, "the latest wait, for the weights", DELAY_FADE),
-    "wait_at": Kept(True, "the wait's own time"),
-    "news": Kept(False, "what peers are told; 2 s old at most"),
-    "news_at": Kept(False, "as news"),
-    "least_lag": Kept(True, "the way to the server, which a pressed one never shows", 600_000.0),
-    "free_lines": Kept(False, "told by the server on each new connection"),
-    "lag": Kept(True, "the latest time to an answer, for patience and spacing", DELAY_FADE),
-    "lag_at": Kept(True, "the lag's own time"),
-    "due": Kept(False, "spacing of single set-ups: milliseconds"),
-    "lines_due": Kept(False, "a pause of 150 ms"),
-    "suspect": Kept(True, "a silent or failing server is tried by single calls, not by all", 10_000.0),
-    "silent": Kept(True, "with suspect: it may come back cold"),
-    "faults": Kept(True, "share of faults", 10_000.0),
-    "suspect_from": Kept(True, "since when it is suspect"),
-    "trial_gap": Kept(True, "grows with each trial that failed", 10_000.0),
-    "failed_at": Kept(True, "with heard_at: whether a probe must find out first"),
-    "heard_at": Kept(True, "as failed_at"),
-    "trial_due": Kept(False, "drawn anew, so that proxies restarted together do not try together"),
-    "trial_turn": Kept(False, "as trial_due"),
-    "cold_from": Kept(True, "a server taken for cold without a word of the list stays cold"),
-    "cold_tokens": Kept(True, "spent budget: a restart must not spend it twice (fail back safely)"),
-    "cold_filled": Kept(False, "the bucket fills from the restart on, not for the time between"),
-    "cold_spread": Kept(False, "drawn anew"),
-    "cold_trust": Kept(False, "earned by quick answers; no more is sent than by a fresh proxy"),
-    "probe_out": Kept(False, "a probe of a process that is no more"),
-    "probe_due": Kept(False, "probes are due at the start"),
+DELAY_HALF_LIFE_MS = 3_000.0  # the decisions' own half-life of waits and lags
+SERVER_FIELDS: dict[str, FieldPolicy] = {
+    "entry": FieldPolicy(False, "told by the list; its name and start are the key"),
+    "image": FieldPolicy(True, "made by a report: lapses 6 s after it, whatever happened between", 1_500.0),
+    "offered": FieldPolicy(True, "own offered rate, from which u is counted; counts by its times, over 2 s"),
+    "stood": FieldPolicy(False, "shows the pace of warm servers: seen anew within a second"),
+    "out": FieldPolicy(False, "attempts of a process that is no more"),
+    "wait": FieldPolicy(True, "the latest wait, for the weights", DELAY_HALF_LIFE_MS),
+    "wait_at": FieldPolicy(True, "the wait's own time"),
+    "news": FieldPolicy(False, "what peers are told; 2 s old at most"),
+    "news_at": FieldPolicy(False, "as news"),
+    "least_lag": FieldPolicy(True, "the way to the server, which a pressed one never shows", 600_000.0),
+    "free_lines": FieldPolicy(False, "told by the server on each new connection"),
+    "lag": FieldPolicy(True, "the latest time to an answer, for patience and spacing", DELAY_HALF_LIFE_MS),
+    "lag_at": FieldPolicy(True, "the lag's own time"),
+    "due": FieldPolicy(False, "spacing of single set-ups: milliseconds"),
+    "lines_due": FieldPolicy(False, "a pause of 150 ms"),
+    "suspect": FieldPolicy(True, "a silent or failing server is tried by single calls, not by all", 10_000.0),
+    "silent": FieldPolicy(True, "with suspect: it may come back cold"),
+    "faults": FieldPolicy(True, "share of faults", 10_000.0),
+    "suspect_from": FieldPolicy(True, "since when it is suspect"),
+    "trial_gap": FieldPolicy(True, "grows with each trial that failed", 10_000.0),
+    "failed_at": FieldPolicy(True, "with heard_at: whether a probe must find out first"),
+    "heard_at": FieldPolicy(True, "as failed_at"),
+    "trial_due": FieldPolicy(False, "drawn anew, so that proxies restarted together do not try together"),
+    "trial_turn": FieldPolicy(False, "as trial_due"),
+    "cold_from": FieldPolicy(True, "a server taken for cold without a word of the list stays cold"),
+    "cold_tokens": FieldPolicy(True, "spent budget: a restart must not spend it twice (fail back safely)"),
+    "cold_filled": FieldPolicy(False, "the bucket fills from the restart on, not for the time between"),
+    "cold_spread": FieldPolicy(False, "drawn anew"),
+    "cold_trust": FieldPolicy(False, "earned by quick answers; no more is sent than by a fresh proxy"),
+    "probe_out": FieldPolicy(False, "a probe of a process that is no more"),
+    "probe_due": FieldPolicy(False, "probes are due at the start"),
 }
-CONTROLLER_FIELDS: dict[str, Kept] = {
-    "first_tries": Kept(True, "redials known by number: a caller's tries are one story"),
-    "taken": Kept(False, "tenants' rates over 5 s"),
-    "peer_rates": Kept(False, "peers tell them each second"),
-    "inside_share": Kept(False, "as taken"),
-    "own_share": Kept(False, "told in an upgrade, for as long as it lasts"),
-    "duty": Kept(False, "told by the fleet, anew after each start"),
-    "admission": Kept(False, "told by the fleet, anew after each start"),
-    "repeats": Kept(False, "tokens of a process that is no more: a budget in common counts them as spent"),
-    "repeats_until": Kept(False, "as the tokens"),
-    "warm": Kept(False, "looked at four times a second"),
-    "pace": Kept(False, "would let a cold server have more than a fresh proxy gives it"),
-    "started": Kept(False, "when this process began to look"),
-    "calls": Kept(False, "calls of a process that is no more"),
-    "fresh": Kept(False, "attempts of a process that is no more"),
+CONTROLLER_FIELDS: dict[str, FieldPolicy] = {
+    "first_tries": FieldPolicy(True, "redials known by number: a caller's tries are one story"),
+    "taken": FieldPolicy(False, "tenants' rates over 5 s"),
+    "peer_rates": FieldPolicy(False, "peers tell them each second"),
+    "inside_share": FieldPolicy(False, "as taken"),
+    "own_share": FieldPolicy(False, "told in an upgrade, for as long as it lasts"),
+    "duty": FieldPolicy(False, "told by the fleet, anew after each start"),
+    "admission": FieldPolicy(False, "told by the fleet, anew after each start"),
+    "repeats": FieldPolicy(False, "tokens of a process that is no more: a budget in common counts them as spent"),
+    "repeats_until": FieldPolicy(False, "as the tokens"),
+    "warm": FieldPolicy(False, "looked at four times a second"),
+    "pace": FieldPolicy(False, "would let a cold server have more than a fresh proxy gives it"),
+    "started": FieldPolicy(False, "when this process began to look"),
+    "calls": FieldPolicy(False, "calls of a process that is no more"),
+    "fresh": FieldPolicy(False, "attempts of a process that is no more"),
 }
--- a/martentide/learned/snapshot.py
+++ b/martentide/learned/snapshot.py
@@ -10,16 +10,16 @@
 from itertools import islice
 
 from martentide.learned.schema import (
-    MOST_OFFERS,
-    MOST_REDIALS,
-    MOST_SERVERS,
+    MAX_OFFERS,
+    MAX_REDIALS,
+    MAX_SERVERS,
     ImageState,
     Learned,
     ServerState,
 )
 from martentide.rules import Controller, Server
 
-SLICE = 64  # servers taken at a time
+SERVERS_PER_SLICE = 64  # servers taken at a time
 
 
 def take_server(server: Server) -> ServerState:
@@ -46,11 +46,11 @@
         image=None
         if image is None
         else ImageState(image.hold_back, image.rate, image.expires, image.reported),
-        offered=tuple(islice(reversed(server.offered), MOST_OFFERS))[::-1],
+        offered=tuple(islice(reversed(server.offered), MAX_OFFERS))[::-1],
     )
 
 
-def mark(server: Server) -> tuple[object, ...]:
+def change_marker(server: Server) -> tuple[object, ...]:
     """Changes whenever the record does: cheaper to look at than to take the record."""
     image = server.image
     return (
@@ -80,21 +80,21 @@
     def slices(self, controller: Controller, now: float) -> Iterator[Learned | None]:
         """None after each slice but the last, which brings the whole. The caller lets others have their turn
         between slices; a server that leaves meanwhile is left out, one that comes is taken next time."""
-        names = list(controller.servers)[:MOST_SERVERS]
-        for start in range(0, len(names), SLICE):
-            for name in names[start : start + SLICE]:
+        names = list(controller.servers)[:MAX_SERVERS]
+        for start in range(0, len(names), SERVERS_PER_SLICE):
+            for name in names[start : start + SERVERS_PER_SLICE]:
                 server = controller.servers.get(name)
                 if server is None:
                     self.records.pop(name, None)
                     continue
-                known, marked = self.records.get(name), mark(server)
+                known, marked = self.records.get(name), change_marker(server)
                 if known is None or known[0] != marked:
                     self.records[name] = (marked, take_server(server))
             yield None
         if len(self.records) > len(controller.servers):
             for name in [name for name in self.records if name not in controller.servers]:
                 del self.records[name]
-        skip = max(0, len(controller.first_tries) - MOST_REDIALS)
+        skip = max(0, len(controller.first_tries) - MAX_REDIALS)
         redials = dict(islice(controller.first_tries.items(), skip, None))
         self.sequence += 1
         kept = tuple(record for _, record in self.records.values())
--- a/martentide/net/tier/node.py
+++ b/martentide/net/tier/node.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from martentide.control import node
-from martentide.control.messages import BetweenNodes, Heartbeat, Join, Leave, read_control, write_control
+from martentide.control.messages import BetweenNodes, Heartbeat, Join, Leave, decode_control, encode_control
 from martentide.control.node import (
     ControlNode,
     FromPeer,
@@ -32,9 +32,9 @@
 from martentide.net.due_timer import DueTimer
 from martentide.net.tier.datagrams import Arrived, Endpoint
 
-MOST_WAITING = 4_096  # datagrams in the mailbox; more is dropped, as a full socket buffer would
-AT_A_TIME = 64  # items taken before the rest of the program has its turn
-REPORT_GAP = 10.0  # s between two lines about leases and datagrams
+MAILBOX_SIZE = 4_096  # datagrams in the mailbox; more is dropped, as a full socket buffer would
+ITEMS_PER_TURN = 64  # items taken before the rest of the program has its turn
+REPORT_INTERVAL_S = 10.0  # s between two lines about leases and datagrams
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     def __init__(self, part: ControlNodePart, terms: ControlTerms | None = None) -> None:
         self.part = part
         self.loop = asyncio.get_running_loop()
-        self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MOST_WAITING)
+        self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MAILBOX_SIZE)
         self.counts: Counter[str] = Counter()
         self.frame = Frame(part.fleet, part.secret)
         now = self._now()
@@ -70,11 +70,11 @@
         others = tuple(one.gossip for one in part.nodes if one.name != part.name)
         own = part.own()
         life = secrets.randbits(62) + 1
-        self.swim = Membership(part.name, own.region, own.gossip, others, Terms(), life, now, life)
+        self.membership = Membership(part.name, own.region, own.gossip, others, Terms(), life, now, life)
         self.stopping = asyncio.Event()
         self.timer = DueTimer(lambda: self._post(Tick()))
-        self.proxies: asyncio.DatagramTransport | None = None
-        self.nodes: asyncio.DatagramTransport | None = None
+        self.proxy_transport: asyncio.DatagramTransport | None = None
+        self.node_transport: asyncio.DatagramTransport | None = None
 
     def _now(self) -> float:
         return self.loop.time() * 1_000.0
@@ -86,30 +86,30 @@
     async def run(self) -> None:
         own = self.part.own()
         open_endpoint = self.loop.create_datagram_endpoint
-        self.proxies, _ = await open_endpoint(
+        self.proxy_transport, _ = await open_endpoint(
             lambda: Endpoint(lambda arrived: self._post(OfProxies(arrived)), self.counts), own.address
         )
-        self.nodes, _ = await open_endpoint(
+        self.node_transport, _ = await open_endpoint(
             lambda: Endpoint(lambda arrived: self._post(OfNodes(arrived)), self.counts), own.gossip
         )
         log_event(
             "control-serving", name=self.part.name, region=own.region,
             address=f"{own.address[0]}:{own.address[1]}", gossip=f"{own.gossip[0]}:{own.gossip[1]}",
         )  # fmt: skip
-        taking = self.loop.create_task(self._take_all(), name="control node")
+        taking = self.loop.create_task(self._process_mailbox(), name="control node")
         reporting = self.loop.create_task(self._report(), name="control report")
         await self.stopping.wait()
-        self._act_on_swim(self.swim.handle(self._now(), fleet.Depart()))
+        self._run_membership_actions(self.membership.handle(self._now(), fleet.Depart()))
         for task in (taking, reporting):
             task.cancel()
         self.timer.cancel()
-        self.proxies.close()
-        self.nodes.close()
+        self.proxy_transport.close()
+        self.node_transport.close()
         log_event("control-stopped", leases=len(self.core.leases))
 
     async def _report(self) -> None:
         while True:
-            await asyncio.sleep(REPORT_GAP)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             log_event("control-leases", leases=len(self.core.leases), **dict(self.counts + self.core.counts))
 
     def _post(self, item: Item) -> bool:
@@ -121,21 +121,21 @@
 
     # ---- items ------------------------------------------------------------------------------------------
 
-    async def _take_all(self) -> None:
+    async def _process_mailbox(self) -> None:
         self._arm()
         taken = 0
         while True:
             item = await self.mailbox.get()
             taken += 1
-            if taken % AT_A_TIME == 0:
+            if taken % ITEMS_PER_TURN == 0:
                 await asyncio.sleep(0)
             try:
-                self._take(item)
+                self._process_item(item)
             except Exception:  # one strange message must not end the node
                 LOG.exception("internal-error control", item=type(item).__name__)
             self._arm()
 
-    def _take(self, item: Item) -> None:
+    def _process_item(self, item: Item) -> None:
         match item:
             case OfProxies(arrived):
                 self._from_proxy(arrived)
@@ -143,22 +143,22 @@
                 self._from_node(arrived)
             case Tick():
                 now = self._now()
-                if now >= self.swim.due:
-                    self._act_on_swim(self.swim.handle(now, fleet.Due()))
-                self._feed(node.Due())
+                if now >= self.membership.due:
+                    self._run_membership_actions(self.membership.handle(now, fleet.Due()))
+                self._handle_event(node.Due())
 
     def _arm(self) -> None:
-        self.timer.arm(min(self.core.due, self.swim.due) / 1_000.0)
+        self.timer.arm(min(self.core.due, self.membership.due) / 1_000.0)
 
     def _from_proxy(self, arrived: Arrived) -> None:
         self.counts["received"] += 1
         try:
-            message = read_control(self.frame.open(arrived.data))
+            message = decode_control(self.frame.open(arrived.data))
         except DatagramError as error:
             self.counts[error.why.value] += 1
             return
         if isinstance(message, Join | Heartbeat | Leave):
-            self._feed(FromProxy(message, arrived.source))
+            self._handle_event(FromProxy(message, arrived.source))
         else:
             self.counts["misplaced"] += 1
 
@@ -168,42 +168,42 @@
         except DatagramError as error:
             self.counts[error.why.value] += 1
             return
-        self._act_on_swim(self.swim.handle(self._now(), fleet.Heard(said)))
+        self._run_membership_actions(self.membership.handle(self._now(), fleet.Heard(said)))
 
     # ---- actions ----------------------------------------------------------------------------------------
 
-    def _feed(self, event: node.Event) -> None:
+    def _handle_event(self, event: node.Event) -> None:
         for action in self.core.handle(self._now(), event):
             match action:
                 case SendToProxy(address, message):
                     assert isinstance(address, tuple)
-                    data = self.frame.seal(write_control(message))
+                    data = self.frame.seal(encode_control(message))
                     self.counts["sent"] += 1
-                    if self.proxies is not None:
-                        self.proxies.sendto(data, address)
+                    if self.proxy_transport is not None:
+                        self.proxy_transport.sendto(data, address)
                 case SendToPeer(to, between):
-                    carry = fleet.Carry(to, write_control(between))
-                    self._act_on_swim(self.swim.handle(self._now(), carry))
+                    carry = fleet.Carry(to, encode_control(between))
+                    self._run_membership_actions(self.membership.handle(self._now(), carry))
 
-    def _act_on_swim(self, actions: list[fleet.Action]) -> None:
+    def _run_membership_actions(self, actions: list[fleet.Action]) -> None:
         for action in actions:
             match action:
                 case fleet.Send(address, datagram):
-                    if self.nodes is not None:
-                        self.nodes.sendto(self.frame.write(datagram), address)
+                    if self.node_transport is not None:
+                        self.node_transport.sendto(self.frame.write(datagram), address)
                 case fleet.Changed(word, _, _, evidence):
                     up = word.state < State.DEAD
                     state = State(word.state).name.lower()
                     log_event("control-node", node=word.name, state=state, evidence=repr(evidence))
-                    self._feed(PeerUp(word.name) if up else PeerDown(word.name))
+                    self._handle_event(PeerUp(word.name) if up else PeerDown(word.name))
                 case fleet.Carried(_, body):
                     self._from_peer(body)
 
     def _from_peer(self, body: bytes) -> None:
         try:
-            message = read_control(body)
+            message = decode_control(body)
         except DatagramError as error:
             self.counts[error.why.value] += 1
             return
         if isinstance(message, BetweenNodes):
-            self._feed(FromPeer(message))
+            self._handle_event(FromPeer(message))
--- a/martentide/net/tier/proxy.py
+++ b/martentide/net/tier/proxy.py
@@ -13,7 +13,7 @@
 
 from martentide.control import client
 from martentide.control.client import (
-    Alone,
+    Isolated,
     Attached,
     ControlClient,
     FromNode,
@@ -22,13 +22,13 @@
     SendToNode,
 )
 from martentide.control.messages import (
-    MOST_PRESSURE,
+    MAX_PRESSURE,
     Granted,
     StateEntry,
-    TurnedAway,
+    LeaseRefused,
     Update,
-    read_control,
-    write_control,
+    decode_control,
+    encode_control,
 )
 from martentide.control.terms import ControlTerms
 from martentide.extras import ControlTierPart
@@ -39,8 +39,8 @@
 from martentide.net.due_timer import DueTimer
 from martentide.net.tier.datagrams import Arrived, Endpoint
 
-MOST_WAITING = 256  # items in the mailbox; more is dropped, as a full socket buffer would
-UNIT = 100  # in which the session server's size is told as its capacity
+MAILBOX_SIZE = 256  # items in the mailbox; more is dropped, as a full socket buffer would
+CAPACITY_PER_SIZE = 100  # in which the session server's size is told as its capacity
 
 
 class Tick:
@@ -56,15 +56,15 @@
     def __init__(self, part: ControlTierPart, name: str, dispatcher: Dispatcher, seed: int) -> None:
         self.part, self.name, self.dispatcher, self.seed = part, name, dispatcher, seed
         self.loop = asyncio.get_running_loop()
-        self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MOST_WAITING)
+        self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MAILBOX_SIZE)
         self.counts: Counter[str] = Counter()
         self.frame = Frame(part.fleet, part.secret)
         self.addresses = {one.name: one.address for one in part.nodes}
-        self.own = OwnState(UNIT, 0)
+        self.own_state = OwnState(CAPACITY_PER_SIZE, 0)
         self.core: ControlClient | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.timer = DueTimer(lambda: self.post(Tick()))
-        dispatcher.event_observers.append(self._overhear)
+        dispatcher.event_observers.append(self._observe_event)
 
     def _now(self) -> float:
         return self.loop.time() * 1_000.0
@@ -88,7 +88,7 @@
         self.core = ControlClient(
             info, part.infos(), ControlTerms(), self.seed ^ time.monotonic_ns(), self._now(), epoch
         )
-        self._feed(self.own)
+        self._handle_event(self.own_state)
         self._arm()
 
     def retire(self) -> None:
@@ -101,14 +101,14 @@
     def depart(self) -> None:
         """Give the lease back, then fall silent."""
         if self.core is not None:
-            self._feed(client.Depart())
+            self._handle_event(client.Depart())
         self.retire()
 
     async def run(self) -> None:
         while True:
             item = await self.mailbox.get()
             try:
-                self._take(item)
+                self._process_item(item)
             except Exception:  # one strange message must not end the lease
                 LOG.exception("internal-error tier", item=type(item).__name__)
             if self.core is not None:
@@ -124,21 +124,21 @@
 
     # ---- items ------------------------------------------------------------------------------------------
 
-    def _take(self, item: Item) -> None:
+    def _process_item(self, item: Item) -> None:
         if self.core is None:
             return
         if isinstance(item, Tick):
-            self._feed(client.Due())
+            self._handle_event(client.Due())
             return
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(item.data)
         try:
-            message = read_control(self.frame.open(item.data))
+            message = decode_control(self.frame.open(item.data))
         except DatagramError as error:
             self.counts[error.why.value] += 1
             return
-        if isinstance(message, Granted | TurnedAway | Update):
-            self._feed(FromNode(message))
+        if isinstance(message, Granted | LeaseRefused | Update):
+            self._handle_event(FromNode(message))
         else:
             self.counts["misplaced"] += 1
 
@@ -146,37 +146,37 @@
         assert self.core is not None
         self.timer.arm(self.core.due / 1_000.0)
 
-    def _feed(self, event: client.Event) -> None:
+    def _handle_event(self, event: client.Event) -> None:
         assert self.core is not None
         for action in self.core.handle(self._now(), event):
             match action:
                 case SendToNode(node, message):
-                    data = self.frame.seal(write_control(message))
+                    data = self.frame.seal(encode_control(message))
                     self.counts["sent"] += 1
                     self.counts["sent_bytes"] += len(data)
                     if self.transport is not None:
                         self.transport.sendto(data, self.addresses[node])
                 case Attached(node):
                     log_event("tier-attached", node=node, epoch=self.core.epoch)
-                case Alone():
+                case Isolated():
                     log_event("tier-alone", nodes=len(self.addresses))
 
     # ---- the proxy's own state --------------------------------------------------------------------------
 
-    def _overhear(self, _: float, event: Event) -> None:
+    def _observe_event(self, _: float, event: Event) -> None:
         """Runs in the dispatcher's turn: what the own session server asks to be held back."""
         if not isinstance(event, ProbeEnded | AttemptEnded) or event.server != self.part.server:
             return
         if event.report is None or event.report.hold_back is None:
             return
         listed = self.dispatcher.listed.get(event.server)
-        capacity = UNIT if listed is None else max(1, round(UNIT * listed.entry.size))
-        pressure = min(MOST_PRESSURE, max(0, round(event.report.hold_back * MOST_PRESSURE)))
+        capacity = CAPACITY_PER_SIZE if listed is None else max(1, round(CAPACITY_PER_SIZE * listed.entry.size))
+        pressure = min(MAX_PRESSURE, max(0, round(event.report.hold_back * MAX_PRESSURE)))
         own = OwnState(capacity, pressure)
-        if own != self.own:
-            self.own = own
+        if own != self.own_state:
+            self.own_state = own
             if self.core is not None:
-                self._feed(own)
+                self._handle_event(own)
 
     # ---- what people see --------------------------------------------------------------------------------
 
@@ -196,7 +196,7 @@
              "members": [one.name for one in held.entry.members]}
             for key, held in sorted(core.entries.items())
         ]  # fmt: skip
-        state = "attached" if core.attached else "alone" if core.alone else "joining"
+        state = "attached" if core.attached else "alone" if core.isolated else "joining"
         return json.dumps(
             {"fleet": self.part.fleet, "name": self.name, "state": state, "node": core.node,
              "counts": dict(self.counts), "entries": entries}
--- a/martentide_lab/control/invariants.py
+++ b/martentide_lab/control/invariants.py
@@ -74,7 +74,7 @@
         core = proxy.client
         assert core is not None
         silent = now - proxy.heard_at
-        if silent <= self.tier.terms.entry_end + TURN:
+        if silent <= self.tier.terms.entry_ttl + TURN:
             return
         for service in core.info.services:
             if core.state(service, now):
@@ -86,7 +86,7 @@
         assert core is not None
         if not core.attached:
             return
-        if core.node not in core.home:  # there it is told sums of its own region
+        if core.node not in core.home_nodes:  # there it is told sums of its own region
             if now - max(self.calm_since, proxy.since) > self.limits.home:
                 self.broken.append(Broken("away", now, proxy.info.name, f"its lease is at {core.node}"))
             return
@@ -123,7 +123,7 @@
         for core in self.tier.nodes.values():
             by_region.setdefault(core.region, []).append(len(core.leases))
         for region, leases in by_region.items():
-            most = max(self.tier.terms.least_bound, self.limits.load_bound * sum(leases) / len(leases)) + 1
+            most = max(self.tier.terms.min_bound, self.limits.load_bound * sum(leases) / len(leases)) + 1
             if max(leases) > most:
                 text = f"{max(leases)} leases at one node, {most:.0f} at most"
                 self.broken.append(Broken("load", now, region, text))
--- a/martentide_lab/control/simulated.py
+++ b/martentide_lab/control/simulated.py
@@ -20,8 +20,8 @@
     Leave,
     ToNode,
     ToProxy,
-    read_control,
-    write_control,
+    decode_control,
+    encode_control,
 )
 from martentide.control.node import (
     ControlNode,
@@ -32,14 +32,14 @@
     SendToPeer,
     SendToProxy,
 )
-from martentide.control.terms import HEADERS, ControlTerms
+from martentide.control.terms import IP_UDP_HEADER_BYTES, ControlTerms
 from martentide.fleet.events import Action, Carried, Carry, Changed
 from martentide.fleet.wire import CHECK, HEAD, State
 from martentide_lab.control.layout import Layout
 from martentide_lab.fleet.faults import Link
 from martentide_lab.fleet.simulated import SimulatedFleet
 
-FRAMING = HEADERS + HEAD + CHECK
+FRAMING = IP_UDP_HEADER_BYTES + HEAD + CHECK
 WINDOW = 1_000.0  # ms over which a proxy's bytes are bounded
 
 
@@ -198,12 +198,12 @@
                 case client.Attached():
                     proxy.attached_at = self.now
                     proxy.moves += 1
-                case client.Alone():
+                case client.Isolated():
                     proxy.alone += 1
 
     def _to_node(self, proxy: SimulatedProxy, name: str, message: ToNode) -> None:
         assert isinstance(message, Join | Heartbeat | Leave)
-        size = len(write_control(message)) + FRAMING
+        size = len(encode_control(message)) + FRAMING
         proxy.bytes_out += size
         proxy.count(self.now, size)
         for fate in self.fleet.network.fates((proxy.info.zone, name), self.rng):
@@ -231,11 +231,11 @@
                 case SendToProxy(address, message):
                     self._to_proxy(name, str(address), message)
                 case SendToPeer(to, between):
-                    self.fleet.feed(name, Carry(to, write_control(between)))
+                    self.fleet.feed(name, Carry(to, encode_control(between)))
 
     def _to_proxy(self, name: str, address: str, message: ToProxy) -> None:
         proxy = self.proxies[address]
-        size = len(write_control(message)) + FRAMING
+        size = len(encode_control(message)) + FRAMING
         self.node_bytes[name] += size
         life = proxy.lives
         for fate in self.fleet.network.fates((name, proxy.info.zone), self.rng):
@@ -253,7 +253,7 @@
         """What the nodes' own membership says."""
         match action:
             case Carried(_, body):
-                message = read_control(body)
+                message = decode_control(body)
                 assert isinstance(message, BetweenNodes)
                 self._feed_node(name, FromPeer(message))
             case Changed(word, _, _, _):
--- a/tests/control/test_cores.py
+++ b/tests/control/test_cores.py
@@ -5,10 +5,10 @@
 import pytest
 
 from martentide.control import client, node
-from martentide.control.budget import TokenBucket
-from martentide.control.client import Alone, Attached, ControlClient, FromNode, ProxyInfo, SendToNode
+from martentide.control.token_bucket import TokenBucket
+from martentide.control.client import Isolated, Attached, ControlClient, FromNode, ProxyInfo, SendToNode
 from martentide.control.messages import (
-    AskAnew,
+    SnapshotRequest,
     Granted,
     Heartbeat,
     Join,
@@ -16,13 +16,13 @@
     MemberState,
     StateEntry,
     Summary,
-    TurnedAway,
+    LeaseRefused,
     Update,
-    read_control,
-    write_control,
+    decode_control,
+    encode_control,
 )
 from martentide.control.node import (
-    GAP_LIMIT,
+    GAP_TIMEOUT_MS,
     ControlNode,
     FromPeer,
     FromProxy,
@@ -31,7 +31,7 @@
     SendToProxy,
 )
 from martentide.control.placement import NodeInfo, preference
-from martentide.control.shares import Shares, digest
+from martentide.control.service_table import ServiceTable, digest
 from martentide.control.terms import ControlTerms
 from martentide.fleet.wire import DatagramError
 
@@ -100,9 +100,9 @@
     one.wait(TERMS.lease - 200)
     assert "p0" in one.core.leases
     one.wait(800)
-    assert not one.core.leases and not one.core.by_service and not one.core.shares.members
+    assert not one.core.leases and not one.core.by_service and not one.core.service_table.members
     (answer,) = one.hear(Heartbeat("p0", 1, 1, 100, 0, 0, []))
-    assert isinstance(answer, SendToProxy) and answer.message == TurnedAway("n0", 1, False, 0, True)
+    assert isinstance(answer, SendToProxy) and answer.message == LeaseRefused("n0", 1, False, 0, True)
 
 
 def test_joins_are_bounded_and_a_hurried_one_is_told_when() -> None:
@@ -110,12 +110,12 @@
     answers = [one.hear(join(f"p{at}"))[0] for at in range(int(TERMS.joins_burst) + 5)]
     messages = [answer.message for answer in answers if isinstance(answer, SendToProxy)]
     granted = [message for message in messages if isinstance(message, Granted)]
-    hurried = [message for message in messages if isinstance(message, TurnedAway)]
-    assert len(granted) == TERMS.joins_burst and all(not m.full and m.retry > 0 for m in hurried)
+    hurried = [message for message in messages if isinstance(message, LeaseRefused)]
+    assert len(granted) == TERMS.joins_burst and all(not m.full and m.retry_after > 0 for m in hurried)
 
 
 def test_a_node_over_its_bound_turns_newcomers_away_and_sheds() -> None:
-    terms = ControlTerms(least_bound=4, joins_burst=100.0)
+    terms = ControlTerms(min_bound=4, joins_burst=100.0)
     one = OneNode(terms)
     for name in ("n1", "n2"):
         one.core.handle(0.0, PeerUp(name))
@@ -127,8 +127,8 @@
         granted += isinstance(answer.message, Granted)
     assert granted == one.core.bound(0.0) == len(one.core.leases) < 30
     one.core.handle(0.0, FromPeer(Summary("n1", "r0", 0, 1, 2, [])))  # the other one has come back empty
-    shed = [a for a in one.wait(200) if isinstance(a, SendToProxy) and isinstance(a.message, TurnedAway)]
-    assert shed and all(a.message.full for a in shed if isinstance(a.message, TurnedAway))
+    shed = [a for a in one.wait(200) if isinstance(a, SendToProxy) and isinstance(a.message, LeaseRefused)]
+    assert shed and all(a.message.full for a in shed if isinstance(a.message, LeaseRefused))
 
 
 def test_an_old_join_that_comes_late_undoes_nothing() -> None:
@@ -176,16 +176,16 @@
     for at in range(200):
         one.hear(Join("p1", 8, at + 1, "r0", "z1", "s0", 100, at * 5 % 1_000, {"s0": 0}))
         one.wait(200)
-        one.core.leases["p0"].heard = one.now  # as if it lived, and its heartbeats had no room for a word
+        one.core.leases["p0"].last_received_at = one.now  # as if it lived, and its heartbeats had no room for a word
     subscriber = one.core.leases["p0"]
-    assert len(subscriber.unacknowledged) <= TERMS.window and len(subscriber.waiting) <= 3
+    assert len(subscriber.unacknowledged) <= TERMS.window and len(subscriber.pending) <= 3
 
 
 def test_the_same_digest_saves_the_resync() -> None:
     one = OneNode()
     one.hear(join("p0"))
-    keys = one.core.shares.keys("s0", "r0")
-    held = digest(one.core.shares.value(key, "r0").entry for key in keys)
+    keys = one.core.service_table.keys("s0", "r0")
+    held = digest(one.core.service_table.value(key, "r0").entry for key in keys)
     one.wait(1_000)
     (granted,) = one.hear(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s0": held}))
     assert isinstance(granted, SendToProxy) and granted.message == Granted("n0", 1, ["s0"])
@@ -193,10 +193,10 @@
 
 
 def test_members_that_two_nodes_hold_count_once_by_the_later_lease() -> None:
-    shares = Shares("n0")
+    shares = ServiceTable("n0")
     key = ("s0", "r0", "z0")
     shares.set_member(key, MemberState("p0", 1, 100, 700))
-    shares.set_share("n1", StateEntry(*key, 1, 100, 0, [MemberState("p0", 2, 100, 0)]))
+    shares.set_entry("n1", StateEntry(*key, 1, 100, 0, [MemberState("p0", 2, 100, 0)]))
     entry = shares.value(key, "r0").entry
     assert (entry.up, entry.capacity, entry.pressure) == (1, 100, 0)
     assert shares.drop_source("n1") == [key]
@@ -217,11 +217,11 @@
     early = Summary("n2", "r1", 3, 1, 3, [StateEntry("s0", "r1", "", 4, 400, 0)])
     for summary in (first, early, late):  # one overtook the other: both count, in their order
         assert one.core.handle(one.now, FromPeer(summary)) == []
-    assert one.core.shares.value(("s0", "r1", ""), "r0").entry.up == 4
+    assert one.core.service_table.value(("s0", "r1", ""), "r0").entry.up == 4
     for number in (5, 6):
-        one.now += GAP_LIMIT
+        one.now += GAP_TIMEOUT_MS
         asked = one.core.handle(one.now + number, FromPeer(Summary("n2", "r1", 3, 1, number, [])))
-    assert asked == [SendToPeer("n2", AskAnew("n0"))]
+    assert asked == [SendToPeer("n2", SnapshotRequest("n0"))]
 
 
 def test_a_silent_region_stays_with_its_age_a_silent_neighbour_does_not() -> None:
@@ -232,9 +232,9 @@
         members = [MemberState("p9", 1, 100, 0)] if region == "r0" else []
         entry = StateEntry(*key, 1, 100, 0, members)
         one.core.handle(0.0, FromPeer(Summary(name, region, 1, 1, 1, [entry])))
-    one.wait(TERMS.peer_end + 400)
-    keys = one.core.shares.keys("s0", "r0")
-    assert keys == [("s0", "r1", "")] and one.core.ages["r1"] > TERMS.peer_end
+    one.wait(TERMS.peer_timeout + 400)
+    keys = one.core.service_table.keys("s0", "r0")
+    assert keys == [("s0", "r1", "")] and one.core.ages["r1"] > TERMS.peer_timeout
 
 
 # ---- a proxy's side -------------------------------------------------------------------------------------
@@ -250,7 +250,7 @@
         self.now = self.core.due
         return self.core.handle(self.now, client.Due())
 
-    def hear(self, message: Granted | TurnedAway | Update) -> list[client.Action]:
+    def hear(self, message: Granted | LeaseRefused | Update) -> list[client.Action]:
         return self.core.handle(self.now, FromNode(message))
 
     def attach(self) -> None:
@@ -268,10 +268,10 @@
     proxy = OneProxy()
     proxy.attach()
     proxy.update(1, s0=300)
-    proxy.now += TERMS.entry_end - 1
+    proxy.now += TERMS.entry_ttl - 1
     assert [entry.pressure for entry in proxy.core.state("s0", proxy.now)] == [300]
     proxy.update(2)
-    proxy.now += TERMS.entry_end - 1
+    proxy.now += TERMS.entry_ttl - 1
     assert proxy.core.state("s0", proxy.now)
     proxy.now += 1
     assert not proxy.core.state("s0", proxy.now)
@@ -300,7 +300,7 @@
     proxy = OneProxy()
     proxy.attach()
     proxy.update(1, s0=300, s1=100)
-    proxy.now += TERMS.unanswered + 1
+    proxy.now += TERMS.node_timeout + 1
     proxy.core.due = proxy.now
     proxy.due()
     proxy.due()  # asks the next node
@@ -313,7 +313,7 @@
 def test_without_any_node_it_says_once_that_it_is_alone_and_goes_on_ever_more_slowly() -> None:
     proxy = OneProxy()
     actions = [action for _ in range(20) for action in proxy.due()]
-    assert actions.count(Alone()) == 1
+    assert actions.count(Isolated()) == 1
     asked = [action.node for action in actions if isinstance(action, SendToNode)]
     assert set(asked) == {"n0", "n1", "n2"}
     assert proxy.core.due - proxy.now >= TERMS.join_retry * 0.5
@@ -323,7 +323,7 @@
     proxy = OneProxy()
     proxy.attach()
     former, epoch = proxy.core.node, proxy.core.epoch
-    proxy.hear(TurnedAway(former, epoch, True, 0))
+    proxy.hear(LeaseRefused(former, epoch, True, 0))
     proxy.due()
     (told,) = proxy.hear(Update(former, epoch, 0, 9, 0, {}, []))
     assert told == SendToNode(former, Leave("p0", epoch))
@@ -335,14 +335,14 @@
         proxy.due()
     proxy.hear(Granted("n2", proxy.core.epoch, []))
     proxy.hear(Update("n2", proxy.core.epoch, 0, 1, 0, {"r1": 0}, []))
-    assert proxy.core.home_due is None
+    assert proxy.core.home_return_at is None
     proxy.hear(Update("n2", proxy.core.epoch, 0, 2, 0, {"r1": 0, "r0": 100}, []))
-    assert proxy.core.home_due is not None
-    proxy.now = proxy.core.home_due
-    proxy.core.due, proxy.core.heard = proxy.now, proxy.now
+    assert proxy.core.home_return_at is not None
+    proxy.now = proxy.core.home_return_at
+    proxy.core.due, proxy.core.last_received_at = proxy.now, proxy.now
     leave, asked = proxy.due()
     assert isinstance(leave, SendToNode) and leave.node == "n2"
-    assert isinstance(asked, SendToNode) and asked.node in proxy.core.home
+    assert isinstance(asked, SendToNode) and asked.node in proxy.core.home_nodes
 
 
 # ---- messages and bounds --------------------------------------------------------------------------------
@@ -352,22 +352,22 @@
     "body",
     [
         b"", b"\x00", b"\x93\x01\x02\x03", b"\xff" * 40,
-        write_control(Join("", 1, 1, "r", "z", "s", 1, 0, {})),
-        write_control(Join("p", 1, 1, "r", "z", "s", 1, 1_001, {})),
-        write_control(Heartbeat("p", 1, 1, -1, 0, 0, [])),
-        write_control(Heartbeat("p", 1, 1, 1, 0, 0, list(range(65)))),
-        write_control(Update("n", 1, 0, 1, 0, {}, [StateEntry("s", "r", "z", -1, 0, 0)])),
+        encode_control(Join("", 1, 1, "r", "z", "s", 1, 0, {})),
+        encode_control(Join("p", 1, 1, "r", "z", "s", 1, 1_001, {})),
+        encode_control(Heartbeat("p", 1, 1, -1, 0, 0, [])),
+        encode_control(Heartbeat("p", 1, 1, 1, 0, 0, list(range(65)))),
+        encode_control(Update("n", 1, 0, 1, 0, {}, [StateEntry("s", "r", "z", -1, 0, 0)])),
     ],
 )  # fmt: skip
 def test_bad_messages_are_unreadable(body: bytes) -> None:
     with pytest.raises(DatagramError):
-        read_control(body)
+        decode_control(body)
 
 
 def test_messages_come_back_as_they_were() -> None:
     entry = StateEntry("s", "r", "z", 1, 100, 50, [MemberState("p", 1, 100, 50)])
     for message in (join("p"), Granted("n", 1, ["s"]), Update("n", 1, 0, 2, 0, {"r": 5}, [entry])):
-        assert read_control(write_control(message)) == message
+        assert decode_control(encode_control(message)) == message
 
 
 def test_rate_and_burst_bound_any_second() -> None:
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -93,7 +93,7 @@
 
 
 def test_too_many_bytes_are_found() -> None:
-    terms = ControlTerms(update_bytes_s=80_000.0, update_burst=80_000.0, pressure_step=1, heartbeat=20.0)
+    terms = ControlTerms(update_bytes_per_s=80_000.0, update_burst=80_000.0, pressure_step=1, heartbeat=20.0)
     assert "bytes" in broken_rules(terms, seconds=8)
 
 
@@ -101,11 +101,11 @@
     monkeypatch.setattr(ControlNode, "_over_bound", lambda self, more, now: False)
     monkeypatch.setattr(ControlNode, "_shed", lambda self, now: None)
     monkeypatch.setattr("martentide.control.placement.draw", lambda proxy, node: 0.9 if node == "n0" else 0.1)
-    assert "load" in broken_rules(ControlTerms(least_bound=2))
+    assert "load" in broken_rules(ControlTerms(min_bound=2))
 
 
 def test_a_proxy_that_stays_away_from_home_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ControlClient, "_look_homeward", lambda self, update, now: None)
+    monkeypatch.setattr(ControlClient, "_schedule_home_return", lambda self, update, now: None)
     tier = SimulatedTier(SMALL, 5)
     checker = TierChecker(tier)
     home = [info.name for info in tier.infos if info.region == "r0"]
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -16,15 +16,15 @@
 
 from martentide.interface import Ending, Stands
 from martentide.learned import codec
-from martentide.learned.ageing import Clock, age_state, aged_image, clock, least_lag, weight
+from martentide.learned.ageing import ClockStatus, age_state, aged_image, classify_clock, least_lag, weight
 from martentide.learned.codec import Fault, StateError, fingerprint, read_state, write_state
 from martentide.learned.files import NEW, OLD, STATE, STEPS, load, save
 from martentide.learned.pacing import Pace, Pacing
-from martentide.learned.recovery import Found, Start, decide, diff
+from martentide.learned.recovery import Found, StartOutcome, decide, diff
 from martentide.learned.restore import Hints, Restored, restore
 from martentide.learned.schema import CONTROLLER_FIELDS, SERVER_FIELDS, ImageState, Learned
 from martentide.learned.schema import ServerState as Saved
-from martentide.learned.snapshot import SLICE, Snapshots, take
+from martentide.learned.snapshot import SERVERS_PER_SLICE, Snapshots, take
 from martentide.overload import slow_start
 from martentide.rules import BOUND_FLOOR, IMAGE_LIFE, Server
 from tests.support import SETTINGS, Bench, entry, sends
@@ -68,7 +68,7 @@
     loop = {"actions", "ticking", "tenants_due", "peers_due", "servers"}
     assert set(SERVER_FIELDS) == {field.name for field in dataclasses.fields(Server)}
     assert set(CONTROLLER_FIELDS) == set(vars(Bench().controller)) - told - loop
-    kept = {name for name, field in SERVER_FIELDS.items() if field.kept}
+    kept = {name for name, field in SERVER_FIELDS.items() if field.persisted}
     assert kept == {field.name for field in msgspec.structs.fields(Saved)} - {"name", "started"}
 
 
@@ -100,7 +100,7 @@
         ({"FORMAT_VERSION": 2}, Fault.OTHER_FORMAT),
         ({"FORMAT_VERSION": 0}, Fault.OTHER_FORMAT),
         ({"SCHEMA_VERSION": 99}, Fault.OTHER_SCHEMA),
-        ({"MOST_PAYLOAD": 10}, Fault.TOO_LARGE),
+        ({"MAX_PAYLOAD_BYTES": 10}, Fault.TOO_LARGE),
     ],
 )
 def test_another_version_is_refused_and_named(
@@ -135,8 +135,8 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=200))
 def test_any_bytes_as_a_payload_are_read_or_refused(payload: bytes) -> None:
-    head = codec.HEAD.pack(codec.MAGIC, 1, 1, PRINT, 1, NOW, len(payload))
-    sums = [codec.SUM.pack(crc32c.crc32c(part)) for part in (head, payload)]
+    head = codec.HEADER.pack(codec.MAGIC, 1, 1, PRINT, 1, NOW, len(payload))
+    sums = [codec.CHECKSUM.pack(crc32c.crc32c(part)) for part in (head, payload)]
     assert fault_of(head + sums[0] + payload + sums[1]) is Fault.PAYLOAD
 
 
@@ -220,7 +220,7 @@
     assert decision.state.learned.sequence == (3 if step == "sync-folder" else 2)
     save(disk, saved(4))
     again = decide(load(disk), PRINT, NOW)
-    assert again.start is Start.LAST_GOOD and again.sequence == 4
+    assert again.start is StartOutcome.LAST_GOOD and again.sequence == 4
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EROFS, errno.EACCES])
@@ -236,7 +236,7 @@
     assert decision.state is not None and decision.state.learned.sequence in (2, 3)
     disk.fail.clear()
     save(disk, saved(4))
-    assert decide(load(disk), PRINT, NOW).start is Start.LAST_GOOD
+    assert decide(load(disk), PRINT, NOW).start is StartOutcome.LAST_GOOD
     assert NEW not in disk.live
 
 
@@ -246,21 +246,21 @@
 @pytest.mark.parametrize(
     ("newest", "before", "start", "used", "refused"),
     [
-        (None, None, Start.NOTHING, "", 0),
-        (saved(2), saved(1), Start.LAST_GOOD, STATE, 0),
-        (saved(2)[:-1], saved(1), Start.EARLIER_GOOD, OLD, 1),
-        (None, saved(1), Start.EARLIER_GOOD, OLD, 0),
-        (b"", b"x", Start.REFUSED, "", 2),
-        (write_state(learned(saved_at=NOW + 60_000.0), PRINT), None, Start.REFUSED, "", 1),
-        (write_state(learned(saved_at=NOW - 86_400_000.0), PRINT), None, Start.AGED_OUT, STATE, 0),
+        (None, None, StartOutcome.NOTHING, "", 0),
+        (saved(2), saved(1), StartOutcome.LAST_GOOD, STATE, 0),
+        (saved(2)[:-1], saved(1), StartOutcome.EARLIER_GOOD, OLD, 1),
+        (None, saved(1), StartOutcome.EARLIER_GOOD, OLD, 0),
+        (b"", b"x", StartOutcome.REFUSED, "", 2),
+        (write_state(learned(saved_at=NOW + 60_000.0), PRINT), None, StartOutcome.REFUSED, "", 1),
+        (write_state(learned(saved_at=NOW - 86_400_000.0), PRINT), None, StartOutcome.AGED_OUT, STATE, 0),
     ],
 )
 def test_a_start_takes_the_last_good_state_or_none(
-    newest: bytes | None, before: bytes | None, start: Start, used: str, refused: int
+    newest: bytes | None, before: bytes | None, start: StartOutcome, used: str, refused: int
 ) -> None:
     decision = decide([Found(STATE, newest), Found(OLD, before)], PRINT, NOW)
     assert (decision.start, decision.used, len(decision.refused)) == (start, used, refused)
-    assert (decision.state is None) == (start in (Start.NOTHING, Start.REFUSED))
+    assert (decision.state is None) == (start in (StartOutcome.NOTHING, StartOutcome.REFUSED))
 
 
 def test_a_difference_names_server_field_and_figures() -> None:
@@ -275,19 +275,19 @@
 @pytest.mark.parametrize(
     ("saved_at", "expected"),
     [
-        (NOW, Clock.USUAL),
-        (NOW - 299_000.0, Clock.USUAL),
-        (NOW - 301_000.0, Clock.STALE),
-        (NOW + 1_500.0, Clock.BACK),
-        (NOW + 2_500.0, Clock.FUTURE),
+        (NOW, ClockStatus.USUAL),
+        (NOW - 299_000.0, ClockStatus.USUAL),
+        (NOW - 301_000.0, ClockStatus.STALE),
+        (NOW + 1_500.0, ClockStatus.BACK),
+        (NOW + 2_500.0, ClockStatus.FUTURE),
     ],
 )
 def test_a_clock_that_went_back_and_a_file_from_the_future_have_a_defined_answer(
-    saved_at: float, expected: Clock
+    saved_at: float, expected: ClockStatus
 ) -> None:
-    assert clock(saved_at, NOW) is expected
+    assert classify_clock(saved_at, NOW) is expected
     aged = age_state(learned(saved_at=saved_at), NOW)
-    assert aged.age >= 0.0 and (not aged.learned.servers) == (expected is Clock.FUTURE)
+    assert aged.age >= 0.0 and (not aged.learned.servers) == (expected is ClockStatus.FUTURE)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -408,10 +408,10 @@
 
 
 def test_a_snapshot_of_thousands_is_taken_in_slices_and_records_are_taken_again_only_on_change() -> None:
-    bench = Bench(servers=SLICE * 3)
+    bench = Bench(servers=SERVERS_PER_SLICE * 3)
     shots = Snapshots()
     parts = list(shots.slices(bench.controller, bench.now))
-    assert parts[:-1] == [None] * 3 and parts[-1] is not None and len(parts[-1].servers) == SLICE * 3
+    assert parts[:-1] == [None] * 3 and parts[-1] is not None and len(parts[-1].servers) == SERVERS_PER_SLICE * 3
     kept = dict(shots.records)
     bench.press("s5", 0.9)
     second = list(shots.slices(bench.controller, bench.now))[-1]
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -142,7 +142,7 @@
     async def scene(site: Site) -> None:
         await site.until(lambda: site.store.saves >= 1)
         monkeypatch.setattr("martentide.net.learned.os.fsync", hang)
-        await site.until(lambda: site.store.pacing.hang_said)
+        await site.until(lambda: site.store.pacing.hang_reported)
         before = site.touched
         await site.until(lambda: site.touched > before + 20)  # the loop goes on
         free.set()
--- a/tests/lifecycle/test_control.py
+++ b/tests/lifecycle/test_control.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from martentide.codec.control import MOST_BODY, MOST_HEAD, ControlCall, Refused, Request
+from martentide.codec.control import MAX_BODY_BYTES, MAX_HEADER_BYTES, ControlCall, Refused, Request
 from martentide.lifecycle.calls import IN_SERVICE, OUT_OF_SERVICE, READY
 
 GOOD = b"POST /control/out-of-service HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
@@ -33,7 +33,7 @@
         (b"GET /control/ready HTTP/1.1\r\n\r\n", 400),  # no Host
         (b"\x16\x03\x01 noise\r\n\r\n", 400),
         (b"GET /control/ready HTTP/1.1\r\nHost: a\r\nContent-Length: -4\r\n\r\n", 400),
-        (b"GET /" + b"x" * MOST_HEAD, 431),
+        (b"GET /" + b"x" * MAX_HEADER_BYTES, 431),
         (
             b"POST /control/in-service HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + b"x" * 99999,
             413,
@@ -76,8 +76,8 @@
     call = ControlCall()
     call.feed(b"POST /control/in-service HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n")
     chunk = b"100\r\n" + b"x" * 256 + b"\r\n"
-    said = [call.feed(chunk) for _ in range(MOST_BODY // 256 + 1)]
-    assert said[:-1] == [None] * (MOST_BODY // 256)
+    said = [call.feed(chunk) for _ in range(MAX_BODY_BYTES // 256 + 1)]
+    assert said[:-1] == [None] * (MAX_BODY_BYTES // 256)
     assert isinstance(said[-1], Refused) and said[-1].status == 413
 
 
