--- a/martentide/codec/control.py
+++ b/martentide/codec/control.py
@@ -52,7 +52,10 @@
             match event:
                 case h11.Request():
                     self.request = event
-                    if self.connection.they_are_waiting_for_100_continue and self._max_body() == MAX_BODY_BYTES:
+                    if (
+                        self.connection.they_are_waiting_for_100_continue
+                        and self._max_body() == MAX_BODY_BYTES
+                    ):
                         return self._route(event)  # the final answer spares the body
                 case h11.Data():
                     self.body += event.data
--- a/martentide/control/__init__.py
+++ b/martentide/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control tier: a few nodes that hold the proxies' leases and tell each what it subscribed to (pure)."""
+"""The control tier: a few nodes that grant leases to proxies and send each the state it subscribes to (pure)."""
--- a/martentide/control/client.py
+++ b/martentide/control/client.py
@@ -1,7 +1,7 @@
-"""A proxy's side of the control tier: one lease, renewed by heartbeats, and the state it subscribed to.
+"""The proxy side of the control tier: one lease, renewed by heartbeats, and the subscribed state.
 
-Pure: events in, actions out. Without any node the proxy goes on as one without a fleet; it says so once, and
-tries again, by chance and ever more slowly, so that nodes which come back are not overrun.
+Pure: events in, actions out. If no node grants a lease, the proxy works as one without a fleet: it reports
+this once and retries at randomized, growing intervals, so that returning nodes are not overloaded.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
     Granted,
     Heartbeat,
     Join,
+    LeaseRefused,
     Leave,
     StateEntry,
     ToNode,
     ToProxy,
-    LeaseRefused,
     Update,
 )
 from martentide.control.placement import NodeInfo, preference
 from martentide.control.service_table import DetailKey, digest
 from martentide.control.terms import ControlTerms
 
-MAX_MISSING = 64  # numbers of updates that are asked for again in one heartbeat
-MAX_JOIN_SLOWDOWN = 5.0  # times the join pace between two tries of one that has found no node at all
+MAX_MISSING = 64  # update numbers reported missing in one heartbeat
+MAX_JOIN_SLOWDOWN = 5.0  # factor on ``join_retry`` at most while no node answers
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyInfo:
-    """Who the proxy is; ``services``: its own and those that it calls."""
+    """Identity of the proxy; ``services``: its own service and those it calls."""
 
     name: str
     region: str
@@ -42,12 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FromNode:
+    """A message received from a control node."""
+
     message: ToProxy
 
 
 @dataclass(frozen=True, slots=True)
 class OwnState:
-    """The proxy's own server: ``capacity`` in set-ups a second, ``pressure`` in thousandths."""
+    """State of the proxy's own session server: ``capacity`` in set-ups a second, ``pressure`` in thousandths."""
 
     capacity: int
     pressure: int
@@ -55,12 +57,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Depart:
-    """The process ends."""
+    """The process stops: release the lease."""
 
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """The time ``due`` has come."""
+    """The time ``ControlClient.due`` has been reached."""
 
 
 Event = FromNode | OwnState | Depart | Due
@@ -68,20 +70,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToNode:
+    """Send ``message`` to that control node."""
+
     node: str
     message: ToNode
 
 
 @dataclass(frozen=True, slots=True)
 class Attached:
-    """The proxy holds a lease of that node."""
+    """That node granted the proxy a lease."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class Isolated:
-    """No node grants a lease: the proxy acts as one without a fleet."""
+    """No node grants a lease: the proxy works as one without a fleet."""
 
 
 Action = SendToNode | Attached | Isolated
@@ -89,23 +93,25 @@
 
 @dataclass(slots=True)
 class HeldEntry:
+    """A received state entry; ``as_of``: the time in ms at which it was current."""
+
     entry: StateEntry
     as_of: float
-    epoch: int  # the epoch under which it came or was found to be the same
+    epoch: int  # epoch of the lease under which it was received or confirmed by digest
 
 
 @dataclass(slots=True)
 class MissingUpdate:
-    """An update that did not come. ``beat``: the first that told of it, 0 for none yet; ``as_of``: what was
-    known by the one before it, by region."""
+    """An update that was not received. ``reported_in_beat``: the first heartbeat that reported it, 0 if none
+    yet; ``as_of``: by region, the time up to which the state was known before it."""
 
     reported_in_beat: int
     as_of: dict[str, float]
 
 
 class ControlClient:
-    """``life`` is drawn anew by each process; ``now`` is ms of a clock that never runs backwards. ``epoch``:
-    of its first lease, above those of earlier processes of that name."""
+    """State machine of one proxy's lease. Each process draws its own ``incarnation``; ``now`` is in ms of a
+    monotonic clock. ``epoch`` of the first lease must exceed those of earlier processes of this name."""
 
     def __init__(
         self,
@@ -122,9 +128,9 @@
         infos = tuple(nodes)
         self.order = preference(info.name, info.region, infos)
         self.home_nodes = {node.name for node in infos if node.region == info.region}
-        self.home_return_at: float | None = None  # when to go back to a node of the own region
-        self.node_index = 0  # place in the order of the node that is asked or held
-        self.failed_joins = 0  # nodes in a row that gave no lease
+        self.home_return_at: float | None = None  # when to return to a node of the own region
+        self.node_index = 0  # index in ``order`` of the node that is asked or holds the lease
+        self.failed_joins = 0  # consecutive join attempts without a lease
         self.epoch = epoch
         self.attached = self.isolated = self.departed = False
         self.last_received_at = now
@@ -134,16 +140,18 @@
         self.last_number = 0
         self.beat = 0
         self.missing: dict[int, MissingUpdate] = {}  # by number
-        self.update_as_of: dict[str, float] = {}  # by region, by the last update alone
-        self.synchronized = True  # what an earlier node told and this one does not is gone
+        self.update_as_of: dict[str, float] = {}  # by region, from the last update alone
+        self.synchronized = True  # whether entries of an earlier lease that this node lacks were removed
         self.due = now + self.rng.uniform(0.0, terms.join_retry)
         self.actions: list[Action] = []
 
     @property
     def node(self) -> str:
+        """The node that is asked for a lease or holds it."""
         return self.order[self.node_index]
 
     def handle(self, now: float, event: Event) -> list[Action]:
+        """Process one event and return the actions to carry out."""
         self.actions = []
         match event:
             case FromNode(message):
@@ -156,10 +164,10 @@
                 self._due(now)
         return self.actions
 
-    # ---- what the decisions may use ---------------------------------------------------------------------
+    # ---- state for the decisions ------------------------------------------------------------------------
 
     def age(self, key: DetailKey, now: float) -> float:
-        """ms since the entry was known to hold; infinite for one that is not held."""
+        """Return the ms since the entry was last known to be current; infinite for an unknown key."""
         held = self.entries.get(key)
         if held is None:
             return float("inf")
@@ -169,7 +177,7 @@
         return now - as_of
 
     def state(self, service: str, now: float) -> list[StateEntry]:
-        """The entries of a service that may be acted on: none that is past its end."""
+        """Return the entries of a service that are younger than ``entry_ttl``."""
         return [
             held.entry
             for key, held in self.entries.items()
@@ -203,7 +211,7 @@
         self.due = now + self.terms.join_retry * slower * self.rng.uniform(0.5, 1.5)
 
     def _select_next_node(self, now: float) -> None:
-        """The last try, if there was one, has had no answer."""
+        """Move to the next node if the last join attempt got no answer; report isolation after a full round."""
         if self.failed_joins and self.failed_joins % len(self.order) == 0 and not self.isolated:
             self.isolated = True
             self.actions.append(Isolated())
@@ -213,13 +221,13 @@
         self.failed_joins += 1
 
     def _node_timed_out(self, now: float) -> None:
-        """The node is silent: to the next one, each proxy at its own moment."""
+        """Give up a silent node. The delay is random, so that its proxies do not all join at once."""
         self.attached = False
         self.failed_joins = 1
         self.due = now + self.rng.uniform(0.0, self.terms.join_retry / 2.0)
 
     def _return_home(self, now: float) -> None:
-        """Give the lease in another region back, and ask the own region's nodes from the first on."""
+        """Release the lease in another region and join the nodes of the own region, first choice first."""
         self.actions.append(SendToNode(self.node, Leave(self.info.name, self.epoch)))
         self.attached, self.home_return_at = False, None
         self.node_index, self.failed_joins = 0, 1
@@ -243,14 +251,14 @@
             self.actions.append(SendToNode(self.node, Leave(self.info.name, self.epoch)))
         self.departed, self.attached = True, False
 
-    # ---- what the node says -----------------------------------------------------------------------------
+    # ---- messages of the node ---------------------------------------------------------------------------
 
     def _from_node(self, message: ToProxy, now: float) -> None:
         if self.departed:
             return
         if message.epoch != self.epoch or message.node != self.node:
             if isinstance(message, Granted | Update) and message.epoch < self.epoch:
-                # A node that is given up holds a lease still, and would go on telling until that ends.
+                # A former node still holds a lease and would send updates until its expiry.
                 self.actions.append(SendToNode(message.node, Leave(self.info.name, message.epoch)))
             return
         match message:
@@ -284,7 +292,7 @@
         elif answer.full:
             self.due = now + self.terms.full_retry * self.rng.uniform(0.8, 1.2)
         elif not self.attached:
-            self.failed_joins = 0  # it is there: to the same node again, when it has time
+            self.failed_joins = 0  # the node is alive but rate-limits joins: retry at the same node
             self.due = now + answer.retry_after + self.rng.uniform(0.0, self.terms.join_retry)
 
     # ---- state ------------------------------------------------------------------------------------------
@@ -306,19 +314,21 @@
         self._schedule_home_return(update, now)
 
     def _track_missing(self, update: Update) -> None:
-        """Which updates are missing: the node tells what they held again, under a new number, once it has
-        heard the beat that says so."""
+        """Track missing updates. The node sends their entries again under a new number once it has received
+        the heartbeat that reports them; an update that answers such a heartbeat clears them."""
         if update.number > self.last_number:
             for number in range(max(self.last_number + 1, update.number - MAX_MISSING), update.number):
                 self.missing[number] = MissingUpdate(0, self.update_as_of)
             self.last_number = update.number
         self.missing.pop(update.number, None)
-        told_again = [number for number, one in self.missing.items() if 0 < one.reported_in_beat <= update.beat]
+        told_again = [
+            number for number, one in self.missing.items() if 0 < one.reported_in_beat <= update.beat
+        ]
         for number in told_again:
             del self.missing[number]
 
     def _schedule_home_return(self, update: Update, now: float) -> None:
-        """Away from home, go back once nodes of the own region are heard of there, at a moment by chance."""
+        """Plan the return to the own region, at a random moment, once this node receives summaries from it."""
         there = update.ages.get(self.info.region, self.terms.lease) < self.terms.lease
         if self.node in self.home_nodes or not self.home_nodes or not there:
             self.home_return_at = None
@@ -326,7 +336,8 @@
             self.home_return_at = now + self.terms.home_retry * self.rng.random()
 
     def _confirm(self, update: Update, now: float) -> None:
-        """What came under this lease is as old as the node says; once nothing waits, it is all there is."""
+        """Update the confirmed ages of the entries. Once the node has no backlog and no update is missing, the
+        state is complete and entries of earlier leases are removed."""
         if not self.synchronized and not update.backlog_age and not self.missing:
             self.synchronized = True
             self.entries = {key: held for key, held in self.entries.items() if held.epoch == self.epoch}
--- a/martentide/control/node.py
+++ b/martentide/control/node.py
@@ -1,7 +1,7 @@
-"""A control node: grants leases, gathers what proxies say, and tells each what it subscribed to.
+"""A control node: grants leases, aggregates the state of proxies and sends each the state it subscribes to.
 
-Pure: events in, actions out; ``now`` is ms of a clock that never runs backwards. Membership among the nodes
-is the fleet's own (``martentide/fleet/``): the host hands in who of them is up, and carries their messages.
+Pure: events in, actions out; ``now`` is in ms of a monotonic clock. Membership among the nodes is detected by
+the fleet protocol (``martentide/fleet/``): the host reports which nodes are up and carries their messages.
 """
 
 from __future__ import annotations
@@ -11,58 +11,66 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, field
 
-from martentide.control.token_bucket import TokenBucket
 from martentide.control.messages import (
-    SnapshotRequest,
     BetweenNodes,
     Granted,
     Heartbeat,
     Join,
+    LeaseRefused,
     Leave,
+    SnapshotRequest,
     StateEntry,
     Summary,
     ToNode,
     ToProxy,
-    LeaseRefused,
     entry_size,
 )
 from martentide.control.placement import NodeInfo
 from martentide.control.service_table import DetailKey, ServiceTable, SumKey, digest
 from martentide.control.subscriber import Subscriber
 from martentide.control.terms import ControlTerms
+from martentide.control.token_bucket import TokenBucket
 
-SUMMARY_MAX_BYTES = 1_100  # bytes of entries in one message between nodes: it travels inside a datagram
-MAX_OUT_OF_ORDER = 512  # summaries of one node that wait for one before them
-GAP_TIMEOUT_MS = 500.0  # ms for which they wait, before the whole set is asked for
-SUMMARY_KEEPALIVE_MS = 1_000.0  # ms without a change after which a node says all the same that it lives
-MAX_SHED_PER_PASS = 4  # leases that a node with too many gives up at one look
-JOIN_RETRY_TOKENS = 3  # times the join pace after which a proxy is told to come back
+SUMMARY_MAX_BYTES = 1_100  # bytes of entries in one message between nodes: it is carried inside a datagram
+MAX_OUT_OF_ORDER = 512  # buffered summaries of one node that wait for an earlier one
+GAP_TIMEOUT_MS = 500.0  # wait for a missing summary before a snapshot is requested
+SUMMARY_KEEPALIVE_MS = 1_000.0  # without a change, after which an empty summary is sent as a sign of life
+MAX_SHED_PER_PASS = 4  # leases that an overloaded node sheds in one pass
+JOIN_RETRY_TOKENS = 3  # tokens that must be available at the time a rejected proxy is told to retry
 
 
 @dataclass(frozen=True, slots=True)
 class FromProxy:
+    """A message received from a proxy; ``address`` is opaque to the core."""
+
     message: ToNode
     address: Hashable
 
 
 @dataclass(frozen=True, slots=True)
 class FromPeer:
+    """A message received from another control node."""
+
     message: BetweenNodes
 
 
 @dataclass(frozen=True, slots=True)
 class PeerUp:
+    """Membership found the node alive."""
+
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerDown:
+    """Membership found the node dead or gone."""
+
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """The time ``due`` has come."""
+    """The time ``ControlNode.due`` has been reached."""
 
 
 Event = FromProxy | FromPeer | PeerUp | PeerDown | Due
@@ -70,12 +78,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToProxy:
+    """Send ``message`` to the proxy at ``address``."""
+
     address: Hashable
     message: ToProxy
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
+    """Send ``message`` to the control node named ``to``."""
+
     to: str
     message: BetweenNodes
 
@@ -85,18 +97,20 @@
 
 @dataclass(slots=True)
 class Peer:
-    """Another control node as this one knows it."""
+    """Another control node: its liveness, the summaries received from it and those sent to it."""
 
     info: NodeInfo
     up: bool = False
     last_received_at: float = -math.inf
     leases: int = 0
-    series: int = -1  # of its summaries, and the number of the last one that was taken
+    series: int = -1  # of its summaries; ``applied_number`` is the last one applied
     applied_number: int = 0
-    out_of_order: dict[int, Summary] = field(default_factory=dict)  # that came ahead of one before them
+    out_of_order: dict[int, Summary] = field(
+        default_factory=dict
+    )  # by number, received before an earlier one
     gap_since: float | None = None
-    snapshot_requested_at: float = -math.inf  # for the whole set
-    sent_number: int = 0  # number of the last summary to it, and its series
+    snapshot_requested_at: float = -math.inf
+    sent_number: int = 0  # last summary sent to it, within ``sent_series``
     sent_series: int = 0
     pending: OrderedDict[DetailKey, None] = field(default_factory=OrderedDict)
     needs_snapshot: bool = True
@@ -104,12 +118,12 @@
 
 
 class ControlNode:
-    """``nodes`` are all control nodes of the fleet, this one among them."""
+    """State machine of one control node. ``nodes``: all control nodes of the fleet, including this one."""
 
     def __init__(
         self, name: str, nodes: Iterable[NodeInfo], terms: ControlTerms, now: float, series: int = 0
     ) -> None:
-        """``series``: above those of earlier processes of that name."""
+        """``series`` must exceed that of every earlier process of this name."""
         self.series = series
         infos = {info.name: info for info in nodes}
         self.info, self.terms = infos[name], terms
@@ -118,7 +132,7 @@
         self.service_table = ServiceTable(name)
         self.leases: dict[str, Subscriber] = {}
         self.by_service: dict[str, dict[str, Subscriber]] = {}
-        self.pending: dict[str, Subscriber] = {}  # who has something waiting
+        self.pending: dict[str, Subscriber] = {}  # subscribers with queued changes
         self.joins = TokenBucket(terms.joins_per_s, terms.joins_burst, now)
         self.counts: Counter[str] = Counter()
         self.now = now
@@ -128,6 +142,7 @@
         self.actions: list[Action] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
+        """Process one event and return the actions to carry out."""
         self.actions = []
         self.now = now
         match event:
@@ -139,7 +154,7 @@
                 self._peer_up(name)
             case PeerDown(name):
                 if (peer := self.peers.get(name)) is not None:
-                    peer.up, peer.series = False, -1  # its next process may count from anywhere
+                    peer.up, peer.series = False, -1  # a restarted process may begin at any series
             case Due():
                 self._due(now)
         return self.actions
@@ -221,14 +236,16 @@
         self._mark_own_changed(subscriber.key, urgent=True)
 
     def _expire(self, now: float) -> None:
-        for subscriber in [one for one in self.leases.values() if now - one.last_received_at > self.terms.lease]:
+        for subscriber in [
+            one for one in self.leases.values() if now - one.last_received_at > self.terms.lease
+        ]:
             self.counts["expired"] += 1
             self._end_lease(subscriber)
 
     # ---- load -------------------------------------------------------------------------------------------
 
     def bound(self, now: float) -> int:
-        """The most leases that this node may hold, by the mean of its region's nodes that are up."""
+        """Return the lease limit of this node: ``load_bound`` times its weighted share of the region's leases."""
         peers = [peer for peer in self.peers.values() if peer.info.region == self.region]
         living = [peer for peer in peers if peer.up]
         remembered = [peer for peer in peers if now - peer.last_received_at <= self.terms.load_retention]
@@ -241,7 +258,7 @@
         return len(self.leases) + more > self.bound(now)
 
     def _shed(self, now: float) -> None:
-        """Ask a few proxies to go elsewhere where this node holds too many: a node has come back."""
+        """Ask a few proxies to move to another node while this one is over its limit, as after a node returned."""
         beyond = len(self.leases) - self.bound(now)
         if beyond <= 0:
             return
@@ -250,10 +267,10 @@
             answer = LeaseRefused(self.name, subscriber.epoch, True, 0)
             self.actions.append(SendToProxy(subscriber.address, answer))
 
-    # ---- telling subscribers ----------------------------------------------------------------------------
+    # ---- updates to subscribers -------------------------------------------------------------------------
 
     def _mark_changed(self, key: DetailKey, urgent: bool) -> None:
-        """Mark the key for all that may hold it: as it is in its own region, as a sum in the others."""
+        """Queue the key for all subscribers of the service: per zone in its own region, as a sum in others."""
         service, region, zone = key
         for subscriber in self.by_service.get(service, {}).values():
             mine = key if zone and subscriber.region == region else (service, region, "")
@@ -278,7 +295,7 @@
             self.pending.pop(subscriber.name, None)
 
     def _region_ages(self, now: float) -> dict[str, int]:
-        """ms since the last word of the least heard node of each region that counts here."""
+        """Return per region the ms since the last summary of its most silent node that is still counted."""
         ages = {self.region: 0.0}
         for peer in self.peers.values():
             if peer.last_received_at > -math.inf and peer.applied_number:
@@ -305,7 +322,8 @@
                 self._receive_summary(peer, message, now)
 
     def _receive_summary(self, peer: Peer, summary: Summary, now: float) -> None:
-        """Take summaries in their order: datagrams overtake each other, and a few are waited for."""
+        """Apply summaries in order. Datagrams may be reordered, so later ones are buffered; after
+        ``GAP_TIMEOUT_MS`` without the missing one a snapshot is requested."""
         if summary.series < peer.series:
             return
         if summary.series > peer.series:
@@ -358,7 +376,9 @@
                 entries.append(entry)
             peer.sent_number += 1
             peer.last_sent_at = now
-            told = Summary(self.name, self.region, len(self.leases), peer.sent_series, peer.sent_number, entries)
+            told = Summary(
+                self.name, self.region, len(self.leases), peer.sent_series, peer.sent_number, entries
+            )
             self.actions.append(SendToPeer(peer.info.name, told))
             if not peer.pending:
                 return
@@ -369,13 +389,19 @@
         return self.service_table.own_entry(key) if zone else self.service_table.own_sum(sum_key)
 
     def _drop_silent_peers(self, now: float) -> None:
-        """A node that is silent counts no more, where its proxies can be elsewhere by now. Of a region that
-        is cut off whole, what was last known stays, marked by its age."""
+        """Drop the entries of a node silent for ``peer_timeout``: its proxies can have moved by now. If a
+        whole region is silent, its last known entries stay and only their age grows."""
         heard = {
-            peer.info.region for peer in self.peers.values() if now - peer.last_received_at <= self.terms.peer_timeout
+            peer.info.region
+            for peer in self.peers.values()
+            if now - peer.last_received_at <= self.terms.peer_timeout
         } | {self.region}
         for peer in self.peers.values():
-            if peer.applied_number and now - peer.last_received_at > self.terms.peer_timeout and peer.info.region in heard:
+            if (
+                peer.applied_number
+                and now - peer.last_received_at > self.terms.peer_timeout
+                and peer.info.region in heard
+            ):
                 peer.applied_number, peer.series = 0, -1
                 for key in self.service_table.drop_source(peer.info.name):
                     self._mark_changed(key, urgent=True)
--- a/martentide/control/service_table.py
+++ b/martentide/control/service_table.py
@@ -1,7 +1,7 @@
-"""What one control node knows of services: its own leases and the shares of the other nodes, and their sum.
+"""The services one control node knows: entries of its own leases, those of other nodes, and their merge.
 
-Members of a zone may hold leases at several nodes. Within a region nodes tell each other of members one by
-one, so that a member which two of them hold counts once, by its later lease. To other regions they tell sums.
+Members of a zone may hold leases at several nodes. Within a region, nodes exchange individual members, so
+that a member with leases at two nodes counts once, by its later lease. Other regions receive sums.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def sum_entries(service: str, region: str, entries: Iterable[StateEntry]) -> StateEntry:
-    """One entry for all of them: members up, capacity, and pressure weighted by capacity."""
+    """Return one entry for a region: total members and capacity, and pressure weighted by capacity."""
     up = capacity = weighted = 0
     for entry in entries:
         up += entry.up
@@ -27,7 +27,7 @@
 
 
 def zone_entry(key: DetailKey, members: Iterable[MemberState]) -> StateEntry:
-    """The entry of a zone from its members."""
+    """Return the entry of a zone computed from its members."""
     listed = sorted(members, key=lambda member: member.name)
     capacity = sum(member.capacity for member in listed)
     weighted = sum(member.capacity * member.pressure for member in listed)
@@ -36,41 +36,45 @@
 
 @dataclass(frozen=True, slots=True)
 class SizedEntry:
-    """An entry, and the bytes that it takes in a message."""
+    """An entry and its encoded size in bytes."""
 
     entry: StateEntry
     size: int
 
 
 class ServiceTable:
-    """``own`` is this node's name. Values are merged as they are asked for, and kept until a part changes."""
+    """Entries by service, region and zone. ``own`` is this node's name. Merged values are computed on demand
+    and cached until one of their parts changes."""
 
     def __init__(self, own: str) -> None:
         self.own = own
-        self.members: dict[DetailKey, dict[str, dict[str, MemberState]]] = {}  # by source, then name
-        self.sums: dict[SumKey, dict[str, StateEntry]] = {}  # by source, of nodes in other regions
+        self.members: dict[
+            DetailKey, dict[str, dict[str, MemberState]]
+        ] = {}  # by source node, then member name
+        self.sums: dict[SumKey, dict[str, StateEntry]] = {}  # by source node, from other regions
         self.zones: dict[SumKey, set[str]] = {}
         self.regions: dict[str, set[str]] = {}  # of each service
         self.merged: dict[DetailKey, StateEntry] = {}
         self.values: dict[
             tuple[DetailKey, bool], SizedEntry
-        ] = {}  # by whether the reader's region is the key's
+        ] = {}  # the flag: whether the reader is in the key's region
 
     # ---- changes ----------------------------------------------------------------------------------------
 
     def set_member(self, key: DetailKey, member: MemberState) -> None:
-        """An own lease's member is as ``member`` says from now on."""
+        """Set the member of one of this node's own leases."""
         self._source_members(key, self.own)[member.name] = member
         self._invalidate(key)
 
     def drop_member(self, key: DetailKey, name: str) -> None:
+        """Remove the member of a lease that ended."""
         sources = self.members.get(key)
         if sources is not None and sources.get(self.own, {}).pop(name, None) is not None:
             self._prune(key, self.own)
             self._invalidate(key)
 
     def set_entry(self, source: str, entry: StateEntry) -> bool:
-        """Another node's entry takes the place of its earlier one; whether somebody came or went by it."""
+        """Replace the entry of another node; return whether the set or number of members changed."""
         if entry.zone:
             known = self._source_members(entry.key, source)
             names = set(known)
@@ -92,7 +96,7 @@
         return entry.up != (former.up if former is not None else 0)
 
     def drop_source(self, source: str) -> list[DetailKey]:
-        """Nothing of that node counts any more; what has changed by it."""
+        """Remove all entries of that node and return the keys that changed."""
         changed: list[DetailKey] = []
         for key in [key for key, sources in self.members.items() if source in sources]:
             del self.members[key][source]
@@ -107,7 +111,7 @@
         return changed
 
     def _invalidate(self, key: DetailKey) -> None:
-        """The values that the key is part of are to be merged anew."""
+        """Drop the cached values that the key is part of."""
         self.merged.pop(key, None)
         whole = (key[0], key[1], "")
         for one in ((key, True), (key, False), (whole, True), (whole, False)):
@@ -120,7 +124,7 @@
         return self.members.setdefault(key, {}).setdefault(source, {})
 
     def _prune(self, key: DetailKey, source: str) -> None:
-        """Keep no empty tables: services and zones come and go."""
+        """Remove empty tables, so that departed services and zones take no memory."""
         sources = self.members.get(key, {})
         if source in sources and not sources[source]:
             del sources[source]
@@ -146,20 +150,21 @@
     # ---- values -----------------------------------------------------------------------------------------
 
     def own_entry(self, key: DetailKey) -> StateEntry:
-        """What this node tells the others of its region: its own members of that zone."""
+        """Return the entry sent to nodes of the same region: this node's own members of that zone."""
         return zone_entry(key, self.members.get(key, {}).get(self.own, {}).values())
 
     def own_sum(self, key: SumKey) -> StateEntry:
-        """What this node tells other regions: the sum of its own members."""
+        """Return the entry sent to other regions: the sum of this node's own members."""
         shares = [self.own_entry((*key, zone)) for zone in self.zones.get(key, ())]
         return sum_entries(*key, shares)
 
     def own_keys(self) -> list[DetailKey]:
+        """Return the keys for which this node holds leases."""
         return [key for key, sources in self.members.items() if self.own in sources]
 
     def value(self, key: DetailKey, reader: str) -> SizedEntry:
-        """The entry of that key for a reader of that region: details of its own, sums of others. An own
-        region's sum is what nodes of other regions hold of it."""
+        """Return the entry of the key for a reader in that region: zones of its own region, sums of others.
+        The sum of the reader's own region covers the members whose leases are at nodes of other regions."""
         near = key[1] == reader
         known = self.values.get((key, near))
         if known is None:
@@ -175,7 +180,7 @@
         return sum_entries(service, region, parts)
 
     def keys(self, service: str, reader: str) -> list[DetailKey]:
-        """All keys of a service that a reader of that region may hold."""
+        """Return all keys of a service that a reader in that region subscribes to."""
         found: list[DetailKey] = []
         for region in sorted(self.regions.get(service, ())):
             if region == reader:
@@ -198,6 +203,6 @@
 
 
 def digest(entries: Iterable[StateEntry]) -> int:
-    """A short sum over entries, the same wherever the same is held; never 0."""
+    """Return a checksum of the entries, independent of their order and never 0."""
     ordered = sorted(entries, key=lambda entry: entry.key)
     return zlib.crc32(repr(ordered).encode()) | 1 << 32
--- a/martentide/control/subscriber.py
+++ b/martentide/control/subscriber.py
@@ -1,7 +1,7 @@
-"""One proxy as its control node sees it: its lease, and what of its subscriptions waits to be told.
+"""One proxy as its control node sees it: its lease and the queue of changes to send to it.
 
-The queue holds each key once, however often it changes, so it is bounded by the subscriptions; what was told
-and is not acknowledged in time waits again. Nobody waits for a slow subscriber.
+The queue holds each key once, however often it changes, so the subscriptions bound its length. Entries that
+are not acknowledged in time are queued again. A slow subscriber delays no other.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 from collections import OrderedDict
 from collections.abc import Callable, Hashable, Iterable
 
-from martentide.control.token_bucket import TokenBucket
 from martentide.control.messages import Heartbeat, Join, MemberState, StateEntry, Update
 from martentide.control.service_table import DetailKey, SizedEntry
 from martentide.control.terms import IP_UDP_HEADER_BYTES, ControlTerms
+from martentide.control.token_bucket import TokenBucket
 from martentide.fleet.terms import DATAGRAM
 from martentide.fleet.wire import CHECK, HEAD
 
 UPDATE_BASE = IP_UDP_HEADER_BYTES + HEAD + CHECK + 24  # bytes of an update without ages and entries
-AGE_BYTES = 4  # of one region's age, beside its name
+AGE_BYTES = 4  # of one region's age, besides its name
 
 Value = Callable[[DetailKey], SizedEntry]
 
 
 class Subscriber:
-    """``address`` is the host's own; nothing here looks at it."""
+    """A lease and its update queue. ``address`` is opaque here; only the host uses it."""
 
     def __init__(self, join: Join, address: Hashable, terms: ControlTerms, now: float) -> None:
         self.name, self.incarnation, self.epoch = join.name, join.incarnation, join.epoch
@@ -33,36 +33,42 @@
         self.services = frozenset(join.digests)
         self.address, self.terms = address, terms
         self.last_received_at = now
-        self.pending: OrderedDict[DetailKey, float] = OrderedDict()  # and since when
-        self.sent_entries: dict[DetailKey, StateEntry] = {}  # what it holds, as far as nothing is known to be lost
+        self.pending: OrderedDict[DetailKey, float] = (
+            OrderedDict()
+        )  # key to the time in ms since which it is queued
+        self.sent_entries: dict[
+            DetailKey, StateEntry
+        ] = {}  # entries the proxy holds, assuming that no update was lost
         self.unacknowledged: OrderedDict[int, tuple[float, tuple[DetailKey, ...]]] = OrderedDict()
         self.last_number = 0
         self.beat = 0
-        # Empty at first: the node before may have told a whole burst within this second.
+        # Starts empty: the previous node may have sent a whole burst within this second.
         self.bucket = TokenBucket(terms.update_bytes_per_s, terms.update_burst, now, initial=0.0)
-        self.matching_services: set[str] = set()  # services of which it held the same as this node as it joined
+        self.matching_services: set[str] = set()  # services whose digest matched at the join
 
     @property
     def key(self) -> DetailKey:
+        """The zone that the proxy is a member of."""
         return (self.service, self.region, self.zone)
 
     def member(self) -> MemberState:
+        """Return the published state of the member."""
         return MemberState(self.name, self.epoch, self.capacity, self.pressure)
 
     def mark_changed(self, keys: Iterable[DetailKey], now: float, urgent: bool = False) -> None:
-        """These changed. Who died or came goes ``first``, ahead of changes of pressure; a key that waits
-        already keeps its place, so that one which changes all the time is told as well."""
+        """Queue changed keys. ``urgent`` ones (members that joined or died) go to the front, ahead of changes of
+        pressure; other queued keys keep their position, so that a constantly changing key is sent too."""
         for key in keys:
             self.pending.setdefault(key, now)
             if urgent:
                 self.pending.move_to_end(key, last=False)
 
     def backlog_age(self, now: float) -> int:
-        """ms for which the oldest change waits, 0 where none does."""
+        """Return the ms for which the oldest change has been queued, 0 for an empty queue."""
         return math.ceil(now - min(self.pending.values())) + 1 if self.pending else 0
 
     def apply_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Take a heartbeat; whether what is told of the member has changed by it."""
+        """Renew the lease; return whether the published state of the member changed."""
         self.last_received_at = now
         self.beat = max(self.beat, heartbeat.beat)
         self._process_acknowledgements(heartbeat, now)
@@ -87,15 +93,16 @@
         self.mark_changed(lost, now)
 
     def _next_key(self, now: float) -> DetailKey:
-        """The first in the queue, but for one that has waited long: who comes and goes may not starve it."""
+        """Return the front of the queue, or the oldest key after ``max_queue_wait``, which prevents starvation
+        by urgent keys."""
         oldest = min(self.pending, key=self.pending.__getitem__)
         return oldest if now - self.pending[oldest] > self.terms.max_queue_wait else next(iter(self.pending))
 
     def build_update(
         self, node: str, ages: dict[str, int], value: Value, now: float, answer: bool
     ) -> Update | None:
-        """What may be told now; None where there is nothing, or no bytes for it. The ``answer`` to a
-        heartbeat goes in any case and is counted."""
+        """Return the next update, or None if nothing is queued or the byte budget or the window is used up.
+        The ``answer`` to a heartbeat is always sent and charged to the budget."""
         base = UPDATE_BASE + sum(len(region) + AGE_BYTES for region in ages)
         room = min(self.bucket.available(now), DATAGRAM) - base
         if not answer and (not self.pending or room <= 0 or len(self.unacknowledged) >= self.terms.window):
@@ -105,7 +112,7 @@
         while self.pending and len(self.unacknowledged) < self.terms.window:
             key = self._next_key(now)
             sized = value(key)
-            if self.sent_entries.get(key) == sized.entry:  # it changed back, or all of a node's was told anew
+            if self.sent_entries.get(key) == sized.entry:  # it changed back, or a node repeated its whole set
                 del self.pending[key]
                 continue
             if sized.size > room:
--- a/martentide/learned/codec.py
+++ b/martentide/learned/codec.py
@@ -82,7 +82,9 @@
         learned.saved_at,
         len(payload),
     )
-    return b"".join((head, CHECKSUM.pack(crc32c.crc32c(head)), payload, CHECKSUM.pack(crc32c.crc32c(payload))))
+    return b"".join(
+        (head, CHECKSUM.pack(crc32c.crc32c(head)), payload, CHECKSUM.pack(crc32c.crc32c(payload)))
+    )
 
 
 def read_state(raw: bytes, settings_print: bytes | None) -> Learned:
@@ -102,7 +104,9 @@
     if schema != SCHEMA_VERSION:
         raise StateError(Fault.OTHER_SCHEMA, f"schema {schema}, expected {SCHEMA_VERSION}")
     if length > MAX_PAYLOAD_BYTES:
-        raise StateError(Fault.TOO_LARGE, f"a payload of {length} bytes, expected {MAX_PAYLOAD_BYTES} at most")
+        raise StateError(
+            Fault.TOO_LARGE, f"a payload of {length} bytes, expected {MAX_PAYLOAD_BYTES} at most"
+        )
     whole = HEADER_BYTES + length + CHECKSUM.size
     if len(raw) < whole:
         raise StateError(Fault.CUT, f"{len(raw)} bytes, expected {whole}")
--- a/martentide/learned/recovery.py
+++ b/martentide/learned/recovery.py
@@ -72,7 +72,9 @@
         if aged.clock is ClockStatus.STALE:
             start = StartOutcome.AGED_OUT
         return Decision(start, aged, file.name, tuple(refused), sequence)
-    return Decision(StartOutcome.REFUSED if refused else StartOutcome.NOTHING, None, "", tuple(refused), sequence)
+    return Decision(
+        StartOutcome.REFUSED if refused else StartOutcome.NOTHING, None, "", tuple(refused), sequence
+    )
 
 
 def diff(old: Learned, new: Learned) -> list[str]:
--- a/martentide/learned/schema.py
+++ b/martentide/learned/schema.py
@@ -108,7 +108,9 @@
     "own_share": FieldPolicy(False, "told in an upgrade, for as long as it lasts"),
     "duty": FieldPolicy(False, "told by the fleet, anew after each start"),
     "admission": FieldPolicy(False, "told by the fleet, anew after each start"),
-    "repeats": FieldPolicy(False, "tokens of a process that is no more: a budget in common counts them as spent"),
+    "repeats": FieldPolicy(
+        False, "tokens of a process that is no more: a budget in common counts them as spent"
+    ),
     "repeats_until": FieldPolicy(False, "as the tokens"),
     "warm": FieldPolicy(False, "looked at four times a second"),
     "pace": FieldPolicy(False, "would let a cold server have more than a fresh proxy gives it"),
--- a/martentide/net/tier/proxy.py
+++ b/martentide/net/tier/proxy.py
@@ -13,10 +13,10 @@
 
 from martentide.control import client
 from martentide.control.client import (
-    Isolated,
     Attached,
     ControlClient,
     FromNode,
+    Isolated,
     OwnState,
     ProxyInfo,
     SendToNode,
@@ -24,8 +24,8 @@
 from martentide.control.messages import (
     MAX_PRESSURE,
     Granted,
-    StateEntry,
     LeaseRefused,
+    StateEntry,
     Update,
     decode_control,
     encode_control,
@@ -170,7 +170,9 @@
         if event.report is None or event.report.hold_back is None:
             return
         listed = self.dispatcher.listed.get(event.server)
-        capacity = CAPACITY_PER_SIZE if listed is None else max(1, round(CAPACITY_PER_SIZE * listed.entry.size))
+        capacity = (
+            CAPACITY_PER_SIZE if listed is None else max(1, round(CAPACITY_PER_SIZE * listed.entry.size))
+        )
         pressure = min(MAX_PRESSURE, max(0, round(event.report.hold_back * MAX_PRESSURE)))
         own = OwnState(capacity, pressure)
         if own != self.own_state:
--- a/tests/control/test_cores.py
+++ b/tests/control/test_cores.py
@@ -5,18 +5,17 @@
 import pytest
 
 from martentide.control import client, node
-from martentide.control.token_bucket import TokenBucket
-from martentide.control.client import Isolated, Attached, ControlClient, FromNode, ProxyInfo, SendToNode
+from martentide.control.client import Attached, ControlClient, FromNode, Isolated, ProxyInfo, SendToNode
 from martentide.control.messages import (
-    SnapshotRequest,
     Granted,
     Heartbeat,
     Join,
+    LeaseRefused,
     Leave,
     MemberState,
+    SnapshotRequest,
     StateEntry,
     Summary,
-    LeaseRefused,
     Update,
     decode_control,
     encode_control,
@@ -33,6 +32,7 @@
 from martentide.control.placement import NodeInfo, preference
 from martentide.control.service_table import ServiceTable, digest
 from martentide.control.terms import ControlTerms
+from martentide.control.token_bucket import TokenBucket
 from martentide.fleet.wire import DatagramError
 
 TERMS = ControlTerms()
@@ -176,7 +176,9 @@
     for at in range(200):
         one.hear(Join("p1", 8, at + 1, "r0", "z1", "s0", 100, at * 5 % 1_000, {"s0": 0}))
         one.wait(200)
-        one.core.leases["p0"].last_received_at = one.now  # as if it lived, and its heartbeats had no room for a word
+        one.core.leases[
+            "p0"
+        ].last_received_at = one.now  # as if it lived, and its heartbeats had no room for a word
     subscriber = one.core.leases["p0"]
     assert len(subscriber.unacknowledged) <= TERMS.window and len(subscriber.pending) <= 3
 
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -411,7 +411,9 @@
     bench = Bench(servers=SERVERS_PER_SLICE * 3)
     shots = Snapshots()
     parts = list(shots.slices(bench.controller, bench.now))
-    assert parts[:-1] == [None] * 3 and parts[-1] is not None and len(parts[-1].servers) == SERVERS_PER_SLICE * 3
+    assert (
+        parts[:-1] == [None] * 3 and parts[-1] is not None and len(parts[-1].servers) == SERVERS_PER_SLICE * 3
+    )
     kept = dict(shots.records)
     bench.press("s5", 0.9)
     second = list(shots.slices(bench.controller, bench.now))[-1]
