--- a/martentide/control/messages.py
+++ b/martentide/control/messages.py
@@ -1,7 +1,7 @@
-"""Messages of the control tier: between a proxy and its node, and between nodes. Sizes are those of the wire.
+"""Messages of the control tier: between a proxy and its node, and between nodes. Sizes are encoded sizes.
 
-Each is a MessagePack array with a number for its type in front, in the fleet's sealed frame
-(``martentide/fleet/wire.py``). Elements that a later version adds at the end are passed over.
+Each is a MessagePack array that starts with a type number, inside the fleet's authenticated frame
+(``martentide/fleet/wire.py``). Elements that a later version appends are ignored.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 
 class MemberState(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One member of a service. ``epoch`` counts the leases that it took: of two nodes that both hold it, the
-    later lease counts. ``capacity`` in set-ups a second, ``pressure`` in thousandths to be held back."""
+    """One member of a service. ``epoch`` counts its leases: if two nodes hold one of this member, the later
+    lease counts. ``capacity`` in set-ups per second; ``pressure``: thousandths of calls to hold back."""
 
     name: str
     epoch: int
@@ -24,8 +24,8 @@
 
 
 class StateEntry(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What is known of a service in one zone, or, with an empty zone, in a whole region that is not the
-    reader's own. Always the whole value, so that an entry which comes twice or late does no harm."""
+    """State of a service in one zone or, with an empty zone, in a whole region other than the reader's.
+    Entries carry the complete value, so that duplicates and late arrivals are harmless."""
 
     service: str
     region: str
@@ -37,12 +37,13 @@
 
     @property
     def key(self) -> tuple[str, str, str]:
+        """Service, region and zone."""
         return (self.service, self.region, self.zone)
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=1):
-    """A proxy asks a node for a lease. ``held``: a digest of what it holds, for each service that it
-    subscribes to, 0 for nothing."""
+    """A proxy requests a lease. ``digests``: per subscribed service a checksum of the entries it holds, 0 for
+    none."""
 
     name: str
     incarnation: int
@@ -56,8 +57,8 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
-    """The lease is renewed. ``beat`` counts them; ``received``: the last update that came, ``missing``: those
-    before it that did not."""
+    """Renews a lease. ``beat`` numbers the heartbeats; ``received``: the highest update number received,
+    ``missing``: lower numbers that were not received."""
 
     name: str
     epoch: int
@@ -69,15 +70,15 @@
 
 
 class Leave(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
-    """The proxy ends, or has taken a lease elsewhere."""
+    """The proxy stops or has taken a lease at another node."""
 
     name: str
     epoch: int
 
 
 class Granted(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
-    """The lease is given, and runs from the last heartbeat on. ``same``: services of which the proxy holds
-    what the node would tell it."""
+    """The lease is granted and expires a fixed time after the last heartbeat. ``matching_services``: services
+    whose digest matches, so that the proxy need not be sent their entries."""
 
     node: str
     epoch: int
@@ -85,8 +86,8 @@
 
 
 class LeaseRefused(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
-    """No lease here. ``full``: another node has room; otherwise try again after ``retry`` ms. ``unknown``:
-    the node holds no such lease (any more)."""
+    """No lease at this node. ``full``: ask another node; otherwise retry after ``retry_after`` ms. ``unknown``:
+    the node does not hold the lease, or no longer."""
 
     node: str
     epoch: int
@@ -96,9 +97,9 @@
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=6):
-    """State for one subscriber, and the answer to its heartbeat. ``beat``: the last that was heard.
-    ``behind``: ms for which the oldest change waits that is not told yet, 0 for none: so all that it holds
-    is as old as that and what ``ages`` says of the region, in ms."""
+    """State for one subscriber, also the answer to its heartbeat. ``beat``: the last heartbeat received.
+    ``backlog_age``: ms for which the oldest unsent change is queued, 0 for none. The age of the subscriber's
+    state is this plus the age of the region in ``ages``, in ms."""
 
     node: str
     epoch: int
@@ -110,8 +111,8 @@
 
 
 class Summary(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=7):
-    """What one node tells another of its own leases: entries that changed, and how many it holds. A series
-    begins with the whole set, which takes the place of all before, and numbers its messages from 1."""
+    """Changed entries of one node's own leases, and their count, sent to another node. A series starts with a
+    snapshot that replaces everything before and numbers its messages from 1."""
 
     node: str
     region: str
@@ -122,7 +123,7 @@
 
 
 class SnapshotRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=8):
-    """A node missed a summary and asks for the whole set."""
+    """A node missed a summary and requests a snapshot."""
 
     node: str
 
@@ -137,11 +138,12 @@
 
 
 def encode_control(message: ControlMessage) -> bytes:
+    """Encode one message."""
     return _ENCODER.encode(message)
 
 
 def decode_control(body: bytes) -> ControlMessage:
-    """Raises DatagramError, also for figures that nobody could mean."""
+    """Decode and validate one message. Raises DatagramError if it is malformed or holds values out of range."""
     try:
         message: ControlMessage = _DECODER.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
@@ -152,7 +154,7 @@
 
 
 def entry_size(entry: StateEntry) -> int:
-    """Bytes it takes in a message."""
+    """Return the encoded size of the entry in bytes."""
     return len(_ENCODER.encode(entry))
 
 
--- a/martentide/control/placement.py
+++ b/martentide/control/placement.py
@@ -1,8 +1,8 @@
-"""Which control nodes a proxy asks for a lease, in what order: weighted rendezvous hashing.
+"""The order in which a proxy asks control nodes for a lease, by weighted rendezvous hashing.
 
-Thaler, Ravishankar, "Using name-based mappings to increase hit rates" (1998). A node that is lost moves its
-own proxies only, each to the next of its order. The bound on a node's load is the nodes' to keep: they turn
-away who comes beyond it (Mirrokni, Thorup, Zadimoghaddam, "Consistent hashing with bounded loads", 2018).
+Thaler, Ravishankar, "Using name-based mappings to increase hit rates" (1998). The loss of a node moves only
+its own proxies, each to the next node of its order. The nodes themselves enforce a load bound and refuse
+further leases (Mirrokni, Thorup, Zadimoghaddam, "Consistent hashing with bounded loads", 2018).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeInfo:
-    """A control node as proxies are configured with it; ``weight`` > 0."""
+    """A control node in the configuration of proxies; ``weight`` > 0."""
 
     name: str
     region: str
@@ -25,13 +25,13 @@
 
 
 def draw(proxy: str, node: str) -> float:
-    """Evenly over 0 to 1, both left out, and the same everywhere."""
+    """Return a hash of both names, uniform in the open interval (0, 1) and equal on all hosts."""
     digest = hashlib.blake2s(f"{proxy}\0{node}".encode(), digest_size=8).digest()
     return ((int.from_bytes(digest) >> (64 - DRAW_BITS)) + 0.5) / (1 << DRAW_BITS)
 
 
 def preference(proxy: str, region: str, nodes: Iterable[NodeInfo]) -> list[str]:
-    """All nodes, the own region's first, each group by its weighted draw for this proxy."""
+    """Return all node names, those of the own region first, each group by weighted rendezvous rank."""
 
     def rank(node: NodeInfo) -> tuple[bool, float, str]:
         return (node.region != region, -math.log(draw(proxy, node.name)) / node.weight, node.name)
--- a/martentide/control/subscriber.py
+++ b/martentide/control/subscriber.py
@@ -56,8 +56,9 @@
         return MemberState(self.name, self.epoch, self.capacity, self.pressure)
 
     def mark_changed(self, keys: Iterable[DetailKey], now: float, urgent: bool = False) -> None:
-        """Queue changed keys. ``urgent`` ones (members that joined or died) go to the front, ahead of changes of
-        pressure; other queued keys keep their position, so that a constantly changing key is sent too."""
+        """Queue changed keys. ``urgent`` ones (members that joined or died) go to the front, ahead of
+        changes of pressure. Other queued keys keep their position, so that a constantly changing key is
+        sent too."""
         for key in keys:
             self.pending.setdefault(key, now)
             if urgent:
@@ -93,8 +94,8 @@
         self.mark_changed(lost, now)
 
     def _next_key(self, now: float) -> DetailKey:
-        """Return the front of the queue, or the oldest key after ``max_queue_wait``, which prevents starvation
-        by urgent keys."""
+        """Return the front of the queue, or the oldest key once it has waited ``max_queue_wait``, so that
+        urgent keys cannot starve it."""
         oldest = min(self.pending, key=self.pending.__getitem__)
         return oldest if now - self.pending[oldest] > self.terms.max_queue_wait else next(iter(self.pending))
 
--- a/martentide/net/tier/__init__.py
+++ b/martentide/net/tier/__init__.py
@@ -1,1 +1,1 @@
-"""The control tier on sockets: the actor of a control node, and that of a proxy which holds a lease."""
+"""The control tier on sockets: the actors of a control node and of a proxy that holds a lease."""
--- a/martentide/net/tier/datagrams.py
+++ b/martentide/net/tier/datagrams.py
@@ -1,4 +1,4 @@
-"""A UDP endpoint whose datagrams go into a bounded mailbox: a flood costs a counter."""
+"""A UDP endpoint that puts datagrams into a bounded mailbox, so that a flood only raises a counter."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrived:
-    """A datagram as it came."""
+    """A received datagram and its sender."""
 
     data: bytes
     source: Address
 
 
 class Endpoint(asyncio.DatagramProtocol):
-    """``post`` gets each datagram; ``counts`` those that a send could not deliver."""
+    """Calls ``post`` for each datagram; counts send errors in ``counts``."""
 
     def __init__(self, post: Callable[[Arrived], object], counts: Counter[str]) -> None:
         self.post, self.counts = post, counts
 
     def datagram_received(self, data: bytes, address: tuple[str | object, int]) -> None:
+        """Post the datagram."""
         self.post(Arrived(data, (str(address[0]), address[1])))
 
     def error_received(self, error: Exception) -> None:
-        self.counts["unreachable"] += 1  # nobody listens there: as good as a lost datagram
+        """Count an ICMP error of an earlier send."""
+        self.counts["unreachable"] += 1  # no socket at the destination: equivalent to a lost datagram
--- a/martentide/net/tier/node.py
+++ b/martentide/net/tier/node.py
@@ -1,6 +1,6 @@
-"""The actor of one control node: owns its core and the membership among the nodes, and two endpoints.
+"""The actor of one control node: owns its core, the membership among the nodes and two UDP endpoints.
 
-One endpoint hears proxies, the other the other nodes; both post into one mailbox, which has a bound.
+One endpoint serves proxies, the other control nodes; both post into one bounded mailbox.
 """
 
 from __future__ import annotations
@@ -32,30 +32,35 @@
 from martentide.net.due_timer import DueTimer
 from martentide.net.tier.datagrams import Arrived, Endpoint
 
-MAILBOX_SIZE = 4_096  # datagrams in the mailbox; more is dropped, as a full socket buffer would
-ITEMS_PER_TURN = 64  # items taken before the rest of the program has its turn
-REPORT_INTERVAL_S = 10.0  # s between two lines about leases and datagrams
+MAILBOX_SIZE = 4_096  # datagrams; further ones are dropped, as by a full socket buffer
+ITEMS_PER_TURN = 64  # items processed before other tasks may run
+REPORT_INTERVAL_S = 10.0  # between log lines on leases and datagrams
 
 
 @dataclass(frozen=True, slots=True)
 class OfProxies:
+    """A datagram received from a proxy."""
+
     arrived: Arrived
 
 
 @dataclass(frozen=True, slots=True)
 class OfNodes:
+    """A datagram received from a control node."""
+
     arrived: Arrived
 
 
 class Tick:
-    """The time of one of the two cores has come."""
+    """A deadline of the core or of the membership has been reached."""
 
 
 Item = OfProxies | OfNodes | Tick
 
 
 class ControlHost:
-    """``run`` opens the endpoints and serves until ``stop``; raises OSError where an address is taken."""
+    """A control node on sockets. ``run`` opens the endpoints and serves until ``stop``; it raises OSError if an
+    address is in use."""
 
     def __init__(self, part: ControlNodePart, terms: ControlTerms | None = None) -> None:
         self.part = part
@@ -80,10 +85,11 @@
         return self.loop.time() * 1_000.0
 
     def stop(self) -> None:
-        """Say goodbye to the other nodes, and end; proxies go elsewhere when they hear no more."""
+        """Announce the departure to the other nodes and stop; proxies move when their node falls silent."""
         self.stopping.set()
 
     async def run(self) -> None:
+        """Serve until ``stop``. Raises OSError if an address is in use."""
         own = self.part.own()
         open_endpoint = self.loop.create_datagram_endpoint
         self.proxy_transport, _ = await open_endpoint(
@@ -131,7 +137,7 @@
                 await asyncio.sleep(0)
             try:
                 self._process_item(item)
-            except Exception:  # one strange message must not end the node
+            except Exception:  # one unexpected message must not stop the node
                 LOG.exception("internal-error control", item=type(item).__name__)
             self._arm()
 
--- a/martentide/net/tier/proxy.py
+++ b/martentide/net/tier/proxy.py
@@ -1,7 +1,7 @@
-"""The actor of a proxy's lease: owns the client's core, and speaks with control nodes by datagrams.
+"""The actor of a proxy's lease: owns the client core and exchanges datagrams with control nodes.
 
-What it learns is for the same consumers as the flat fleet's; until they take it, it is shown by the
-operator's call ``/control/fleet``. The proxy's own pressure is that of its session server, by its reports.
+Its state is meant for the consumers of the flat fleet's state; until they use it, the operator's call
+``/control/fleet`` shows it. The proxy's own pressure is taken from the load reports of its session server.
 """
 
 from __future__ import annotations
@@ -39,19 +39,19 @@
 from martentide.net.due_timer import DueTimer
 from martentide.net.tier.datagrams import Arrived, Endpoint
 
-MAILBOX_SIZE = 256  # items in the mailbox; more is dropped, as a full socket buffer would
-CAPACITY_PER_SIZE = 100  # in which the session server's size is told as its capacity
+MAILBOX_SIZE = 256  # items; further ones are dropped, as by a full socket buffer
+CAPACITY_PER_SIZE = 100  # published capacity of a session server of size 1
 
 
 class Tick:
-    """The core's time has come."""
+    """The core's deadline has been reached."""
 
 
 Item = Arrived | Tick
 
 
 class TierMember:
-    """This proxy's lease; ``join`` after ``retire`` takes one anew."""
+    """This proxy's lease; ``join`` after ``retire`` requests a new one."""
 
     def __init__(self, part: ControlTierPart, name: str, dispatcher: Dispatcher, seed: int) -> None:
         self.part, self.name, self.dispatcher, self.seed = part, name, dispatcher, seed
@@ -69,10 +69,10 @@
     def _now(self) -> float:
         return self.loop.time() * 1_000.0
 
-    # ---- life -------------------------------------------------------------------------------------------
+    # ---- life cycle -------------------------------------------------------------------------------------
 
     async def join(self) -> None:
-        """Open an endpoint, at a port of the system's choice, and ask for a lease."""
+        """Open a UDP endpoint at an ephemeral port and request a lease."""
         if self.core is not None:
             return
         transport, _ = await self.loop.create_datagram_endpoint(
@@ -83,7 +83,7 @@
         info = ProxyInfo(
             self.name, part.region, part.zone, part.service, frozenset((part.service, *part.calls))
         )
-        # Leases of a later process under this name count before those of an earlier one.
+        # Leases of a later process under this name take precedence over those of an earlier one.
         epoch = int(time.time())
         self.core = ControlClient(
             info, part.infos(), ControlTerms(), self.seed ^ time.monotonic_ns(), self._now(), epoch
@@ -92,30 +92,31 @@
         self._arm()
 
     def retire(self) -> None:
-        """Fall silent without a word: a successor takes the name over."""
+        """Stop without releasing the lease: a successor takes over the name."""
         self.timer.cancel()
         if self.transport is not None:
             self.transport.close()
         self.core = self.transport = None
 
     def depart(self) -> None:
-        """Give the lease back, then fall silent."""
+        """Release the lease, then stop."""
         if self.core is not None:
             self._handle_event(client.Depart())
         self.retire()
 
     async def run(self) -> None:
+        """Process the mailbox until cancelled."""
         while True:
             item = await self.mailbox.get()
             try:
                 self._process_item(item)
-            except Exception:  # one strange message must not end the lease
+            except Exception:  # one unexpected message must not end the lease
                 LOG.exception("internal-error tier", item=type(item).__name__)
             if self.core is not None:
                 self._arm()
 
     def post(self, item: Item) -> bool:
-        """Whether there was room for it."""
+        """Put an item into the mailbox; return False and count it if the mailbox is full."""
         if self.mailbox.full():
             self.counts["overrun"] += 1
             return False
@@ -164,7 +165,7 @@
     # ---- the proxy's own state --------------------------------------------------------------------------
 
     def _observe_event(self, _: float, event: Event) -> None:
-        """Runs in the dispatcher's turn: what the own session server asks to be held back."""
+        """Update the own state from a load report of the own session server. Called by the dispatcher."""
         if not isinstance(event, ProbeEnded | AttemptEnded) or event.server != self.part.server:
             return
         if event.report is None or event.report.hold_back is None:
@@ -180,14 +181,14 @@
             if self.core is not None:
                 self._handle_event(own)
 
-    # ---- what people see --------------------------------------------------------------------------------
+    # ---- status -----------------------------------------------------------------------------------------
 
     def state(self, service: str) -> list[StateEntry]:
-        """What may be acted on of a service: nothing without a lease's word in time."""
+        """Return the usable entries of a service; none if the control tier has sent nothing in time."""
         return [] if self.core is None else self.core.state(service, self._now())
 
     def status(self) -> str:
-        """JSON: the lease, and the entries with their ages in ms."""
+        """Return JSON with the lease and the entries with their ages in ms."""
         core = self.core
         if core is None:
             return json.dumps({"fleet": self.part.fleet, "name": self.name, "state": "retired"})
