--- a/martentide/control/client.py
+++ b/martentide/control/client.py
@@ -102,8 +102,8 @@
 
 @dataclass(slots=True)
 class MissingUpdate:
-    """An update that was not received. ``reported_in_beat``: the first heartbeat that reported it, 0 if none
-    yet; ``as_of``: by region, the time up to which the state was known before it."""
+    """An update that was not received. ``reported_in_beat``: first heartbeat that reported it, 0 if
+    none yet; ``as_of``: by region, the time up to which the state was known before it."""
 
     reported_in_beat: int
     as_of: dict[str, float]
@@ -211,7 +211,7 @@
         self.due = now + self.terms.join_retry * slower * self.rng.uniform(0.5, 1.5)
 
     def _select_next_node(self, now: float) -> None:
-        """Move to the next node if the last join attempt got no answer; report isolation after a full round."""
+        """Move to the next node if the last join got no answer; report isolation after a full round."""
         if self.failed_joins and self.failed_joins % len(self.order) == 0 and not self.isolated:
             self.isolated = True
             self.actions.append(Isolated())
@@ -328,7 +328,7 @@
             del self.missing[number]
 
     def _schedule_home_return(self, update: Update, now: float) -> None:
-        """Plan the return to the own region, at a random moment, once this node receives summaries from it."""
+        """Plan the return to the own region, at a random time, once this node hears from that region."""
         there = update.ages.get(self.info.region, self.terms.lease) < self.terms.lease
         if self.node in self.home_nodes or not self.home_nodes or not there:
             self.home_return_at = None
@@ -336,8 +336,8 @@
             self.home_return_at = now + self.terms.home_retry * self.rng.random()
 
     def _confirm(self, update: Update, now: float) -> None:
-        """Update the confirmed ages of the entries. Once the node has no backlog and no update is missing, the
-        state is complete and entries of earlier leases are removed."""
+        """Update the confirmed ages of the entries. Once the node has no backlog and no update is missing,
+        the state is complete and entries of earlier leases are removed."""
         if not self.synchronized and not update.backlog_age and not self.missing:
             self.synchronized = True
             self.entries = {key: held for key, held in self.entries.items() if held.epoch == self.epoch}
--- a/martentide/control/messages.py
+++ b/martentide/control/messages.py
@@ -42,8 +42,8 @@
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=1):
-    """A proxy requests a lease. ``digests``: per subscribed service a checksum of the entries it holds, 0 for
-    none."""
+    """A proxy requests a lease. ``digests``: per subscribed service, a checksum of the entries it holds, or
+    0 for none."""
 
     name: str
     incarnation: int
@@ -77,8 +77,8 @@
 
 
 class Granted(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
-    """The lease is granted and expires a fixed time after the last heartbeat. ``matching_services``: services
-    whose digest matches, so that the proxy need not be sent their entries."""
+    """The lease is granted and expires a fixed time after the last heartbeat. ``matching_services``:
+    services whose digest matches, so that their entries need not be sent."""
 
     node: str
     epoch: int
@@ -111,8 +111,8 @@
 
 
 class Summary(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=7):
-    """Changed entries of one node's own leases, and their count, sent to another node. A series starts with a
-    snapshot that replaces everything before and numbers its messages from 1."""
+    """Changed entries of one node's own leases, and the number of leases, sent to another node. A series
+    starts with a snapshot that replaces everything before and numbers its messages from 1."""
 
     node: str
     region: str
--- a/martentide/control/node.py
+++ b/martentide/control/node.py
@@ -245,7 +245,7 @@
     # ---- load -------------------------------------------------------------------------------------------
 
     def bound(self, now: float) -> int:
-        """Return the lease limit of this node: ``load_bound`` times its weighted share of the region's leases."""
+        """Return the lease limit: ``load_bound`` times this node's weighted share of the region's leases."""
         peers = [peer for peer in self.peers.values() if peer.info.region == self.region]
         living = [peer for peer in peers if peer.up]
         remembered = [peer for peer in peers if now - peer.last_received_at <= self.terms.load_retention]
@@ -258,7 +258,7 @@
         return len(self.leases) + more > self.bound(now)
 
     def _shed(self, now: float) -> None:
-        """Ask a few proxies to move to another node while this one is over its limit, as after a node returned."""
+        """Ask a few proxies to move while this node is over its limit, as after another node returned."""
         beyond = len(self.leases) - self.bound(now)
         if beyond <= 0:
             return
@@ -270,7 +270,7 @@
     # ---- updates to subscribers -------------------------------------------------------------------------
 
     def _mark_changed(self, key: DetailKey, urgent: bool) -> None:
-        """Queue the key for all subscribers of the service: per zone in its own region, as a sum in others."""
+        """Queue the key for all subscribers of the service: by zone in its region, as a sum in others."""
         service, region, zone = key
         for subscriber in self.by_service.get(service, {}).values():
             mine = key if zone and subscriber.region == region else (service, region, "")
--- a/martentide/learned/__init__.py
+++ b/martentide/learned/__init__.py
@@ -1,6 +1,6 @@
-"""Learned state across restarts: what the decisions have learned, saved and taken up again.
+"""Learned state across restarts: persistence of what the decisions learned about session servers.
 
-``schema`` says what is kept and why, ``ageing`` how it loses weight, ``codec`` how it is written,
-``snapshot`` takes it from a Controller and ``restore`` gives it to a fresh one. All of it is pure: the clock
-and random numbers are handed in, and nothing here touches a file.
+``schema`` defines which fields are saved and why, ``ageing`` how they lose weight, ``codec`` the file format,
+``snapshot`` reads them from a Controller and ``restore`` loads them into a new one. Everything here is pure:
+the clock and the random numbers are passed in, and no file is accessed.
 """
--- a/martentide/learned/ageing.py
+++ b/martentide/learned/ageing.py
@@ -1,7 +1,7 @@
-"""How old state counts for less, field by field. Pure.
+"""Ageing of saved state, field by field. Pure.
 
-Age counts from when the state was *saved* to when it is taken up. A weight is 0.5 ** (age / half-life):
-smooth, 1 for what was saved now. A belief whose weight has fallen under FORGOTTEN is left out altogether.
+The age is the time from *saving* the state to restoring it. A weight is 0.5 ** (age / half-life), 1 at age 0.
+A value whose weight is below MIN_WEIGHT is dropped.
 """
 
 from __future__ import annotations
@@ -11,22 +11,23 @@
 
 from martentide.learned.schema import SERVER_FIELDS, ImageState, Learned, ServerState
 
-MIN_WEIGHT = 0.02  # of the weight: six half-lives and a little
-CLOCK_TOLERANCE_MS = 2_000.0  # ms by which a clock may have been set back without the state being refused
-STALE_AFTER_MS = 300_000.0  # ms after which nothing but ways to servers can be left, and the start says so
-MIN_SUSPECT_WEIGHT = 0.25  # of the weight: below, a server is no longer suspect
+MIN_WEIGHT = 0.02  # reached after slightly less than six half-lives
+CLOCK_TOLERANCE_MS = 2_000.0  # by which the clock may have been set back before the state is refused
+STALE_AFTER_MS = 300_000.0  # age at which only round trips to servers can remain; reported at the start
+MIN_SUSPECT_WEIGHT = 0.25  # below this weight a server is no longer suspect
 
 
 class ClockStatus(Enum):
-    """What the time of the save says."""
+    """The time of the save compared with the clock."""
 
     USUAL = "usual"
-    BACK = "clock-back"  # saved a little in the future: the clock was set back; counts as saved now
-    FUTURE = "from-the-future"  # saved far in the future: not to be believed
-    STALE = "stale"  # so old that practically nothing is left
+    BACK = "clock-back"  # slightly in the future: the clock was set back; treated as age 0
+    FUTURE = "from-the-future"  # far in the future: not credible
+    STALE = "stale"  # so old that practically nothing remains
 
 
 def classify_clock(saved_at: float, now: float) -> ClockStatus:
+    """Classify the time of the save against ``now``, both in Unix ms."""
     age = now - saved_at
     if age < -CLOCK_TOLERANCE_MS:
         return ClockStatus.FUTURE
@@ -36,39 +37,41 @@
 
 
 def weight(age: float, field: str) -> float:
-    """Of a server's field, by its half-life; 1 where it has none."""
+    """Return the weight of a server's field at ``age`` ms; 1 for a field without a half-life."""
     half_life = SERVER_FIELDS[field].half_life
     return 1.0 if half_life is None else float(0.5 ** (max(0.0, age) / half_life))
 
 
 def least_lag(value: float | None, age: float) -> float | None:
-    """Grows as it loses weight, so that the next answer takes its place; beyond belief it is left out."""
+    """Return the aged minimum round trip. It grows with age, so that the next answer replaces it, and is
+    dropped below MIN_WEIGHT."""
     part = weight(age, "least_lag")
     return None if value is None or part < MIN_WEIGHT else value / part
 
 
 def aged_image(image: ImageState | None, age: float, now: float) -> ImageState | None:
-    """An image lapses by its report's own time. What it holds back fades as the decisions let it fade."""
+    """Return the aged gap image, None once expired. It expires by the time of its report; the share held back
+    decays as in the decisions."""
     if image is None or now >= image.expires:
         return None
     part = weight(age, "image")
     if part < MIN_WEIGHT:
         return None
-    # u was the offered rate times one minus the share: with less held back it is more by that much.
+    # u is the offered rate times one minus the share held back: a smaller share means a higher rate.
     share = image.hold_back * part
     rate = image.rate * (1.0 - share) / max(1e-6, 1.0 - image.hold_back)
     return ImageState(share, rate, image.expires, image.reported)
 
 
 def aged_server(server: ServerState, age: float, now: float) -> ServerState:
-    """What is left of the beliefs on one server after ``age`` ms."""
+    """Return the state of one server after ``age`` ms."""
     trusted = weight(age, "suspect")
     suspect = server.suspect and trusted >= MIN_SUSPECT_WEIGHT
     faults = server.faults * weight(age, "faults")
     return ServerState(
         name=server.name,
         started=server.started,
-        # Waits and lags fade by their own times in the decisions; a time to come would make them grow.
+        # Waits and lags decay by their own timestamps in the decisions; one in the future would let them grow.
         wait=server.wait,
         wait_at=min(server.wait_at, now),
         lag=server.lag,
@@ -90,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Aged:
-    """State as it counts now. ``age`` ms since the save, 0 where the clock went back."""
+    """Aged state. ``age``: ms since the save, 0 if the clock was set back."""
 
     clock: ClockStatus
     age: float
@@ -98,7 +101,7 @@
 
 
 def age_state(learned: Learned, now: float) -> Aged:
-    """Whole state aged to ``now``; from the future nothing is left."""
+    """Age the whole state to ``now``; state from the future is emptied."""
     verdict = classify_clock(learned.saved_at, now)
     age = max(0.0, now - learned.saved_at)
     if verdict is ClockStatus.FUTURE:
--- a/martentide/learned/codec.py
+++ b/martentide/learned/codec.py
@@ -1,12 +1,12 @@
-"""The file of learned state, byte for byte. Pure.
+"""File format of the learned state. Pure.
 
     file    = magic:8 format:2 schema:2 settings:16 sequence:8 saved:8 length:4 headsum:4 payload sum:4
     magic   = "MTLEARN\\n"; numbers are big-endian; saved is a Unix time in ms as a double
-    headsum = CRC-32C of all before it; sum = CRC-32C of the payload (RFC 3720, B.4 has the polynomial)
+    headsum = CRC-32C of everything before it; sum = CRC-32C of the payload (polynomial: RFC 3720, B.4)
     payload = Learned as MessagePack
 
-Another format or schema is refused, never guessed at. The head has its own sum, so that a length that was
-spoilt is seen before it is believed.
+Another format or schema is refused. The header has its own checksum, so that a corrupted length is detected
+before it is used.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 MAGIC = b"MTLEARN\n"
 FORMAT_VERSION = 1
 HEADER = struct.Struct(">8sHH16sQdI")
-CHECKSUM = struct.Struct(">I")
-HEADER_BYTES = HEADER.size + CHECKSUM.size
+CRC_FIELD = struct.Struct(">I")
+HEADER_BYTES = HEADER.size + CRC_FIELD.size
 MAX_PAYLOAD_BYTES = 64 * 1024 * 1024
-MOST_FILE = HEADER_BYTES + MAX_PAYLOAD_BYTES + CHECKSUM.size
+MOST_FILE = HEADER_BYTES + MAX_PAYLOAD_BYTES + CRC_FIELD.size
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Learned)
 
 
 class Fault(Enum):
-    """Why a file is refused."""
+    """Reason for which a file is refused."""
 
     EMPTY = "empty"
     NOT_STATE = "not-state"
@@ -49,7 +49,7 @@
 
 
 class StateError(ValueError):
-    """A file that can't be used; ``fault`` is its reason code, the text one line with found and expected."""
+    """An unusable file. ``fault`` is the reason code; the message is one line with found and expected values."""
 
     def __init__(self, fault: Fault, detail: str) -> None:
         super().__init__(f"{fault.value}: {detail}")
@@ -57,7 +57,7 @@
 
 
 def fingerprint(settings: Settings) -> bytes:
-    """Of what the learned figures depend on: under other settings they mean something else."""
+    """Return a hash of the settings on which the learned values depend; under others they are meaningless."""
     facts = [
         repr(
             sorted((kind.name, kind.worth, kind.aim, kind.deadline, kind.pools) for kind in settings.classes)
@@ -69,10 +69,10 @@
 
 
 def write_state(learned: Learned, settings_print: bytes) -> bytes:
-    """One whole file. Raises StateError where it would be too large to be read again."""
+    """Return the contents of a whole file. Raises StateError if it would be too large to be read back."""
     payload = _encoder.encode(learned)
     if len(payload) > MAX_PAYLOAD_BYTES:
-        raise StateError(Fault.TOO_LARGE, f"{len(payload)} bytes, expected {MAX_PAYLOAD_BYTES} at most")
+        raise StateError(Fault.TOO_LARGE, f"{len(payload)} bytes, expected at most {MAX_PAYLOAD_BYTES}")
     head = HEADER.pack(
         MAGIC,
         FORMAT_VERSION,
@@ -83,39 +83,39 @@
         len(payload),
     )
     return b"".join(
-        (head, CHECKSUM.pack(crc32c.crc32c(head)), payload, CHECKSUM.pack(crc32c.crc32c(payload)))
+        (head, CRC_FIELD.pack(crc32c.crc32c(head)), payload, CRC_FIELD.pack(crc32c.crc32c(payload)))
     )
 
 
 def read_state(raw: bytes, settings_print: bytes | None) -> Learned:
-    """The state in a file; ``settings_print`` None: of whatever settings. Raises StateError alone."""
+    """Return the state in a file; ``settings_print`` None accepts any settings. Raises only StateError."""
     if not raw:
         raise StateError(Fault.EMPTY, "no bytes")
     if raw[: len(MAGIC)] != MAGIC[: len(raw)]:
         raise StateError(Fault.NOT_STATE, f"begins with {raw[:8]!r}, expected {MAGIC!r}")
     if len(raw) < HEADER_BYTES:
-        raise StateError(Fault.CUT, f"{len(raw)} bytes, expected a head of {HEADER_BYTES}")
+        raise StateError(Fault.CUT, f"{len(raw)} bytes, expected a header of {HEADER_BYTES}")
     _, form, schema, found_print, sequence, saved_at, length = HEADER.unpack_from(raw)
-    if form != FORMAT_VERSION:  # before the sum: where that stands, another format may say otherwise
+    if form != FORMAT_VERSION:  # checked first: another format may place the checksum elsewhere
         raise StateError(Fault.OTHER_FORMAT, f"format {form}, expected {FORMAT_VERSION}")
-    (head_sum,) = CHECKSUM.unpack_from(raw, HEADER.size)
+    (head_sum,) = CRC_FIELD.unpack_from(raw, HEADER.size)
     if crc32c.crc32c(raw[: HEADER.size]) != head_sum:
-        raise StateError(Fault.CHECKSUM, "the head's sum does not fit")
+        raise StateError(Fault.CHECKSUM, "header checksum mismatch")
     if schema != SCHEMA_VERSION:
         raise StateError(Fault.OTHER_SCHEMA, f"schema {schema}, expected {SCHEMA_VERSION}")
     if length > MAX_PAYLOAD_BYTES:
         raise StateError(
             Fault.TOO_LARGE, f"a payload of {length} bytes, expected {MAX_PAYLOAD_BYTES} at most"
         )
-    whole = HEADER_BYTES + length + CHECKSUM.size
+    whole = HEADER_BYTES + length + CRC_FIELD.size
     if len(raw) < whole:
         raise StateError(Fault.CUT, f"{len(raw)} bytes, expected {whole}")
     if len(raw) > whole:
-        raise StateError(Fault.TRAILING, f"{len(raw) - whole} bytes behind the end")
+        raise StateError(Fault.TRAILING, f"{len(raw) - whole} trailing bytes")
     payload = raw[HEADER_BYTES : HEADER_BYTES + length]
-    (payload_sum,) = CHECKSUM.unpack_from(raw, HEADER_BYTES + length)
+    (payload_sum,) = CRC_FIELD.unpack_from(raw, HEADER_BYTES + length)
     if crc32c.crc32c(payload) != payload_sum:
-        raise StateError(Fault.CHECKSUM, "the payload's sum does not fit")
+        raise StateError(Fault.CHECKSUM, "payload checksum mismatch")
     if settings_print is not None and found_print != settings_print:
         raise StateError(
             Fault.OTHER_SETTINGS, f"settings {found_print.hex()}, expected {settings_print.hex()}"
@@ -129,7 +129,7 @@
     except (msgspec.DecodeError, RecursionError, ValueError) as error:
         raise StateError(Fault.PAYLOAD, str(error)) from None
     if learned.sequence != sequence or learned.saved_at != saved_at:
-        raise StateError(Fault.PAYLOAD, "the head and the payload name different saves")
+        raise StateError(Fault.PAYLOAD, "header and payload belong to different saves")
     if len(learned.servers) > MAX_SERVERS or len(learned.redials) > MAX_REDIALS:
         raise StateError(Fault.TOO_LARGE, f"{len(learned.servers)} servers, {len(learned.redials)} redials")
     return learned
--- a/martentide/learned/files.py
+++ b/martentide/learned/files.py
@@ -1,9 +1,9 @@
-"""The discipline of the files: which steps in which order, so that no start ever sees half a state.
+"""Crash-safe replacement of the state file: the order of steps that never leaves only a partial state.
 
-    write state.new, fsync it, rename state -> state.old, rename state.new -> state, fsync the folder
+    write state.new, fsync it, rename state -> state.old, rename state.new -> state, fsync the directory
 
-Whatever step a process dies at, ``state`` or ``state.old`` is whole. The steps run on a ``Folder``, which is
-the disk in service and a model of one in tests, where each step can fail or be the last.
+If the process dies at any step, ``state`` or ``state.old`` is complete. The steps run on a ``Folder``: the disk
+in service, a model of it in tests, where any step can fail or be the last.
 """
 
 from __future__ import annotations
@@ -18,24 +18,29 @@
 
 
 class Folder(Protocol):
-    """One folder. Each call raises OSError where the system does."""
+    """A directory. Every method raises OSError as the system does."""
 
     def read(self, name: str, most: int) -> bytes | None:
-        """None: it is not there. A file of more than ``most`` bytes is not read: OSError with EFBIG."""
+        """Return the contents, None if the file does not exist. Raises OSError (EFBIG) above ``most`` bytes."""
 
-    def write(self, name: str, data: bytes) -> None: ...
+    def write(self, name: str, data: bytes) -> None:
+        """Create or truncate the file and write all of ``data``."""
 
-    def sync(self, name: str) -> None: ...
+    def sync(self, name: str) -> None:
+        """Flush the file to the disk."""
 
-    def rename(self, old: str, new: str) -> None: ...
+    def rename(self, old: str, new: str) -> None:
+        """Rename atomically, replacing an existing ``new``."""
 
-    def exists(self, name: str) -> bool: ...
+    def exists(self, name: str) -> bool:
+        """Return whether the file exists."""
 
-    def sync_folder(self) -> None: ...
+    def sync_folder(self) -> None:
+        """Flush the directory entries to the disk."""
 
 
 def save(folder: Folder, data: bytes, step: Callable[[str], None] = lambda _: None) -> None:
-    """Put ``data`` in the place of the newest state; ``step`` hears of each step before it is done."""
+    """Replace the newest state by ``data``; ``step`` is called with the name of each step before it runs."""
     step("write")
     folder.write(NEW, data)
     step("sync")
@@ -53,7 +58,7 @@
 
 
 def load(folder: Folder) -> list[Found]:
-    """Both generations, newest first; a file that can't be read says why."""
+    """Return both generations, newest first, with the error of a file that cannot be read."""
     found = []
     for name in (STATE, OLD):
         try:
--- a/martentide/learned/recovery.py
+++ b/martentide/learned/recovery.py
@@ -1,10 +1,10 @@
-"""What a start makes of the files it finds: a pure table from their contents to a decision.
+"""Choice of the saved state at startup, as a pure function of the contents of the files.
 
-nothing        no file is there: start fresh
-last-good      the newest file is whole
-earlier-good   the newest is not, the one before is
-aged-out       a file is whole, but so old that practically nothing of it counts
-refused        files are there, none can be used: start fresh, and say why for each
+nothing        no file exists: start without state
+last-good      the newest file is valid
+earlier-good   the newest is missing or invalid, the previous one is valid
+aged-out       a file is valid, but so old that practically nothing of it counts
+refused        files exist but none is usable: start without state and report a reason for each
 """
 
 from __future__ import annotations
@@ -19,6 +19,8 @@
 
 
 class StartOutcome(Enum):
+    """Outcome of the choice; see the module docstring."""
+
     NOTHING = "nothing"
     LAST_GOOD = "last-good"
     EARLIER_GOOD = "earlier-good"
@@ -28,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """One file: its bytes, or why it could not be read (None and no error: it is not there)."""
+    """One file: its bytes, or the error of reading it (no bytes and no error: it does not exist)."""
 
     name: str
     raw: bytes | None
@@ -37,17 +39,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """``state`` None: start fresh. ``refused``: name and reason of each file that can't be used."""
+    """``state`` None: start without state. ``refused``: name and reason of each unusable file."""
 
     start: StartOutcome
     state: Aged | None
     used: str
     refused: tuple[tuple[str, str], ...]
-    sequence: int  # to go on from: beyond every file that was whole
+    sequence: int  # highest of all valid files; later saves continue from it
 
 
 def decide(files: Sequence[Found], settings_print: bytes, now: float) -> Decision:
-    """``files`` newest generation first. Whole files are taken by their sequence, the highest first."""
+    """Choose the state to start from. ``files``: newest generation first. Of the valid files, the one with the
+    highest sequence is used."""
     good: list[tuple[Learned, Found]] = []
     refused: list[tuple[str, str]] = []
     for file in files:
@@ -78,7 +81,7 @@
 
 
 def diff(old: Learned, new: Learned) -> list[str]:
-    """What changed from one state to another, a line each, for people."""
+    """Return the differences between two states as human-readable lines."""
     lines: list[str] = []
     before = {server.name: server for server in old.servers}
     after = {server.name: server for server in new.servers}
--- a/martentide/learned/restore.py
+++ b/martentide/learned/restore.py
@@ -1,8 +1,8 @@
-"""Gives aged state to a fresh Controller, and lets go of it as soon as fresh evidence says otherwise.
+"""Loads aged state into a new Controller and drops it as soon as new evidence contradicts it.
 
-Restored beliefs are hints. A cold server never gets more by them than from a fresh proxy, and none is
-preferred for them. ``Hints`` follows what the decisions hear and drops a server's restored beliefs at its
-first quick answer, without waiting for them to fade.
+Restored state is a hint only: it never gives a cold server more calls than a new proxy would, and it makes no
+server preferred. ``Hints`` observes the events of the decisions and drops a server's restored state at its
+first quick answer instead of waiting for it to age.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from martentide.learned.schema import ServerState
 from martentide.rules import TRIAL_GAP, TRIAL_SPREAD, Controller, Image, Server
 
-HINT_LIFETIME_MS = 10_000.0  # ms after the start in which restored beliefs are dropped by fresh evidence
-QUICK_FACTOR = 2.0  # times the restored way to a server, and QUICK_LAG ms, within which an answer is quick
+HINT_LIFETIME_MS = 10_000.0  # after the start, in which new evidence drops restored state
+QUICK_FACTOR = 2.0  # an answer is quick within this factor of the restored round trip plus the margin
 QUICK_MARGIN_MS = 50.0
 
 
 @dataclass(frozen=True, slots=True)
 class Restored:
-    """What came of it: servers whose beliefs were taken up, and those left out by reason."""
+    """Counts of a restore: servers restored, and servers skipped by reason."""
 
     servers: int
-    unknown: int  # not in the list any more
-    restarted: int  # started anew since
+    unknown: int  # no longer in the list
+    restarted: int  # restarted since the save
     redials: int
     images: int
     suspects: int
@@ -35,7 +35,7 @@
 
 
 def restore(controller: Controller, aged: Aged, now: float, rng: random.Random) -> tuple[Restored, Hints]:
-    """Fill a Controller that has its list and has decided nothing yet."""
+    """Load state into a Controller that has its server list and has made no decision yet."""
     known = unknown = restarted = images = suspects = cold = 0
     hints: dict[str, ServerState] = {}
     for saved in aged.learned.servers:
@@ -44,7 +44,7 @@
             unknown += 1
             continue
         if (server.entry.started or 0.0) != saved.started:
-            restarted += 1  # another process: nothing that was learned of the old one holds
+            restarted += 1  # another process: nothing learned about the old one applies
             continue
         _restore_server(server, saved, now, rng, controller)
         hints[saved.name] = saved
@@ -54,7 +54,7 @@
         cold += server.cold_from is not None
     longest = max((kind.deadline for kind in controller.settings.classes), default=0.0)
     redials = {number: at for number, at in aged.learned.redials.items() if now - at <= longest}
-    # In the order of their first tries: the decisions forget from the front.
+    # Ordered by first attempt: the decisions drop entries from the front.
     controller.first_tries.update(sorted(redials.items(), key=lambda item: item[1]))
     counts = Restored(known, unknown, restarted, len(redials), images, suspects, cold)
     return counts, Hints(hints, now)
@@ -73,7 +73,7 @@
         server.suspect, server.silent = True, saved.silent
         server.suspect_from = saved.suspect_from
         server.trial_gap = max(saved.trial_gap, TRIAL_GAP * controller.trial_scale)
-        # Drawn anew: proxies that were restarted together must not try together.
+        # Drawn again: proxies that were restarted together must not probe together.
         server.trial_due = now + rng.random() * (server.trial_gap + TRIAL_SPREAD * controller.trial_scale)
         server.probe_due = now
     if server.cold_from is None and saved.cold_from is not None:
@@ -82,9 +82,9 @@
             server.cold_from, server.cold_tokens = saved.cold_from, rng.random()
             server.cold_spread = rng.random()
     if server.cold_from is not None:
-        # A debt stays, and the time between brings nothing back. What was unspent is not known: what was sent
-        # since the save is not in it. So the new process begins where any does, at a random place between two
-        # grants, which brings no first burst however often it is restarted.
+        # A debt is kept, and the downtime refills nothing. The unspent amount is unknown, because calls sent
+        # after the save are not in it. So the new process starts like any other, at a random point between
+        # two tokens, which causes no initial burst however often it restarts.
         server.cold_tokens, server.cold_filled = server.cold_tokens + min(0.0, saved.cold_tokens), now
     if saved.image is not None:
         image = saved.image
@@ -92,7 +92,7 @@
 
 
 class Hints:
-    """Restored beliefs that no fresh evidence has confirmed or ended yet."""
+    """Restored state that no new evidence has confirmed or replaced yet."""
 
     def __init__(self, servers: dict[str, ServerState], now: float) -> None:
         self.servers, self.expires_at = servers, now + HINT_LIFETIME_MS
@@ -100,10 +100,11 @@
 
     @property
     def over(self) -> bool:
+        """Whether no restored state is left."""
         return not self.servers
 
     def heard(self, now: float, event: Event, controller: Controller) -> None:
-        """Told of each event after the decisions have taken it."""
+        """Process an event after the decisions have processed it."""
         if now >= self.expires_at:
             self.servers.clear()
             return
@@ -117,10 +118,10 @@
         elif isinstance(event, AttemptEnded):
             told = event.report is not None and event.ending is not Ending.NOT_SENT
             if told or event.ending in (Ending.FULL, Ending.TIMED_OUT):
-                self.servers.pop(event.server, None)  # fresh word, which the decisions have taken in
+                self.servers.pop(event.server, None)  # new evidence, which the decisions already use
 
     def _drop(self, server: Server, saved: ServerState) -> None:
-        """The server answers quickly: what was restored against it ends at once, not by and by."""
+        """Drop at once the restored state that speaks against a server which answers quickly."""
         self.dropped += 1
         image, old = server.image, saved.image
         if image is not None and old is not None and image.hold_back <= old.hold_back:
--- a/martentide/learned/schema.py
+++ b/martentide/learned/schema.py
@@ -1,7 +1,7 @@
-"""What is kept of what was learned. Times are Unix milliseconds, as the decisions count them in service.
+"""Schema of the saved learned state. Times are Unix milliseconds, as the decisions use them in service.
 
-``SERVER_FIELDS`` and ``CONTROLLER_FIELDS`` list every learned field: kept or not, why, and how fast it loses
-weight. A field of the Controller that is missing there fails a test, so that a new one is decided on.
+``SERVER_FIELDS`` and ``CONTROLLER_FIELDS`` list every learned field: whether it is saved, why, and its
+half-life. A test fails for a field of the Controller missing here, so that each new one gets a policy.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 SCHEMA_VERSION = 1
 MAX_SERVERS = 20_000
-MAX_REDIALS = 5_000  # numbers that failed lately
-MAX_OFFERS = 256  # times of offers to one server: more than the window of a busy proxy holds
+MAX_REDIALS = 5_000  # recently failed numbers
+MAX_OFFERS = 256  # offer times per server: more than the window of a busy proxy holds
 
 
 class ImageState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A gap image. ``reported``: when its last report came; it lapses 6 s after that, restart or not."""
+    """A gap image. ``reported``: time of its last report; it expires 6 s later, regardless of restarts."""
 
     hold_back: float
     rate: float
@@ -26,10 +26,10 @@
 
 
 class ServerState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One server, known by its name and its start: one that started anew since brings nothing over."""
+    """One server, identified by name and start time; nothing is restored for a server restarted since."""
 
     name: str
-    started: float  # 0: long ago
+    started: float  # 0: unknown, long ago
     wait: float = 0.0
     wait_at: float = 0.0
     lag: float = 0.0
@@ -49,72 +49,79 @@
 
 
 class Learned(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All that is kept. ``redials``: when a number that failed lately was first tried."""
+    """The whole saved state. ``redials``: time of the first attempt, by recently failed number."""
 
     saved_at: float
-    sequence: int  # grows with each save of this folder
+    sequence: int  # incremented with each save in this directory
     servers: tuple[ServerState, ...] = ()
     redials: dict[str, float] = {}
 
 
 @dataclass(frozen=True, slots=True)
 class FieldPolicy:
-    """``half_life`` ms in which the field loses half its weight; None: by times of its own, or not at all."""
+    """Whether a field is saved, and why. ``half_life``: ms in which it loses half its weight; None if it ages
+    by its own timestamps or not at all."""
 
     persisted: bool
     why: str
     half_life: float | None = None
 
 
-DELAY_HALF_LIFE_MS = 3_000.0  # the decisions' own half-life of waits and lags
+DELAY_HALF_LIFE_MS = 3_000.0  # equal to the half-life that the decisions apply to waits and lags
 SERVER_FIELDS: dict[str, FieldPolicy] = {
-    "entry": FieldPolicy(False, "told by the list; its name and start are the key"),
-    "image": FieldPolicy(True, "made by a report: lapses 6 s after it, whatever happened between", 1_500.0),
-    "offered": FieldPolicy(True, "own offered rate, from which u is counted; counts by its times, over 2 s"),
-    "stood": FieldPolicy(False, "shows the pace of warm servers: seen anew within a second"),
-    "out": FieldPolicy(False, "attempts of a process that is no more"),
-    "wait": FieldPolicy(True, "the latest wait, for the weights", DELAY_HALF_LIFE_MS),
-    "wait_at": FieldPolicy(True, "the wait's own time"),
-    "news": FieldPolicy(False, "what peers are told; 2 s old at most"),
+    "entry": FieldPolicy(False, "comes from the server list; its name and start are the key"),
+    "image": FieldPolicy(True, "set by a report: expires 6 s after it, regardless of restarts", 1_500.0),
+    "offered": FieldPolicy(
+        True, "own offered rate, from which u is computed; ages by its timestamps, over 2 s"
+    ),
+    "stood": FieldPolicy(False, "shows the pace of warm servers: measured again within a second"),
+    "out": FieldPolicy(False, "attempts of the ended process"),
+    "wait": FieldPolicy(True, "latest wait, for the weights", DELAY_HALF_LIFE_MS),
+    "wait_at": FieldPolicy(True, "timestamp of the wait"),
+    "news": FieldPolicy(False, "sent to peers; at most 2 s old"),
     "news_at": FieldPolicy(False, "as news"),
-    "least_lag": FieldPolicy(True, "the way to the server, which a pressed one never shows", 600_000.0),
-    "free_lines": FieldPolicy(False, "told by the server on each new connection"),
-    "lag": FieldPolicy(True, "the latest time to an answer, for patience and spacing", DELAY_HALF_LIFE_MS),
-    "lag_at": FieldPolicy(True, "the lag's own time"),
+    "least_lag": FieldPolicy(
+        True, "round trip to the server, which cannot be measured under load", 600_000.0
+    ),
+    "free_lines": FieldPolicy(False, "sent by the server on each new connection"),
+    "lag": FieldPolicy(True, "latest response time, for timeouts and spacing", DELAY_HALF_LIFE_MS),
+    "lag_at": FieldPolicy(True, "timestamp of the lag"),
     "due": FieldPolicy(False, "spacing of single set-ups: milliseconds"),
     "lines_due": FieldPolicy(False, "a pause of 150 ms"),
-    "suspect": FieldPolicy(True, "a silent or failing server is tried by single calls, not by all", 10_000.0),
-    "silent": FieldPolicy(True, "with suspect: it may come back cold"),
-    "faults": FieldPolicy(True, "share of faults", 10_000.0),
-    "suspect_from": FieldPolicy(True, "since when it is suspect"),
-    "trial_gap": FieldPolicy(True, "grows with each trial that failed", 10_000.0),
-    "failed_at": FieldPolicy(True, "with heard_at: whether a probe must find out first"),
+    "suspect": FieldPolicy(
+        True, "a silent or failing server gets single half-open probes, not all calls", 10_000.0
+    ),
+    "silent": FieldPolicy(True, "as suspect: the server may return cold"),
+    "faults": FieldPolicy(True, "fault ratio", 10_000.0),
+    "suspect_from": FieldPolicy(True, "start of the suspicion"),
+    "trial_gap": FieldPolicy(True, "grows with each failed half-open probe", 10_000.0),
+    "failed_at": FieldPolicy(True, "with heard_at: whether a probe is needed first"),
     "heard_at": FieldPolicy(True, "as failed_at"),
-    "trial_due": FieldPolicy(False, "drawn anew, so that proxies restarted together do not try together"),
+    "trial_due": FieldPolicy(False, "drawn again, so that proxies restarted together do not probe together"),
     "trial_turn": FieldPolicy(False, "as trial_due"),
-    "cold_from": FieldPolicy(True, "a server taken for cold without a word of the list stays cold"),
-    "cold_tokens": FieldPolicy(True, "spent budget: a restart must not spend it twice (fail back safely)"),
-    "cold_filled": FieldPolicy(False, "the bucket fills from the restart on, not for the time between"),
-    "cold_spread": FieldPolicy(False, "drawn anew"),
-    "cold_trust": FieldPolicy(False, "earned by quick answers; no more is sent than by a fresh proxy"),
-    "probe_out": FieldPolicy(False, "a probe of a process that is no more"),
+    "cold_from": FieldPolicy(True, "a server found cold without an entry in the list stays cold"),
+    "cold_tokens": FieldPolicy(True, "spent budget: a restart must not spend it twice"),
+    "cold_filled": FieldPolicy(False, "the bucket refills from the restart on, not for the downtime"),
+    "cold_spread": FieldPolicy(False, "drawn again"),
+    "cold_trust": FieldPolicy(
+        False, "earned by quick answers; a restored proxy sends no more than a new one"
+    ),
+    "probe_out": FieldPolicy(False, "a probe of the ended process"),
     "probe_due": FieldPolicy(False, "probes are due at the start"),
 }
 CONTROLLER_FIELDS: dict[str, FieldPolicy] = {
-    "first_tries": FieldPolicy(True, "redials known by number: a caller's tries are one story"),
+    "first_tries": FieldPolicy(True, "redials are recognized by number across a restart"),
     "taken": FieldPolicy(False, "tenants' rates over 5 s"),
-    "peer_rates": FieldPolicy(False, "peers tell them each second"),
+    "peer_rates": FieldPolicy(False, "sent by peers each second"),
     "inside_share": FieldPolicy(False, "as taken"),
-    "own_share": FieldPolicy(False, "told in an upgrade, for as long as it lasts"),
+    "own_share": FieldPolicy(False, "set during an upgrade, for its duration"),
     "duty": FieldPolicy(False, "told by the fleet, anew after each start"),
     "admission": FieldPolicy(False, "told by the fleet, anew after each start"),
-    "repeats": FieldPolicy(
-        False, "tokens of a process that is no more: a budget in common counts them as spent"
-    ),
+    "repeats": FieldPolicy(False, "tokens of the ended process: a shared retry budget counts them as spent"),
     "repeats_until": FieldPolicy(False, "as the tokens"),
-    "warm": FieldPolicy(False, "looked at four times a second"),
-    "pace": FieldPolicy(False, "would let a cold server have more than a fresh proxy gives it"),
-    "started": FieldPolicy(False, "when this process began to look"),
-    "calls": FieldPolicy(False, "calls of a process that is no more"),
-    "fresh": FieldPolicy(False, "attempts of a process that is no more"),
+    "warm": FieldPolicy(False, "computed four times a second"),
+    "pace": FieldPolicy(False, "would send a cold server more than a new proxy does"),
+    "started": FieldPolicy(False, "start of observation by this process"),
+    "calls": FieldPolicy(False, "calls of the ended process"),
+    "fresh": FieldPolicy(False, "attempts of the ended process"),
 }
--- a/martentide/learned/snapshot.py
+++ b/martentide/learned/snapshot.py
@@ -1,7 +1,6 @@
-"""Takes what was learned from a Controller, in slices: with thousands of servers no look may hold up others.
+"""Reads the learned state of a Controller in slices, so that thousands of servers do not block the event loop.
 
-A server's record is taken in one piece, so it is never half of one time and half of another. Servers that
-nothing happened to keep their last record.
+The record of a server is read in one step, so it is consistent. The record of an unchanged server is reused.
 """
 
 from __future__ import annotations
@@ -19,11 +18,11 @@
 )
 from martentide.rules import Controller, Server
 
-SERVERS_PER_SLICE = 64  # servers taken at a time
+SERVERS_PER_SLICE = 64  # read without interruption
 
 
 def take_server(server: Server) -> ServerState:
-    """One server's record."""
+    """Return the record of one server."""
     image = server.image
     entry = server.entry
     return ServerState(
@@ -51,7 +50,7 @@
 
 
 def change_marker(server: Server) -> tuple[object, ...]:
-    """Changes whenever the record does: cheaper to look at than to take the record."""
+    """Return a value that changes whenever the record does and is cheaper to compute than the record."""
     image = server.image
     return (
         server.entry.started,
@@ -71,15 +70,15 @@
 
 
 class Snapshots:
-    """Takes one after another; ``sequence`` grows with each."""
+    """Produces successive snapshots; ``sequence`` increases with each."""
 
     def __init__(self, sequence: int = 0) -> None:
         self.sequence = sequence
         self.records: dict[str, tuple[tuple[object, ...], ServerState]] = {}
 
     def slices(self, controller: Controller, now: float) -> Iterator[Learned | None]:
-        """None after each slice but the last, which brings the whole. The caller lets others have their turn
-        between slices; a server that leaves meanwhile is left out, one that comes is taken next time."""
+        """Yield None after each slice, then the snapshot. The caller yields to the event loop between slices.
+        A server removed meanwhile is left out; one added is included in the next snapshot."""
         names = list(controller.servers)[:MAX_SERVERS]
         for start in range(0, len(names), SERVERS_PER_SLICE):
             for name in names[start : start + SERVERS_PER_SLICE]:
@@ -102,6 +101,6 @@
 
 
 def take(controller: Controller, now: float, sequence: int = 1) -> Learned:
-    """The whole at once; for few servers, and at the end."""
+    """Take a whole snapshot at once; for few servers and at shutdown."""
     whole = [part for part in Snapshots(sequence - 1).slices(controller, now) if part is not None]
     return whole[0]
--- a/martentide/net/tier/node.py
+++ b/martentide/net/tier/node.py
@@ -59,8 +59,7 @@
 
 
 class ControlHost:
-    """A control node on sockets. ``run`` opens the endpoints and serves until ``stop``; it raises OSError if an
-    address is in use."""
+    """A control node on sockets. ``run`` opens the endpoints and serves until ``stop``."""
 
     def __init__(self, part: ControlNodePart, terms: ControlTerms | None = None) -> None:
         self.part = part
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -136,7 +136,7 @@
 @given(st.binary(max_size=200))
 def test_any_bytes_as_a_payload_are_read_or_refused(payload: bytes) -> None:
     head = codec.HEADER.pack(codec.MAGIC, 1, 1, PRINT, 1, NOW, len(payload))
-    sums = [codec.CHECKSUM.pack(crc32c.crc32c(part)) for part in (head, payload)]
+    sums = [codec.CRC_FIELD.pack(crc32c.crc32c(part)) for part in (head, payload)]
     assert fault_of(head + sums[0] + payload + sums[1]) is Fault.PAYLOAD
 
 
