--- a/martentide/codec/__init__.py
+++ b/martentide/codec/__init__.py
@@ -1,5 +1,5 @@
-"""Pure parsers and encoders of what travels over the sockets; no input or output happens here."""
+"""Pure parsers and encoders of the wire formats; no I/O happens here."""
 
 
 class CodecError(ValueError):
-    """Bytes or text that the protocol does not allow."""
+    """Bytes or text that violate the protocol."""
--- a/martentide/codec/control.py
+++ b/martentide/codec/control.py
@@ -1,4 +1,4 @@
-"""The operator's calls (HTTP/1.1, by h11): bytes in, one request or one refusal out."""
+"""Parser of the operator's calls (HTTP/1.1, by h11): bytes in, one request or one refusal out."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from martentide.lifecycle.calls import METHODS, MOST_BODIES
 
 MAX_HEADER_BYTES = 8 * 1024  # bytes of request line and headers
-MAX_BODY_BYTES = 4 * 1024  # bytes of a body, where it means nothing
+MAX_BODY_BYTES = 4 * 1024  # bytes of a body that is ignored
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A call that can be carried out: one of the paths above; ``body`` where it means something."""
+    """A valid call to one of the paths in ``METHODS``; ``body`` only for the paths that use it."""
 
     path: str
     body: bytes = b""
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A call that can't; ``allow``: the methods that the path takes, where the method was at fault."""
+    """A rejected call; ``allow``: the methods that the path allows, if the method is the reason."""
 
     status: int
     text: str
@@ -31,7 +31,7 @@
 
 
 class ControlCall:
-    """One connection, which carries one call."""
+    """One HTTP connection, which carries one call."""
 
     def __init__(self) -> None:
         self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
@@ -39,7 +39,7 @@
         self.body = bytearray()
 
     def feed(self, data: bytes) -> Request | Refused | None:
-        """What the bytes up to now amount to, None while the call is not whole; no data: the end came."""
+        """Process received bytes, empty at end of stream; return None while the call is incomplete."""
         try:
             self.connection.receive_data(data)
             return self._next()
@@ -56,15 +56,15 @@
                         self.connection.they_are_waiting_for_100_continue
                         and self._max_body() == MAX_BODY_BYTES
                     ):
-                        return self._route(event)  # the final answer spares the body
+                        return self._route(event)  # the final response makes the body unnecessary
                 case h11.Data():
                     self.body += event.data
                     if len(self.body) > (most := self._max_body()):
-                        return Refused(413, f"a body of more than {most} bytes")
+                        return Refused(413, f"the body exceeds {most} bytes")
                 case h11.EndOfMessage() if self.request is not None:
                     return self._route(self.request)
                 case h11.ConnectionClosed():
-                    return Refused(400, "no call came")
+                    return Refused(400, "connection closed without a call")
                 case _:
                     return None
 
@@ -76,16 +76,16 @@
         try:
             path = urlsplit(request.target.decode("ascii")).path
         except ValueError:
-            return Refused(400, "the target can't be read")
+            return Refused(400, "invalid request target")
         method = request.method.decode("ascii")
         if path not in METHODS:
-            return Refused(404, f"no such call; there are {', '.join(METHODS)}")
+            return Refused(404, f"no such call; available: {', '.join(METHODS)}")
         if method not in METHODS[path]:
             return Refused(405, f"{path} takes {' or '.join(METHODS[path])}", METHODS[path])
         return Request(path, bytes(self.body) if path in MOST_BODIES else b"")
 
     def answer(self, status: int, text: str, allow: tuple[str, ...] = ()) -> bytes:
-        """The whole answer, after which the connection is closed."""
+        """Return the complete response, after which the connection is closed."""
         body = f"{text}\n".encode()
         headers = [
             ("Content-Type", "text/plain; charset=utf-8"),
@@ -95,9 +95,9 @@
         if allow:
             headers.append(("Allow", ", ".join(allow)))
         if self.connection.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-            return b""  # nothing came, and nobody is there any more
+            return b""  # the client closed the connection without a request
         head = self.connection.send(h11.Response(status_code=status, headers=headers)) or b""
         try:
             return head + (self.connection.send(h11.Data(data=body)) or b"")
-        except h11.LocalProtocolError:  # an answer to HEAD has no body
+        except h11.LocalProtocolError:  # a response to HEAD has no body
             return head
--- a/martentide/codec/discovery.py
+++ b/martentide/codec/discovery.py
@@ -1,7 +1,7 @@
-"""The list of session servers: numbered notices, as frames of the board and as JSON in the configuration.
+"""The list of session servers: numbered notices, as frames of the discovery service and as JSON.
 
-frame  = length:4 number:8 kind:1 payload      length counts all that follows it; big-endian
-kind 0 = nothing new; 1 = the whole list, 2 = changes: records of 27 bytes
+frame  = length:4 number:8 kind:1 payload      length counts the bytes after it; big-endian
+kind 0 = no change; 1 = the full list, 2 = changes: records of 27 bytes
 record = id:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8
 """
 
@@ -19,7 +19,7 @@
 FRAME = struct.Struct(">QB")
 RECORD = struct.Struct(">I4sHBBBHIQ")
 NUMBER = struct.Struct(">Q")
-MAX_FRAME_BYTES = 1024 * 1024  # of one frame: far more servers than any list holds
+MAX_FRAME_BYTES = 1024 * 1024  # of one frame: far more than the largest server list needs
 NO_CHANGE, FULL_LIST, DELTA = 0, 1, 2
 STATES = (ServerState.OPEN, ServerState.DRAINING, ServerState.GONE)
 STATE_NAMES = {
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """A server of the list and where it listens."""
+    """A server of the list and its address."""
 
     entry: ServerEntry
     host: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """One numbered event of the list."""
+    """One numbered change of the list, or the whole list."""
 
     number: int
     whole: bool
@@ -46,21 +46,21 @@
 
 
 def frame_length(head: bytes) -> int:
-    """How many bytes follow the four of the length."""
+    """Return how many bytes follow the length field. Raises CodecError if out of range."""
     length: int = LENGTH.unpack(head)[0]
     if not FRAME.size <= length <= MAX_FRAME_BYTES:
-        raise CodecError(f"a frame of {length} bytes")
+        raise CodecError(f"invalid frame length: {length} bytes")
     return length
 
 
 def read_frame(body: bytes, zones: tuple[str, ...]) -> Notice | None:
-    """The notice in a frame whose length has been taken off; None for 'nothing new' and unknown kinds."""
+    """Parse a frame without its length field; return None for 'no change' and unknown kinds."""
     number, kind = FRAME.unpack_from(body)
     if kind not in (FULL_LIST, DELTA):
         return None
     records, rest = divmod(len(body) - FRAME.size, RECORD.size)
     if rest:
-        raise CodecError(f"{rest} bytes after {records} records")
+        raise CodecError(f"{rest} trailing bytes after {records} records")
     rows = RECORD.iter_unpack(body[FRAME.size :])
     return Notice(number, kind == FULL_LIST, tuple(_record(row, zones) for row in rows))
 
@@ -68,7 +68,7 @@
 def _record(row: tuple[Any, ...], zones: tuple[str, ...]) -> Listed:
     name, address, port, state, zone, _, cell, weight, started = row
     if state >= len(STATES):
-        raise CodecError(f"state {state}")
+        raise CodecError(f"unknown server state {state}")
     entry = ServerEntry(
         name=f"s-{name:08x}",
         place=cell,
@@ -81,12 +81,12 @@
 
 
 def write_number(number: int) -> bytes:
-    """What the proxy says on each connection to the board: the last number that it has."""
+    """Encode the last known number, which the proxy sends on each connection to the discovery service."""
     return NUMBER.pack(number)
 
 
 def read_known(raw: Any) -> tuple[int, list[Notice]]:
-    """The notices of the start and the number of the last, from the configuration's ``known``."""
+    """Return the number of the last notice and the initial notices from ``known`` in the configuration."""
     try:
         return int(raw["rev"]), [_notice(item) for item in raw["notices"]]
     except KeyError as error:
--- a/martentide/codec/messages.py
+++ b/martentide/codec/messages.py
@@ -1,9 +1,9 @@
-"""Signalling messages: a length, a type, a call's id and parameters.
+"""Signalling messages: length, type, call id and parameters.
 
-    message   = length:2 type:1 call:8 parameters      length counts all that follows it; big-endian
+    message   = length:2 type:1 call:8 parameters      length counts the bytes after it; big-endian
     parameter = code:1 length:2 value
 
-Parameters are kept as the bytes that came; unknown types and codes are carried, never refused.
+Parameter values stay uninterpreted bytes; unknown types and codes are forwarded, never refused.
 """
 
 from __future__ import annotations
@@ -23,6 +23,8 @@
 
 
 class Type(IntEnum):
+    """Message types."""
+
     SET_UP = 1
     PROGRESS = 6
     ANSWER = 9
@@ -34,6 +36,8 @@
 
 
 class Code(IntEnum):
+    """Parameter codes."""
+
     CLASS = 129
     TIME_LEFT = 131
     NUMBER = 137
@@ -46,7 +50,7 @@
 
 
 class Cause(IntEnum):
-    """Values of the cause parameter, with the names that ITU-T Q.850 gives them."""
+    """Values of the cause parameter, named after ITU-T Q.850."""
 
     NORMAL = 16
     USER_BUSY = 17
@@ -60,34 +64,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message; ``parameters`` maps a code to the value that came first under it."""
+    """One message; ``parameters`` maps each code to its first value."""
 
     type: int
     call: bytes
     parameters: dict[int, bytes]
 
     def text(self, code: Code) -> str | None:
-        """A parameter's text; None where it is absent or no ASCII."""
+        """Return a parameter as text; None if it is absent or not ASCII."""
         value = self.parameters.get(code)
         if value is None or not value.isascii():
             return None
         return value.decode("ascii")
 
     def cause(self) -> int | None:
+        """Return the cause value; None if absent or malformed."""
         value = self.parameters.get(Code.CAUSE)
         return value[0] if value is not None and len(value) == 1 else None
 
 
 def body_length(head: bytes | bytearray) -> int:
-    """How many bytes follow the two of the length."""
+    """Return how many bytes follow the length field. Raises CodecError if out of range."""
     length = int.from_bytes(head, "big")
     if not MIN_LENGTH <= length <= MOST_BYTES - 2:
-        raise CodecError(f"a message of {length} bytes")
+        raise CodecError(f"invalid message length: {length} bytes")
     return length
 
 
 def split(received: bytearray) -> Iterator[bytes]:
-    """Take whole messages off the front, without their lengths; what is left was begun and is not whole."""
+    """Remove and yield complete messages without their length fields; an incomplete one stays buffered."""
     while len(received) >= 2:
         end = 2 + body_length(received[:2])
         if len(received) < end:
@@ -98,35 +103,35 @@
 
 
 def read_message(body: bytes) -> Message:
-    """The message whose length has been taken off."""
+    """Parse a message without its length field. Raises CodecError."""
     if len(body) < MIN_LENGTH:
-        raise CodecError(f"a message of {len(body)} bytes")
+        raise CodecError(f"message too short: {len(body)} bytes")
     kind, call = body[0], body[1:MIN_LENGTH]
     parameters: dict[int, bytes] = {}
     at = MIN_LENGTH
     while at < len(body):
         if at + PARAMETER.size > len(body):
-            raise CodecError("a parameter's head is cut short")
+            raise CodecError("truncated parameter header")
         code, length = PARAMETER.unpack_from(body, at)
         at += PARAMETER.size
         if at + length > len(body):
-            raise CodecError(f"parameter {code} is cut short")
+            raise CodecError(f"parameter {code} is truncated")
         parameters.setdefault(code, body[at : at + length])
         at += length
     return Message(kind, call, parameters)
 
 
 def write_message(kind: int, call: bytes, parameters: dict[int, bytes] | None = None) -> bytes:
-    """One whole message."""
+    """Encode a complete message, including its length. Raises CodecError if it is too long."""
     parts = [PARAMETER.pack(code, len(value)) + value for code, value in (parameters or {}).items()]
     body = b"".join(parts)
     if MIN_LENGTH + len(body) > MOST_BYTES - 2:
-        raise CodecError(f"a message of {MIN_LENGTH + len(body)} bytes")
+        raise CodecError(f"message too long: {MIN_LENGTH + len(body)} bytes")
     return HEAD.pack(MIN_LENGTH + len(body), kind, call) + body
 
 
 def write_release(call: bytes, cause: int, hold_off: float = 0.0) -> bytes:
-    """A release; a hold-off is told in whole milliseconds, rounded up."""
+    """Encode a release; ``hold_off`` is sent in whole milliseconds, rounded up."""
     parameters: dict[int, bytes] = {Code.CAUSE: bytes((cause,))}
     if hold_off > 0:
         parameters[Code.HOLD_OFF] = str(-int(-hold_off // 1)).encode("ascii")
--- a/martentide/control/client.py
+++ b/martentide/control/client.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnState:
-    """State of the proxy's own session server: ``capacity`` in set-ups a second, ``pressure`` in thousandths."""
+    """State of the own session server: ``capacity`` in set-ups per second, ``pressure`` in thousandths."""
 
     capacity: int
     pressure: int
@@ -125,9 +125,9 @@
         self.info, self.terms = info, terms
         self.rng = random.Random(seed)
         self.incarnation = self.rng.getrandbits(62) + 1
-        infos = tuple(nodes)
-        self.order = preference(info.name, info.region, infos)
-        self.home_nodes = {node.name for node in infos if node.region == info.region}
+        node_infos = tuple(nodes)
+        self.order = preference(info.name, info.region, node_infos)
+        self.home_nodes = {node.name for node in node_infos if node.region == info.region}
         self.home_return_at: float | None = None  # when to return to a node of the own region
         self.node_index = 0  # index in ``order`` of the node that is asked or holds the lease
         self.failed_joins = 0  # consecutive join attempts without a lease
@@ -321,16 +321,14 @@
                 self.missing[number] = MissingUpdate(0, self.update_as_of)
             self.last_number = update.number
         self.missing.pop(update.number, None)
-        told_again = [
-            number for number, one in self.missing.items() if 0 < one.reported_in_beat <= update.beat
-        ]
-        for number in told_again:
+        resent = [number for number, one in self.missing.items() if 0 < one.reported_in_beat <= update.beat]
+        for number in resent:
             del self.missing[number]
 
     def _schedule_home_return(self, update: Update, now: float) -> None:
         """Plan the return to the own region, at a random time, once this node hears from that region."""
-        there = update.ages.get(self.info.region, self.terms.lease) < self.terms.lease
-        if self.node in self.home_nodes or not self.home_nodes or not there:
+        region_reachable = update.ages.get(self.info.region, self.terms.lease) < self.terms.lease
+        if self.node in self.home_nodes or not self.home_nodes or not region_reachable:
             self.home_return_at = None
         elif self.home_return_at is None:
             self.home_return_at = now + self.terms.home_retry * self.rng.random()
--- a/martentide/control/messages.py
+++ b/martentide/control/messages.py
@@ -86,8 +86,8 @@
 
 
 class LeaseRefused(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
-    """No lease at this node. ``full``: ask another node; otherwise retry after ``retry_after`` ms. ``unknown``:
-    the node does not hold the lease, or no longer."""
+    """No lease at this node. ``full``: ask another node; otherwise retry after ``retry_after`` ms.
+    ``unknown``: the node does not hold the lease, or no longer."""
 
     node: str
     epoch: int
@@ -143,7 +143,7 @@
 
 
 def decode_control(body: bytes) -> ControlMessage:
-    """Decode and validate one message. Raises DatagramError if it is malformed or holds values out of range."""
+    """Decode and validate one message. Raises DatagramError if it is malformed or a value is out of range."""
     try:
         message: ControlMessage = _DECODER.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
--- a/martentide/control/node.py
+++ b/martentide/control/node.py
@@ -36,7 +36,7 @@
 GAP_TIMEOUT_MS = 500.0  # wait for a missing summary before a snapshot is requested
 SUMMARY_KEEPALIVE_MS = 1_000.0  # without a change, after which an empty summary is sent as a sign of life
 MAX_SHED_PER_PASS = 4  # leases that an overloaded node sheds in one pass
-JOIN_RETRY_TOKENS = 3  # tokens that must be available at the time a rejected proxy is told to retry
+JOIN_RETRY_TOKENS = 3  # tokens that must be available when a refused proxy retries
 
 
 @dataclass(frozen=True, slots=True)
@@ -247,22 +247,22 @@
     def bound(self, now: float) -> int:
         """Return the lease limit: ``load_bound`` times this node's weighted share of the region's leases."""
         peers = [peer for peer in self.peers.values() if peer.info.region == self.region]
-        living = [peer for peer in peers if peer.up]
-        remembered = [peer for peer in peers if now - peer.last_received_at <= self.terms.load_retention]
-        total = len(self.leases) + sum(peer.leases for peer in remembered)
-        share = self.info.weight / (self.info.weight + sum(peer.info.weight for peer in living))
-        most = max(self.terms.min_bound, math.floor(self.terms.load_bound * total * share))
-        return min(self.terms.max_leases, most if living else self.terms.max_leases)
+        live_peers = [peer for peer in peers if peer.up]
+        counted_peers = [peer for peer in peers if now - peer.last_received_at <= self.terms.load_retention]
+        total = len(self.leases) + sum(peer.leases for peer in counted_peers)
+        share = self.info.weight / (self.info.weight + sum(peer.info.weight for peer in live_peers))
+        limit = max(self.terms.min_bound, math.floor(self.terms.load_bound * total * share))
+        return min(self.terms.max_leases, limit if live_peers else self.terms.max_leases)
 
     def _over_bound(self, more: int, now: float) -> bool:
         return len(self.leases) + more > self.bound(now)
 
     def _shed(self, now: float) -> None:
         """Ask a few proxies to move while this node is over its limit, as after another node returned."""
-        beyond = len(self.leases) - self.bound(now)
-        if beyond <= 0:
+        excess = len(self.leases) - self.bound(now)
+        if excess <= 0:
             return
-        for subscriber in list(self.leases.values())[-min(beyond, MAX_SHED_PER_PASS) :]:
+        for subscriber in list(self.leases.values())[-min(excess, MAX_SHED_PER_PASS) :]:
             self.counts["shed"] += 1
             answer = LeaseRefused(self.name, subscriber.epoch, True, 0)
             self.actions.append(SendToProxy(subscriber.address, answer))
@@ -273,16 +273,16 @@
         """Queue the key for all subscribers of the service: by zone in its region, as a sum in others."""
         service, region, zone = key
         for subscriber in self.by_service.get(service, {}).values():
-            mine = key if zone and subscriber.region == region else (service, region, "")
-            subscriber.mark_changed((mine,), self.now, urgent)
+            visible_key = key if zone and subscriber.region == region else (service, region, "")
+            subscriber.mark_changed((visible_key,), self.now, urgent)
             self.pending[subscriber.name] = subscriber
 
     def _mark_own_changed(self, key: DetailKey, urgent: bool) -> None:
         self._mark_changed(key, urgent)
         for peer in self.peers.values():
-            near = peer.info.region == self.region
-            mine: DetailKey = key if near else (key[0], key[1], "")
-            peer.pending[mine] = None
+            same_region = peer.info.region == self.region
+            visible_key: DetailKey = key if same_region else (key[0], key[1], "")
+            peer.pending[visible_key] = None
 
     def _send_update(self, subscriber: Subscriber, now: float, answer: bool) -> None:
         shares, region = self.service_table, subscriber.region
@@ -354,11 +354,13 @@
     def _send_summaries(self, peer: Peer, now: float) -> None:
         if not peer.up:
             return
-        near = peer.info.region == self.region
+        same_region = peer.info.region == self.region
         anew = peer.needs_snapshot
         if anew:
             keys = self.service_table.own_keys()
-            peer.pending = OrderedDict.fromkeys(keys if near else [(key[0], key[1], "") for key in keys])
+            peer.pending = OrderedDict.fromkeys(
+                keys if same_region else [(key[0], key[1], "") for key in keys]
+            )
             peer.needs_snapshot, peer.sent_number = False, 0
             self.series += 1
             peer.sent_series = self.series
@@ -376,10 +378,10 @@
                 entries.append(entry)
             peer.sent_number += 1
             peer.last_sent_at = now
-            told = Summary(
+            summary = Summary(
                 self.name, self.region, len(self.leases), peer.sent_series, peer.sent_number, entries
             )
-            self.actions.append(SendToPeer(peer.info.name, told))
+            self.actions.append(SendToPeer(peer.info.name, summary))
             if not peer.pending:
                 return
 
@@ -391,7 +393,7 @@
     def _drop_silent_peers(self, now: float) -> None:
         """Drop the entries of a node silent for ``peer_timeout``: its proxies can have moved by now. If a
         whole region is silent, its last known entries stay and only their age grows."""
-        heard = {
+        reachable_regions = {
             peer.info.region
             for peer in self.peers.values()
             if now - peer.last_received_at <= self.terms.peer_timeout
@@ -400,7 +402,7 @@
             if (
                 peer.applied_number
                 and now - peer.last_received_at > self.terms.peer_timeout
-                and peer.info.region in heard
+                and peer.info.region in reachable_regions
             ):
                 peer.applied_number, peer.series = 0, -1
                 for key in self.service_table.drop_source(peer.info.name):
--- a/martentide/control/service_table.py
+++ b/martentide/control/service_table.py
@@ -165,17 +165,17 @@
     def value(self, key: DetailKey, reader: str) -> SizedEntry:
         """Return the entry of the key for a reader in that region: zones of its own region, sums of others.
         The sum of the reader's own region covers the members whose leases are at nodes of other regions."""
-        near = key[1] == reader
-        known = self.values.get((key, near))
+        same_region = key[1] == reader
+        known = self.values.get((key, same_region))
         if known is None:
-            entry = self._detail(key) if key[2] else self._sum(key, near)
-            known = self.values[(key, near)] = SizedEntry(entry, entry_size(entry))
+            entry = self._detail(key) if key[2] else self._sum(key, same_region)
+            known = self.values[(key, same_region)] = SizedEntry(entry, entry_size(entry))
         return known
 
-    def _sum(self, key: DetailKey, near: bool) -> StateEntry:
+    def _sum(self, key: DetailKey, same_region: bool) -> StateEntry:
         service, region, _ = key
         parts = list(self.sums.get((service, region), {}).values())
-        if not near:
+        if not same_region:
             parts += [self._detail((service, region, zone)) for zone in self.zones.get((service, region), ())]
         return sum_entries(service, region, parts)
 
--- a/martentide/control/subscriber.py
+++ b/martentide/control/subscriber.py
@@ -74,8 +74,8 @@
         self.beat = max(self.beat, heartbeat.beat)
         self._process_acknowledgements(heartbeat, now)
         moved = abs(heartbeat.pressure - self.pressure) >= self.terms.pressure_step
-        ended = heartbeat.pressure != self.pressure and heartbeat.pressure == 0
-        changed = moved or ended or heartbeat.capacity != self.capacity
+        pressure_ended = heartbeat.pressure != self.pressure and heartbeat.pressure == 0
+        changed = moved or pressure_ended or heartbeat.capacity != self.capacity
         if changed:
             self.capacity, self.pressure = heartbeat.capacity, heartbeat.pressure
         return changed
@@ -83,11 +83,11 @@
     def _process_acknowledgements(self, heartbeat: Heartbeat, now: float) -> None:
         lost: list[DetailKey] = []
         for number, (sent, keys) in list(self.unacknowledged.items()):
-            come = number <= heartbeat.received and number not in heartbeat.missing
-            if not come and now - sent < self.terms.resend_after and number > heartbeat.received:
+            arrived = number <= heartbeat.received and number not in heartbeat.missing
+            if not arrived and now - sent < self.terms.resend_after and number > heartbeat.received:
                 continue
             del self.unacknowledged[number]
-            if not come:
+            if not arrived:
                 lost += keys
         for key in lost:
             self.sent_entries.pop(key, None)
--- a/martentide/learned/ageing.py
+++ b/martentide/learned/ageing.py
@@ -45,8 +45,8 @@
 def least_lag(value: float | None, age: float) -> float | None:
     """Return the aged minimum round trip. It grows with age, so that the next answer replaces it, and is
     dropped below MIN_WEIGHT."""
-    part = weight(age, "least_lag")
-    return None if value is None or part < MIN_WEIGHT else value / part
+    remaining = weight(age, "least_lag")
+    return None if value is None or remaining < MIN_WEIGHT else value / remaining
 
 
 def aged_image(image: ImageState | None, age: float, now: float) -> ImageState | None:
@@ -54,24 +54,24 @@
     decays as in the decisions."""
     if image is None or now >= image.expires:
         return None
-    part = weight(age, "image")
-    if part < MIN_WEIGHT:
+    remaining = weight(age, "image")
+    if remaining < MIN_WEIGHT:
         return None
     # u is the offered rate times one minus the share held back: a smaller share means a higher rate.
-    share = image.hold_back * part
+    share = image.hold_back * remaining
     rate = image.rate * (1.0 - share) / max(1e-6, 1.0 - image.hold_back)
     return ImageState(share, rate, image.expires, image.reported)
 
 
 def aged_server(server: ServerState, age: float, now: float) -> ServerState:
     """Return the state of one server after ``age`` ms."""
-    trusted = weight(age, "suspect")
-    suspect = server.suspect and trusted >= MIN_SUSPECT_WEIGHT
+    suspect_weight = weight(age, "suspect")
+    suspect = server.suspect and suspect_weight >= MIN_SUSPECT_WEIGHT
     faults = server.faults * weight(age, "faults")
     return ServerState(
         name=server.name,
         started=server.started,
-        # Waits and lags decay by their own timestamps in the decisions; one in the future would let them grow.
+        # Waits and lags decay by their own timestamps in the decisions; a future one would make them grow.
         wait=server.wait,
         wait_at=min(server.wait_at, now),
         lag=server.lag,
@@ -102,10 +102,10 @@
 
 def age_state(learned: Learned, now: float) -> Aged:
     """Age the whole state to ``now``; state from the future is emptied."""
-    verdict = classify_clock(learned.saved_at, now)
+    status = classify_clock(learned.saved_at, now)
     age = max(0.0, now - learned.saved_at)
-    if verdict is ClockStatus.FUTURE:
-        return Aged(verdict, 0.0, Learned(learned.saved_at, learned.sequence))
+    if status is ClockStatus.FUTURE:
+        return Aged(status, 0.0, Learned(learned.saved_at, learned.sequence))
     servers = tuple(aged_server(server, age, now) for server in learned.servers)
     redials = {number: min(at, now) for number, at in learned.redials.items()}
-    return Aged(verdict, age, Learned(learned.saved_at, learned.sequence, servers, redials))
+    return Aged(status, age, Learned(learned.saved_at, learned.sequence, servers, redials))
--- a/martentide/learned/codec.py
+++ b/martentide/learned/codec.py
@@ -49,7 +49,7 @@
 
 
 class StateError(ValueError):
-    """An unusable file. ``fault`` is the reason code; the message is one line with found and expected values."""
+    """An unusable file. ``fault`` is the reason code; the message is one line: found and expected values."""
 
     def __init__(self, fault: Fault, detail: str) -> None:
         super().__init__(f"{fault.value}: {detail}")
@@ -95,9 +95,9 @@
         raise StateError(Fault.NOT_STATE, f"begins with {raw[:8]!r}, expected {MAGIC!r}")
     if len(raw) < HEADER_BYTES:
         raise StateError(Fault.CUT, f"{len(raw)} bytes, expected a header of {HEADER_BYTES}")
-    _, form, schema, found_print, sequence, saved_at, length = HEADER.unpack_from(raw)
-    if form != FORMAT_VERSION:  # checked first: another format may place the checksum elsewhere
-        raise StateError(Fault.OTHER_FORMAT, f"format {form}, expected {FORMAT_VERSION}")
+    _, format_version, schema, found_print, sequence, saved_at, length = HEADER.unpack_from(raw)
+    if format_version != FORMAT_VERSION:  # checked first: another format may place the checksum elsewhere
+        raise StateError(Fault.OTHER_FORMAT, f"format {format_version}, expected {FORMAT_VERSION}")
     (head_sum,) = CRC_FIELD.unpack_from(raw, HEADER.size)
     if crc32c.crc32c(raw[: HEADER.size]) != head_sum:
         raise StateError(Fault.CHECKSUM, "header checksum mismatch")
--- a/martentide/learned/files.py
+++ b/martentide/learned/files.py
@@ -2,8 +2,8 @@
 
     write state.new, fsync it, rename state -> state.old, rename state.new -> state, fsync the directory
 
-If the process dies at any step, ``state`` or ``state.old`` is complete. The steps run on a ``Folder``: the disk
-in service, a model of it in tests, where any step can fail or be the last.
+If the process dies at any step, ``state`` or ``state.old`` is complete. The steps run on a ``Folder``: the
+disk in service, a model of it in tests, where any step can fail or be the last.
 """
 
 from __future__ import annotations
@@ -21,22 +21,27 @@
     """A directory. Every method raises OSError as the system does."""
 
     def read(self, name: str, most: int) -> bytes | None:
-        """Return the contents, None if the file does not exist. Raises OSError (EFBIG) above ``most`` bytes."""
+        """Return the contents, None if there is no file. Raises OSError (EFBIG) above ``most`` bytes."""
 
     def write(self, name: str, data: bytes) -> None:
         """Create or truncate the file and write all of ``data``."""
+        ...
 
     def sync(self, name: str) -> None:
         """Flush the file to the disk."""
+        ...
 
     def rename(self, old: str, new: str) -> None:
         """Rename atomically, replacing an existing ``new``."""
+        ...
 
     def exists(self, name: str) -> bool:
         """Return whether the file exists."""
+        ...
 
     def sync_folder(self) -> None:
         """Flush the directory entries to the disk."""
+        ...
 
 
 def save(folder: Folder, data: bytes, step: Callable[[str], None] = lambda _: None) -> None:
--- a/martentide/learned/pacing.py
+++ b/martentide/learned/pacing.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """``period``: ms between saves while the state changes; ``gap``: minimum ms between saves, also on request."""
+    """``period``: ms between saves while the state changes; ``gap``: minimum ms, also on request."""
 
     period: float = 1_000.0
     gap: float = 200.0
--- a/martentide/learned/recovery.py
+++ b/martentide/learned/recovery.py
@@ -49,8 +49,8 @@
 
 
 def decide(files: Sequence[Found], settings_print: bytes, now: float) -> Decision:
-    """Choose the state to start from. ``files``: newest generation first. Of the valid files, the one with the
-    highest sequence is used."""
+    """Choose the state to start from. ``files``: newest generation first. Of the valid files, the one with
+    the highest sequence is used."""
     good: list[tuple[Learned, Found]] = []
     refused: list[tuple[str, str]] = []
     for file in files:
--- a/martentide/learned/restore.py
+++ b/martentide/learned/restore.py
@@ -116,8 +116,8 @@
             if event.delay <= QUICK_FACTOR * (saved.least_lag or 0.0) + QUICK_MARGIN_MS:
                 self._drop(server, saved)
         elif isinstance(event, AttemptEnded):
-            told = event.report is not None and event.ending is not Ending.NOT_SENT
-            if told or event.ending in (Ending.FULL, Ending.TIMED_OUT):
+            has_report = event.report is not None and event.ending is not Ending.NOT_SENT
+            if has_report or event.ending in (Ending.FULL, Ending.TIMED_OUT):
                 self.servers.pop(event.server, None)  # new evidence, which the decisions already use
 
     def _drop(self, server: Server, saved: ServerState) -> None:
--- a/martentide/learned/snapshot.py
+++ b/martentide/learned/snapshot.py
@@ -1,4 +1,4 @@
-"""Reads the learned state of a Controller in slices, so that thousands of servers do not block the event loop.
+"""Reads the learned state of a Controller in slices, so that many servers do not block the event loop.
 
 The record of a server is read in one step, so it is consistent. The record of an unchanged server is reused.
 """
--- a/martentide/net/tier/node.py
+++ b/martentide/net/tier/node.py
@@ -73,8 +73,10 @@
         )
         others = tuple(one.gossip for one in part.nodes if one.name != part.name)
         own = part.own()
-        life = secrets.randbits(62) + 1
-        self.membership = Membership(part.name, own.region, own.gossip, others, Terms(), life, now, life)
+        incarnation = secrets.randbits(62) + 1
+        self.membership = Membership(
+            part.name, own.region, own.gossip, others, Terms(), incarnation, now, incarnation
+        )
         self.stopping = asyncio.Event()
         self.timer = DueTimer(lambda: self._post(Tick()))
         self.proxy_transport: asyncio.DatagramTransport | None = None
@@ -101,11 +103,11 @@
             "control-serving", name=self.part.name, region=own.region,
             address=f"{own.address[0]}:{own.address[1]}", gossip=f"{own.gossip[0]}:{own.gossip[1]}",
         )  # fmt: skip
-        taking = self.loop.create_task(self._process_mailbox(), name="control node")
-        reporting = self.loop.create_task(self._report(), name="control report")
+        mailbox_task = self.loop.create_task(self._process_mailbox(), name="control node")
+        report_task = self.loop.create_task(self._report(), name="control report")
         await self.stopping.wait()
         self._run_membership_actions(self.membership.handle(self._now(), fleet.Depart()))
-        for task in (taking, reporting):
+        for task in (mailbox_task, report_task):
             task.cancel()
         self.timer.cancel()
         self.proxy_transport.close()
@@ -169,11 +171,11 @@
 
     def _from_node(self, arrived: Arrived) -> None:
         try:
-            said = self.frame.read(arrived.data)
+            datagram = self.frame.read(arrived.data)
         except DatagramError as error:
             self.counts[error.why.value] += 1
             return
-        self._run_membership_actions(self.membership.handle(self._now(), fleet.Heard(said)))
+        self._run_membership_actions(self.membership.handle(self._now(), fleet.Heard(datagram)))
 
     # ---- actions ----------------------------------------------------------------------------------------
 
@@ -196,11 +198,11 @@
                 case fleet.Send(address, datagram):
                     if self.node_transport is not None:
                         self.node_transport.sendto(self.frame.write(datagram), address)
-                case fleet.Changed(word, _, _, evidence):
-                    up = word.state < State.DEAD
-                    state = State(word.state).name.lower()
-                    log_event("control-node", node=word.name, state=state, evidence=repr(evidence))
-                    self._handle_event(PeerUp(word.name) if up else PeerDown(word.name))
+                case fleet.Changed(member, _, _, evidence):
+                    up = member.state < State.DEAD
+                    state = State(member.state).name.lower()
+                    log_event("control-node", node=member.name, state=state, evidence=repr(evidence))
+                    self._handle_event(PeerUp(member.name) if up else PeerDown(member.name))
                 case fleet.Carried(_, body):
                     self._from_peer(body)
 
