--- a/martentide/control/client.py
+++ b/martentide/control/client.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from martentide.control.messages import (
-    Granted,
+    LeaseGranted,
     Heartbeat,
     Join,
     LeaseRefused,
@@ -257,12 +257,12 @@
         if self.departed:
             return
         if message.epoch != self.epoch or message.node != self.node:
-            if isinstance(message, Granted | Update) and message.epoch < self.epoch:
+            if isinstance(message, LeaseGranted | Update) and message.epoch < self.epoch:
                 # A former node still holds a lease and would send updates until its expiry.
                 self.actions.append(SendToNode(message.node, Leave(self.info.name, message.epoch)))
             return
         match message:
-            case Granted(_, _, same):
+            case LeaseGranted(_, _, same):
                 self._granted(frozenset(same), now)
             case LeaseRefused():
                 self._refused(message, now)
--- a/martentide/control/messages.py
+++ b/martentide/control/messages.py
@@ -76,7 +76,7 @@
     epoch: int
 
 
-class Granted(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
+class LeaseGranted(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
     """The lease is granted and expires a fixed time after the last heartbeat. ``matching_services``:
     services whose digest matches, so that their entries need not be sent."""
 
@@ -129,7 +129,7 @@
 
 
 ToNode = Join | Heartbeat | Leave
-ToProxy = Granted | LeaseRefused | Update
+ToProxy = LeaseGranted | LeaseRefused | Update
 BetweenNodes = Summary | SnapshotRequest
 ControlMessage = ToNode | ToProxy | BetweenNodes
 
--- a/martentide/control/node.py
+++ b/martentide/control/node.py
@@ -13,7 +13,7 @@
 
 from martentide.control.messages import (
     BetweenNodes,
-    Granted,
+    LeaseGranted,
     Heartbeat,
     Join,
     LeaseRefused,
@@ -133,12 +133,12 @@
         self.leases: dict[str, Subscriber] = {}
         self.by_service: dict[str, dict[str, Subscriber]] = {}
         self.pending: dict[str, Subscriber] = {}  # subscribers with queued changes
-        self.joins = TokenBucket(terms.joins_per_s, terms.joins_burst, now)
+        self.join_bucket = TokenBucket(terms.joins_per_s, terms.joins_burst, now)
         self.counts: Counter[str] = Counter()
         self.now = now
         self.due = now + terms.flush
         self.expiry_due = now + terms.flush
-        self.ages: dict[str, int] = {}
+        self.region_ages: dict[str, int] = {}
         self.actions: list[Action] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -184,13 +184,13 @@
             if known is None and self._over_bound(1, now):
                 self._refuse(join, address, full=True, retry=0.0)
                 return
-            if not self.joins.take(now, 1.0):
-                self._refuse(join, address, full=False, retry=self.joins.time_until(JOIN_RETRY_TOKENS))
+            if not self.join_bucket.take(now, 1.0):
+                self._refuse(join, address, full=False, retry=self.join_bucket.time_until(JOIN_RETRY_TOKENS))
                 return
             if known is not None:
                 self._end_lease(known)
             self._grant(join, address, now)
-        granted = Granted(self.name, join.epoch, sorted(self.leases[join.name].matching_services))
+        granted = LeaseGranted(self.name, join.epoch, sorted(self.leases[join.name].matching_services))
         self.actions.append(SendToProxy(address, granted))
 
     def _refuse(self, join: Join, address: Hashable, full: bool, retry: float) -> None:
@@ -206,7 +206,7 @@
         self._mark_own_changed(subscriber.key, urgent=True)
         for service, held in join.digests.items():
             keys = self.service_table.keys(service, subscriber.region)
-            if held == digest(self.service_table.value(key, subscriber.region).entry for key in keys):
+            if held == digest(self.service_table.entry(key, subscriber.region).entry for key in keys):
                 subscriber.matching_services.add(service)
             else:
                 subscriber.mark_changed(keys, now)
@@ -287,7 +287,7 @@
     def _send_update(self, subscriber: Subscriber, now: float, answer: bool) -> None:
         shares, region = self.service_table, subscriber.region
         update = subscriber.build_update(
-            self.name, self.ages, lambda key: shares.value(key, region), now, answer
+            self.name, self.region_ages, lambda key: shares.entry(key, region), now, answer
         )  # fmt: skip
         if update is not None:
             self.actions.append(SendToProxy(subscriber.address, update))
@@ -342,14 +342,14 @@
             self.actions.append(SendToPeer(peer.info.name, SnapshotRequest(self.name)))
 
     def _apply_summary(self, peer: Peer, summary: Summary, now: float) -> None:
-        whole = summary.number == 1
-        if whole:
+        is_snapshot = summary.number == 1
+        if is_snapshot:
             for key in self.service_table.drop_source(peer.info.name):
                 self._mark_changed(key, urgent=False)
         peer.last_received_at, peer.applied_number, peer.leases = now, summary.number, summary.leases
         for entry in summary.entries:
-            moved = self.service_table.set_entry(peer.info.name, entry)
-            self._mark_changed(entry.key, urgent=moved and not whole)
+            members_changed = self.service_table.set_entry(peer.info.name, entry)
+            self._mark_changed(entry.key, urgent=members_changed and not is_snapshot)
 
     def _send_summaries(self, peer: Peer, now: float) -> None:
         if not peer.up:
@@ -414,7 +414,7 @@
         if now < self.due:
             return
         self.due = now + self.terms.flush
-        self.ages = self._region_ages(now)
+        self.region_ages = self._region_ages(now)
         if now >= self.expiry_due:
             self.expiry_due = now + self.terms.flush
             self._expire(now)
--- a/martentide/control/service_table.py
+++ b/martentide/control/service_table.py
@@ -54,8 +54,8 @@
         self.sums: dict[SumKey, dict[str, StateEntry]] = {}  # by source node, from other regions
         self.zones: dict[SumKey, set[str]] = {}
         self.regions: dict[str, set[str]] = {}  # of each service
-        self.merged: dict[DetailKey, StateEntry] = {}
-        self.values: dict[
+        self.zone_entries: dict[DetailKey, StateEntry] = {}
+        self.sized_entries: dict[
             tuple[DetailKey, bool], SizedEntry
         ] = {}  # the flag: whether the reader is in the key's region
 
@@ -80,10 +80,10 @@
             names = set(known)
             known.clear()
             known.update({member.name: member for member in entry.members})
-            moved = names != known.keys()
+            members_changed = names != known.keys()
             self._prune(entry.key, source)
             self._invalidate(entry.key)
-            return moved
+            return members_changed
         key = (entry.service, entry.region)
         self._invalidate(entry.key)
         former = self.sums.get(key, {}).get(source)
@@ -112,10 +112,10 @@
 
     def _invalidate(self, key: DetailKey) -> None:
         """Drop the cached values that the key is part of."""
-        self.merged.pop(key, None)
+        self.zone_entries.pop(key, None)
         whole = (key[0], key[1], "")
         for one in ((key, True), (key, False), (whole, True), (whole, False)):
-            self.values.pop(one, None)
+            self.sized_entries.pop(one, None)
 
     def _source_members(self, key: DetailKey, source: str) -> dict[str, MemberState]:
         service, region, zone = key
@@ -162,21 +162,21 @@
         """Return the keys for which this node holds leases."""
         return [key for key, sources in self.members.items() if self.own in sources]
 
-    def value(self, key: DetailKey, reader: str) -> SizedEntry:
+    def entry(self, key: DetailKey, reader: str) -> SizedEntry:
         """Return the entry of the key for a reader in that region: zones of its own region, sums of others.
         The sum of the reader's own region covers the members whose leases are at nodes of other regions."""
         same_region = key[1] == reader
-        known = self.values.get((key, same_region))
+        known = self.sized_entries.get((key, same_region))
         if known is None:
-            entry = self._detail(key) if key[2] else self._sum(key, same_region)
-            known = self.values[(key, same_region)] = SizedEntry(entry, entry_size(entry))
+            entry = self._zone_entry(key) if key[2] else self._region_entry(key, same_region)
+            known = self.sized_entries[(key, same_region)] = SizedEntry(entry, entry_size(entry))
         return known
 
-    def _sum(self, key: DetailKey, same_region: bool) -> StateEntry:
+    def _region_entry(self, key: DetailKey, same_region: bool) -> StateEntry:
         service, region, _ = key
         parts = list(self.sums.get((service, region), {}).values())
         if not same_region:
-            parts += [self._detail((service, region, zone)) for zone in self.zones.get((service, region), ())]
+            parts += [self._zone_entry((service, region, zone)) for zone in self.zones.get((service, region), ())]
         return sum_entries(service, region, parts)
 
     def keys(self, service: str, reader: str) -> list[DetailKey]:
@@ -189,8 +189,8 @@
                 found.append((service, region, ""))
         return found
 
-    def _detail(self, key: DetailKey) -> StateEntry:
-        entry = self.merged.get(key)
+    def _zone_entry(self, key: DetailKey) -> StateEntry:
+        entry = self.zone_entries.get(key)
         if entry is None:
             latest: dict[str, MemberState] = {}
             for source in self.members.get(key, {}).values():
@@ -198,7 +198,7 @@
                     known = latest.get(name)
                     if known is None or member.epoch > known.epoch:
                         latest[name] = member
-            entry = self.merged[key] = zone_entry(key, latest.values())
+            entry = self.zone_entries[key] = zone_entry(key, latest.values())
         return entry
 
 
--- a/martentide/control/subscriber.py
+++ b/martentide/control/subscriber.py
@@ -20,7 +20,7 @@
 UPDATE_BASE = IP_UDP_HEADER_BYTES + HEAD + CHECK + 24  # bytes of an update without ages and entries
 AGE_BYTES = 4  # of one region's age, besides its name
 
-Value = Callable[[DetailKey], SizedEntry]
+EntryLookup = Callable[[DetailKey], SizedEntry]
 
 
 class Subscriber:
@@ -100,7 +100,7 @@
         return oldest if now - self.pending[oldest] > self.terms.max_queue_wait else next(iter(self.pending))
 
     def build_update(
-        self, node: str, ages: dict[str, int], value: Value, now: float, answer: bool
+        self, node: str, ages: dict[str, int], lookup: EntryLookup, now: float, answer: bool
     ) -> Update | None:
         """Return the next update, or None if nothing is queued or the byte budget or the window is used up.
         The ``answer`` to a heartbeat is always sent and charged to the budget."""
@@ -112,7 +112,7 @@
         keys: list[DetailKey] = []
         while self.pending and len(self.unacknowledged) < self.terms.window:
             key = self._next_key(now)
-            sized = value(key)
+            sized = lookup(key)
             if self.sent_entries.get(key) == sized.entry:  # it changed back, or a node repeated its whole set
                 del self.pending[key]
                 continue
--- a/martentide/learned/codec.py
+++ b/martentide/learned/codec.py
@@ -58,14 +58,14 @@
 
 def fingerprint(settings: Settings) -> bytes:
     """Return a hash of the settings on which the learned values depend; under others they are meaningless."""
-    facts = [
+    relevant_settings = [
         repr(
             sorted((kind.name, kind.worth, kind.aim, kind.deadline, kind.pools) for kind in settings.classes)
         ),
         repr((settings.proxies, settings.own_place, settings.report_by.value, settings.repeat_interval)),
         repr((settings.cold_share, settings.cold_time, settings.fall_multiple, settings.fall_time)),
     ]
-    return hashlib.sha256("\n".join(facts).encode()).digest()[:16]
+    return hashlib.sha256("\n".join(relevant_settings).encode()).digest()[:16]
 
 
 def write_state(learned: Learned, settings_print: bytes) -> bytes:
--- a/martentide/learned/recovery.py
+++ b/martentide/learned/recovery.py
@@ -51,7 +51,7 @@
 def decide(files: Sequence[Found], settings_print: bytes, now: float) -> Decision:
     """Choose the state to start from. ``files``: newest generation first. Of the valid files, the one with
     the highest sequence is used."""
-    good: list[tuple[Learned, Found]] = []
+    valid: list[tuple[Learned, Found]] = []
     refused: list[tuple[str, str]] = []
     for file in files:
         if file.raw is None:
@@ -59,12 +59,12 @@
                 refused.append((file.name, file.error))
             continue
         try:
-            good.append((read_state(file.raw, settings_print), file))
+            valid.append((read_state(file.raw, settings_print), file))
         except StateError as error:
             refused.append((file.name, str(error)))
-    sequence = max((learned.sequence for learned, _ in good), default=0)
-    good.sort(key=lambda pair: -pair[0].sequence)
-    for learned, file in good:
+    sequence = max((learned.sequence for learned, _ in valid), default=0)
+    valid.sort(key=lambda pair: -pair[0].sequence)
+    for learned, file in valid:
         aged = age_state(learned, now)
         if aged.clock is ClockStatus.FUTURE:
             ahead = (learned.saved_at - now) / 1000.0
@@ -90,7 +90,7 @@
         if one is None or other is None:
             lines.append(f"{name}: {'came' if one is None else 'left'}")
             continue
-        for field in COMPARED:
+        for field in COMPARED_FIELDS:
             was, now = getattr(one, field), getattr(other, field)
             if was != now:
                 lines.append(f"{name}: {field}: {_short(was)} -> {_short(now)}")
@@ -99,7 +99,7 @@
     return lines
 
 
-COMPARED = (
+COMPARED_FIELDS = (
     "started",
     "wait",
     "lag",
--- a/martentide/learned/snapshot.py
+++ b/martentide/learned/snapshot.py
@@ -86,9 +86,9 @@
                 if server is None:
                     self.records.pop(name, None)
                     continue
-                known, marked = self.records.get(name), change_marker(server)
-                if known is None or known[0] != marked:
-                    self.records[name] = (marked, take_server(server))
+                known, marker = self.records.get(name), change_marker(server)
+                if known is None or known[0] != marker:
+                    self.records[name] = (marker, take_server(server))
             yield None
         if len(self.records) > len(controller.servers):
             for name in [name for name in self.records if name not in controller.servers]:
@@ -96,8 +96,8 @@
         skip = max(0, len(controller.first_tries) - MAX_REDIALS)
         redials = dict(islice(controller.first_tries.items(), skip, None))
         self.sequence += 1
-        kept = tuple(record for _, record in self.records.values())
-        yield Learned(now, self.sequence, kept, redials)
+        records = tuple(record for _, record in self.records.values())
+        yield Learned(now, self.sequence, records, redials)
 
 
 def take(controller: Controller, now: float, sequence: int = 1) -> Learned:
--- a/martentide/net/tier/proxy.py
+++ b/martentide/net/tier/proxy.py
@@ -23,7 +23,7 @@
 )
 from martentide.control.messages import (
     MAX_PRESSURE,
-    Granted,
+    LeaseGranted,
     LeaseRefused,
     StateEntry,
     Update,
@@ -138,7 +138,7 @@
         except DatagramError as error:
             self.counts[error.why.value] += 1
             return
-        if isinstance(message, Granted | LeaseRefused | Update):
+        if isinstance(message, LeaseGranted | LeaseRefused | Update):
             self._handle_event(FromNode(message))
         else:
             self.counts["misplaced"] += 1
--- a/tests/control/test_cores.py
+++ b/tests/control/test_cores.py
@@ -7,7 +7,7 @@
 from martentide.control import client, node
 from martentide.control.client import Attached, ControlClient, FromNode, Isolated, ProxyInfo, SendToNode
 from martentide.control.messages import (
-    Granted,
+    LeaseGranted,
     Heartbeat,
     Join,
     LeaseRefused,
@@ -43,17 +43,17 @@
     return Join(name, 7, epoch, region, "z0", "s0", 100, 0, held or {"s0": 0})
 
 
-class OneNode:
+class SimulatedNode:
     """A node whose time the test moves."""
 
     def __init__(self, terms: ControlTerms = TERMS) -> None:
         self.now = 0.0
         self.core = ControlNode("n0", NODES, terms, self.now)
 
-    def hear(self, message: Join | Heartbeat | Leave) -> list[node.Action]:
+    def receive(self, message: Join | Heartbeat | Leave) -> list[node.Action]:
         return self.core.handle(self.now, FromProxy(message, message.name))
 
-    def wait(self, span: float) -> list[node.Action]:
+    def advance(self, span: float) -> list[node.Action]:
         done: list[node.Action] = []
         until = self.now + span
         while self.now < until:
@@ -92,50 +92,50 @@
 
 
 def test_a_lease_is_granted_renewed_and_ends() -> None:
-    one = OneNode()
-    (granted,) = one.hear(join("p0"))
-    assert isinstance(granted, SendToProxy) and granted.message == Granted("n0", 1, [])
-    one.wait(TERMS.lease - 200)
-    one.hear(Heartbeat("p0", 1, 1, 100, 0, 0, []))
-    one.wait(TERMS.lease - 200)
+    one = SimulatedNode()
+    (granted,) = one.receive(join("p0"))
+    assert isinstance(granted, SendToProxy) and granted.message == LeaseGranted("n0", 1, [])
+    one.advance(TERMS.lease - 200)
+    one.receive(Heartbeat("p0", 1, 1, 100, 0, 0, []))
+    one.advance(TERMS.lease - 200)
     assert "p0" in one.core.leases
-    one.wait(800)
+    one.advance(800)
     assert not one.core.leases and not one.core.by_service and not one.core.service_table.members
-    (answer,) = one.hear(Heartbeat("p0", 1, 1, 100, 0, 0, []))
+    (answer,) = one.receive(Heartbeat("p0", 1, 1, 100, 0, 0, []))
     assert isinstance(answer, SendToProxy) and answer.message == LeaseRefused("n0", 1, False, 0, True)
 
 
 def test_joins_are_bounded_and_a_hurried_one_is_told_when() -> None:
-    one = OneNode()
-    answers = [one.hear(join(f"p{at}"))[0] for at in range(int(TERMS.joins_burst) + 5)]
+    one = SimulatedNode()
+    answers = [one.receive(join(f"p{at}"))[0] for at in range(int(TERMS.joins_burst) + 5)]
     messages = [answer.message for answer in answers if isinstance(answer, SendToProxy)]
-    granted = [message for message in messages if isinstance(message, Granted)]
+    granted = [message for message in messages if isinstance(message, LeaseGranted)]
     hurried = [message for message in messages if isinstance(message, LeaseRefused)]
     assert len(granted) == TERMS.joins_burst and all(not m.full and m.retry_after > 0 for m in hurried)
 
 
 def test_a_node_over_its_bound_turns_newcomers_away_and_sheds() -> None:
     terms = ControlTerms(min_bound=4, joins_burst=100.0)
-    one = OneNode(terms)
+    one = SimulatedNode(terms)
     for name in ("n1", "n2"):
         one.core.handle(0.0, PeerUp(name))
     one.core.handle(0.0, FromPeer(Summary("n1", "r0", 10, 1, 1, [])))
     granted = 0
     for at in range(30):
-        (answer,) = one.hear(join(f"p{at}"))
+        (answer,) = one.receive(join(f"p{at}"))
         assert isinstance(answer, SendToProxy)
-        granted += isinstance(answer.message, Granted)
+        granted += isinstance(answer.message, LeaseGranted)
     assert granted == one.core.bound(0.0) == len(one.core.leases) < 30
     one.core.handle(0.0, FromPeer(Summary("n1", "r0", 0, 1, 2, [])))  # the other one has come back empty
-    shed = [a for a in one.wait(200) if isinstance(a, SendToProxy) and isinstance(a.message, LeaseRefused)]
+    shed = [a for a in one.advance(200) if isinstance(a, SendToProxy) and isinstance(a.message, LeaseRefused)]
     assert shed and all(a.message.full for a in shed if isinstance(a.message, LeaseRefused))
 
 
 def test_an_old_join_that_comes_late_undoes_nothing() -> None:
-    one = OneNode()
-    one.hear(join("p0", epoch=2))
-    assert one.hear(join("p0", epoch=1)) == []
-    one.hear(Leave("p0", 1))
+    one = SimulatedNode()
+    one.receive(join("p0", epoch=2))
+    assert one.receive(join("p0", epoch=1)) == []
+    one.receive(Leave("p0", 1))
     assert one.core.leases["p0"].epoch == 2
 
 
@@ -143,39 +143,39 @@
 
 
 def test_a_subscriber_is_told_of_its_services_alone_and_of_changes() -> None:
-    one = OneNode()
-    one.hear(join("p0", s0=0, s1=0))
-    one.hear(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s9": 0}))
-    told = updates(one.wait(1_000), "p0")
+    one = SimulatedNode()
+    one.receive(join("p0", s0=0, s1=0))
+    one.receive(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s9": 0}))
+    told = updates(one.advance(1_000), "p0")
     assert {entry.service for update in told for entry in update.entries} == {"s0"}
-    answer = one.hear(Heartbeat("p0", 1, 1, 100, 400, told[-1].number, []))
-    later = updates(answer + one.wait(600), "p0")
+    answer = one.receive(Heartbeat("p0", 1, 1, 100, 400, told[-1].number, []))
+    later = updates(answer + one.advance(600), "p0")
     assert [entry.pressure for update in later for entry in update.entries] == [400]
 
 
 def test_small_moves_of_pressure_are_not_told() -> None:
-    one = OneNode()
-    one.hear(join("p0"))
-    one.wait(1_000)
-    answer = one.hear(Heartbeat("p0", 1, 1, 100, TERMS.pressure_step - 1, 1, []))
-    assert not any(update.entries for update in updates(answer + one.wait(600), "p0"))
+    one = SimulatedNode()
+    one.receive(join("p0"))
+    one.advance(1_000)
+    answer = one.receive(Heartbeat("p0", 1, 1, 100, TERMS.pressure_step - 1, 1, []))
+    assert not any(update.entries for update in updates(answer + one.advance(600), "p0"))
 
 
 def test_an_update_that_was_lost_is_told_again() -> None:
-    one = OneNode()
-    one.hear(join("p0"))
-    first = updates(one.wait(1_000), "p0")
+    one = SimulatedNode()
+    one.receive(join("p0"))
+    first = updates(one.advance(1_000), "p0")
     assert any(update.entries for update in first)
-    again = updates(one.hear(Heartbeat("p0", 1, 1, 100, 0, first[-1].number, [first[0].number])), "p0")
+    again = updates(one.receive(Heartbeat("p0", 1, 1, 100, 0, first[-1].number, [first[0].number])), "p0")
     assert any(update.entries for update in again)
 
 
 def test_a_subscriber_that_answers_nothing_holds_a_bounded_queue() -> None:
-    one = OneNode()
-    one.hear(join("p0"))
+    one = SimulatedNode()
+    one.receive(join("p0"))
     for at in range(200):
-        one.hear(Join("p1", 8, at + 1, "r0", "z1", "s0", 100, at * 5 % 1_000, {"s0": 0}))
-        one.wait(200)
+        one.receive(Join("p1", 8, at + 1, "r0", "z1", "s0", 100, at * 5 % 1_000, {"s0": 0}))
+        one.advance(200)
         one.core.leases[
             "p0"
         ].last_received_at = one.now  # as if it lived, and its heartbeats had no room for a word
@@ -184,14 +184,14 @@
 
 
 def test_the_same_digest_saves_the_resync() -> None:
-    one = OneNode()
-    one.hear(join("p0"))
+    one = SimulatedNode()
+    one.receive(join("p0"))
     keys = one.core.service_table.keys("s0", "r0")
-    held = digest(one.core.service_table.value(key, "r0").entry for key in keys)
-    one.wait(1_000)
-    (granted,) = one.hear(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s0": held}))
-    assert isinstance(granted, SendToProxy) and granted.message == Granted("n0", 1, ["s0"])
-    assert not any(update.entries for update in updates(one.wait(1_000), "p1"))
+    held = digest(one.core.service_table.entry(key, "r0").entry for key in keys)
+    one.advance(1_000)
+    (granted,) = one.receive(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s0": held}))
+    assert isinstance(granted, SendToProxy) and granted.message == LeaseGranted("n0", 1, ["s0"])
+    assert not any(update.entries for update in updates(one.advance(1_000), "p1"))
 
 
 def test_members_that_two_nodes_hold_count_once_by_the_later_lease() -> None:
@@ -199,18 +199,18 @@
     key = ("s0", "r0", "z0")
     shares.set_member(key, MemberState("p0", 1, 100, 700))
     shares.set_entry("n1", StateEntry(*key, 1, 100, 0, [MemberState("p0", 2, 100, 0)]))
-    entry = shares.value(key, "r0").entry
+    entry = shares.entry(key, "r0").entry
     assert (entry.up, entry.capacity, entry.pressure) == (1, 100, 0)
     assert shares.drop_source("n1") == [key]
-    assert shares.value(key, "r0").entry.pressure == 700
+    assert shares.entry(key, "r0").entry.pressure == 700
 
 
 def test_other_regions_are_told_sums_and_a_missed_summary_is_asked_for() -> None:
-    one = OneNode()
+    one = SimulatedNode()
     for name in ("n1", "n2"):
         one.core.handle(0.0, PeerUp(name))
-    one.hear(join("p0"))
-    told = [action for action in one.wait(200) if isinstance(action, SendToPeer)]
+    one.receive(join("p0"))
+    told = [action for action in one.advance(200) if isinstance(action, SendToPeer)]
     by_peer = {one.to: one.message for one in told if isinstance(one.message, Summary)}
     assert by_peer["n1"].entries[0].members and by_peer["n1"].entries[0].zone == "z0"
     assert by_peer["n2"].entries[0] == StateEntry("s0", "r0", "", 1, 100, 0)
@@ -219,7 +219,7 @@
     early = Summary("n2", "r1", 3, 1, 3, [StateEntry("s0", "r1", "", 4, 400, 0)])
     for summary in (first, early, late):  # one overtook the other: both count, in their order
         assert one.core.handle(one.now, FromPeer(summary)) == []
-    assert one.core.service_table.value(("s0", "r1", ""), "r0").entry.up == 4
+    assert one.core.service_table.entry(("s0", "r1", ""), "r0").entry.up == 4
     for number in (5, 6):
         one.now += GAP_TIMEOUT_MS
         asked = one.core.handle(one.now + number, FromPeer(Summary("n2", "r1", 3, 1, number, [])))
@@ -227,22 +227,22 @@
 
 
 def test_a_silent_region_stays_with_its_age_a_silent_neighbour_does_not() -> None:
-    one = OneNode()
+    one = SimulatedNode()
     for name, region in (("n1", "r0"), ("n2", "r1")):
         one.core.handle(0.0, PeerUp(name))
         key = ("s0", region, "z5" if region == "r0" else "")
         members = [MemberState("p9", 1, 100, 0)] if region == "r0" else []
         entry = StateEntry(*key, 1, 100, 0, members)
         one.core.handle(0.0, FromPeer(Summary(name, region, 1, 1, 1, [entry])))
-    one.wait(TERMS.peer_timeout + 400)
+    one.advance(TERMS.peer_timeout + 400)
     keys = one.core.service_table.keys("s0", "r0")
-    assert keys == [("s0", "r1", "")] and one.core.ages["r1"] > TERMS.peer_timeout
+    assert keys == [("s0", "r1", "")] and one.core.region_ages["r1"] > TERMS.peer_timeout
 
 
 # ---- a proxy's side -------------------------------------------------------------------------------------
 
 
-class OneProxy:
+class SimulatedProxy:
     def __init__(self) -> None:
         info = ProxyInfo("p0", "r0", "z0", "s0", frozenset({"s0", "s1"}))
         self.core = ControlClient(info, NODES, TERMS, 1, 0.0)
@@ -252,22 +252,22 @@
         self.now = self.core.due
         return self.core.handle(self.now, client.Due())
 
-    def hear(self, message: Granted | LeaseRefused | Update) -> list[client.Action]:
+    def receive(self, message: LeaseGranted | LeaseRefused | Update) -> list[client.Action]:
         return self.core.handle(self.now, FromNode(message))
 
     def attach(self) -> None:
         self.due()
-        assert self.hear(Granted(self.core.node, self.core.epoch, [])) == [Attached(self.core.node)]
+        assert self.receive(LeaseGranted(self.core.node, self.core.epoch, [])) == [Attached(self.core.node)]
 
     def update(self, number: int, behind: int = 0, **pressure: int) -> list[client.Action]:
         entries = [StateEntry(service, "r0", "z0", 1, 100, one) for service, one in pressure.items()]
-        return self.hear(
+        return self.receive(
             Update(self.core.node, self.core.epoch, self.core.beat, number, behind, {"r0": 0}, entries)
         )
 
 
 def test_state_is_offered_until_its_end_and_confirmed_by_a_complete_update() -> None:
-    proxy = OneProxy()
+    proxy = SimulatedProxy()
     proxy.attach()
     proxy.update(1, s0=300)
     proxy.now += TERMS.entry_ttl - 1
@@ -280,7 +280,7 @@
 
 
 def test_a_gap_is_asked_for_and_confirms_nothing() -> None:
-    proxy = OneProxy()
+    proxy = SimulatedProxy()
     proxy.attach()
     proxy.update(1, s0=300)
     as_of = dict(proxy.core.confirmed_as_of)
@@ -299,21 +299,21 @@
 
 
 def test_what_a_new_node_does_not_tell_is_dropped_with_its_first_complete_update() -> None:
-    proxy = OneProxy()
+    proxy = SimulatedProxy()
     proxy.attach()
     proxy.update(1, s0=300, s1=100)
     proxy.now += TERMS.node_timeout + 1
     proxy.core.due = proxy.now
     proxy.due()
     proxy.due()  # asks the next node
-    proxy.hear(Granted(proxy.core.node, proxy.core.epoch, ["s1"]))
+    proxy.receive(LeaseGranted(proxy.core.node, proxy.core.epoch, ["s1"]))
     assert len(proxy.core.entries) == 2
     proxy.update(1)
     assert {key[0] for key in proxy.core.entries} == {"s1"}
 
 
 def test_without_any_node_it_says_once_that_it_is_alone_and_goes_on_ever_more_slowly() -> None:
-    proxy = OneProxy()
+    proxy = SimulatedProxy()
     actions = [action for _ in range(20) for action in proxy.due()]
     assert actions.count(Isolated()) == 1
     asked = [action.node for action in actions if isinstance(action, SendToNode)]
@@ -322,23 +322,23 @@
 
 
 def test_a_former_node_that_still_tells_is_told_to_stop() -> None:
-    proxy = OneProxy()
+    proxy = SimulatedProxy()
     proxy.attach()
     former, epoch = proxy.core.node, proxy.core.epoch
-    proxy.hear(LeaseRefused(former, epoch, True, 0))
+    proxy.receive(LeaseRefused(former, epoch, True, 0))
     proxy.due()
-    (told,) = proxy.hear(Update(former, epoch, 0, 9, 0, {}, []))
+    (told,) = proxy.receive(Update(former, epoch, 0, 9, 0, {}, []))
     assert told == SendToNode(former, Leave("p0", epoch))
 
 
 def test_away_from_home_it_goes_back_once_its_region_is_heard_of() -> None:
-    proxy = OneProxy()
+    proxy = SimulatedProxy()
     while proxy.core.node != "n2":
         proxy.due()
-    proxy.hear(Granted("n2", proxy.core.epoch, []))
-    proxy.hear(Update("n2", proxy.core.epoch, 0, 1, 0, {"r1": 0}, []))
+    proxy.receive(LeaseGranted("n2", proxy.core.epoch, []))
+    proxy.receive(Update("n2", proxy.core.epoch, 0, 1, 0, {"r1": 0}, []))
     assert proxy.core.home_return_at is None
-    proxy.hear(Update("n2", proxy.core.epoch, 0, 2, 0, {"r1": 0, "r0": 100}, []))
+    proxy.receive(Update("n2", proxy.core.epoch, 0, 2, 0, {"r1": 0, "r0": 100}, []))
     assert proxy.core.home_return_at is not None
     proxy.now = proxy.core.home_return_at
     proxy.core.due, proxy.core.last_received_at = proxy.now, proxy.now
@@ -368,7 +368,7 @@
 
 def test_messages_come_back_as_they_were() -> None:
     entry = StateEntry("s", "r", "z", 1, 100, 50, [MemberState("p", 1, 100, 50)])
-    for message in (join("p"), Granted("n", 1, ["s"]), Update("n", 1, 0, 2, 0, {"r": 5}, [entry])):
+    for message in (join("p"), LeaseGranted("n", 1, ["s"]), Update("n", 1, 0, 2, 0, {"r": 5}, [entry])):
         assert decode_control(encode_control(message)) == message
 
 
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -48,7 +48,7 @@
     assert broken_rules() == set()
 
 
-def forgets_a_member(patch: pytest.MonkeyPatch) -> None:
+def drop_a_member(patch: pytest.MonkeyPatch) -> None:
     whole = ControlClient._update
 
     def without(self: ControlClient, update: object, now: float) -> None:
@@ -63,15 +63,15 @@
     patch.setattr(ControlClient, "_update", without)
 
 
-def never_expires(patch: pytest.MonkeyPatch) -> None:
+def disable_expiry(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ControlNode, "_expire", lambda self, now: None)
 
 
-def never_ages(patch: pytest.MonkeyPatch) -> None:
+def disable_ageing(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ControlClient, "age", lambda self, key, now: 0.0)
 
 
-@pytest.mark.parametrize(("plant", "rule"), [(forgets_a_member, "held-dead"), (never_expires, "held-alive")])
+@pytest.mark.parametrize(("plant", "rule"), [(drop_a_member, "held-dead"), (disable_expiry, "held-alive")])
 def test_a_planted_fault_is_found(
     monkeypatch: pytest.MonkeyPatch, plant: Callable[[pytest.MonkeyPatch], None], rule: str
 ) -> None:
@@ -80,7 +80,7 @@
 
 
 def test_state_past_its_end_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    never_ages(monkeypatch)
+    disable_ageing(monkeypatch)
     tier = SimulatedTier(SMALL, 5)
     checker = TierChecker(tier)
     tier.start()
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -143,11 +143,11 @@
 # ---- the files --------------------------------------------------------------------------------------------
 
 
-class Died(BaseException):
+class MachineStopped(BaseException):
     """The machine stops here."""
 
 
-class Disk:
+class SimulatedDisk:
     """A folder that loses what was not synced when the machine stops, in any way that a disk may."""
 
     def __init__(self, dice: random.Random) -> None:
@@ -203,15 +203,15 @@
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("seed", range(12))
 def test_whatever_step_the_machine_dies_at_the_last_or_the_one_before_is_read(step: str, seed: int) -> None:
-    disk = Disk(random.Random(seed))
+    disk = SimulatedDisk(random.Random(seed))
     save(disk, saved(1))
     save(disk, saved(2))
 
     def die(at: str) -> None:
         if at == step:
-            raise Died
+            raise MachineStopped
 
-    with pytest.raises(Died):
+    with pytest.raises(MachineStopped):
         save(disk, saved(3), die)
     if step == "sync":
         disk.crash()  # the new file may hold anything
@@ -226,7 +226,7 @@
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EROFS, errno.EACCES])
 @pytest.mark.parametrize("step", STEPS)
 def test_whatever_step_fails_a_good_state_stays_and_the_next_save_mends_it(step: str, number: int) -> None:
-    disk = Disk(random.Random(1))
+    disk = SimulatedDisk(random.Random(1))
     save(disk, saved(1))
     save(disk, saved(2))
     disk.fail[step] = number
