--- a/martentide/control/client.py
+++ b/martentide/control/client.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 
 from martentide.control.messages import (
-    LeaseGranted,
     Heartbeat,
     Join,
+    LeaseGranted,
     LeaseRefused,
     Leave,
     StateEntry,
--- a/martentide/control/node.py
+++ b/martentide/control/node.py
@@ -13,9 +13,9 @@
 
 from martentide.control.messages import (
     BetweenNodes,
-    LeaseGranted,
     Heartbeat,
     Join,
+    LeaseGranted,
     LeaseRefused,
     Leave,
     SnapshotRequest,
--- a/martentide/control/service_table.py
+++ b/martentide/control/service_table.py
@@ -176,7 +176,9 @@
         service, region, _ = key
         parts = list(self.sums.get((service, region), {}).values())
         if not same_region:
-            parts += [self._zone_entry((service, region, zone)) for zone in self.zones.get((service, region), ())]
+            parts += [
+                self._zone_entry((service, region, zone)) for zone in self.zones.get((service, region), ())
+            ]
         return sum_entries(service, region, parts)
 
     def keys(self, service: str, reader: str) -> list[DetailKey]:
--- a/tests/control/test_cores.py
+++ b/tests/control/test_cores.py
@@ -1,4 +1,4 @@
-"""A control node and proxies' clients by themselves: leases, bounds, subscriptions, resync, bad input."""
+"""State machines of control node and client in isolation: leases, limits, updates, resync, bad input."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from martentide.control import client, node
 from martentide.control.client import Attached, ControlClient, FromNode, Isolated, ProxyInfo, SendToNode
 from martentide.control.messages import (
-    LeaseGranted,
     Heartbeat,
     Join,
+    LeaseGranted,
     LeaseRefused,
     Leave,
     MemberState,
@@ -44,7 +44,7 @@
 
 
 class SimulatedNode:
-    """A node whose time the test moves."""
+    """A control node whose clock the test advances."""
 
     def __init__(self, terms: ControlTerms = TERMS) -> None:
         self.now = 0.0
@@ -73,7 +73,7 @@
 # ---- placement ------------------------------------------------------------------------------------------
 
 
-def test_the_own_region_comes_first_and_a_lost_node_moves_its_own_proxies_only() -> None:
+def test_own_region_is_preferred_and_a_lost_node_moves_only_its_own_proxies() -> None:
     nodes = [NodeInfo(f"n{at}", f"r{at % 2}") for at in range(6)]
     for at in range(50):
         order = preference(f"p{at}", "r1", nodes)
@@ -82,7 +82,7 @@
         assert less == order[1:]
 
 
-def test_weights_share_proxies_out() -> None:
+def test_weights_distribute_proxies() -> None:
     nodes = [NodeInfo("light", "r0", 1.0), NodeInfo("heavy", "r0", 3.0)]
     first = [preference(f"p{at}", "r0", nodes)[0] for at in range(2_000)]
     assert 0.7 < first.count("heavy") / len(first) < 0.8
@@ -105,7 +105,7 @@
     assert isinstance(answer, SendToProxy) and answer.message == LeaseRefused("n0", 1, False, 0, True)
 
 
-def test_joins_are_bounded_and_a_hurried_one_is_told_when() -> None:
+def test_joins_are_rate_limited_with_a_retry_time() -> None:
     one = SimulatedNode()
     answers = [one.receive(join(f"p{at}"))[0] for at in range(int(TERMS.joins_burst) + 5)]
     messages = [answer.message for answer in answers if isinstance(answer, SendToProxy)]
@@ -114,7 +114,7 @@
     assert len(granted) == TERMS.joins_burst and all(not m.full and m.retry_after > 0 for m in hurried)
 
 
-def test_a_node_over_its_bound_turns_newcomers_away_and_sheds() -> None:
+def test_a_node_over_its_limit_refuses_joins_and_sheds_leases() -> None:
     terms = ControlTerms(min_bound=4, joins_burst=100.0)
     one = SimulatedNode(terms)
     for name in ("n1", "n2"):
@@ -126,12 +126,14 @@
         assert isinstance(answer, SendToProxy)
         granted += isinstance(answer.message, LeaseGranted)
     assert granted == one.core.bound(0.0) == len(one.core.leases) < 30
-    one.core.handle(0.0, FromPeer(Summary("n1", "r0", 0, 1, 2, [])))  # the other one has come back empty
+    one.core.handle(
+        0.0, FromPeer(Summary("n1", "r0", 0, 1, 2, []))
+    )  # the other node has restarted without leases
     shed = [a for a in one.advance(200) if isinstance(a, SendToProxy) and isinstance(a.message, LeaseRefused)]
     assert shed and all(a.message.full for a in shed if isinstance(a.message, LeaseRefused))
 
 
-def test_an_old_join_that_comes_late_undoes_nothing() -> None:
+def test_a_delayed_old_join_is_ignored() -> None:
     one = SimulatedNode()
     one.receive(join("p0", epoch=2))
     assert one.receive(join("p0", epoch=1)) == []
@@ -142,7 +144,7 @@
 # ---- state ----------------------------------------------------------------------------------------------
 
 
-def test_a_subscriber_is_told_of_its_services_alone_and_of_changes() -> None:
+def test_a_subscriber_receives_only_its_services_and_their_changes() -> None:
     one = SimulatedNode()
     one.receive(join("p0", s0=0, s1=0))
     one.receive(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s9": 0}))
@@ -153,7 +155,7 @@
     assert [entry.pressure for update in later for entry in update.entries] == [400]
 
 
-def test_small_moves_of_pressure_are_not_told() -> None:
+def test_small_pressure_changes_are_not_published() -> None:
     one = SimulatedNode()
     one.receive(join("p0"))
     one.advance(1_000)
@@ -161,7 +163,7 @@
     assert not any(update.entries for update in updates(answer + one.advance(600), "p0"))
 
 
-def test_an_update_that_was_lost_is_told_again() -> None:
+def test_a_lost_update_is_sent_again() -> None:
     one = SimulatedNode()
     one.receive(join("p0"))
     first = updates(one.advance(1_000), "p0")
@@ -170,20 +172,18 @@
     assert any(update.entries for update in again)
 
 
-def test_a_subscriber_that_answers_nothing_holds_a_bounded_queue() -> None:
+def test_the_queue_of_an_unresponsive_subscriber_is_bounded() -> None:
     one = SimulatedNode()
     one.receive(join("p0"))
     for at in range(200):
         one.receive(Join("p1", 8, at + 1, "r0", "z1", "s0", 100, at * 5 % 1_000, {"s0": 0}))
         one.advance(200)
-        one.core.leases[
-            "p0"
-        ].last_received_at = one.now  # as if it lived, and its heartbeats had no room for a word
+        one.core.leases["p0"].last_received_at = one.now  # alive, but its heartbeats acknowledge nothing
     subscriber = one.core.leases["p0"]
     assert len(subscriber.unacknowledged) <= TERMS.window and len(subscriber.pending) <= 3
 
 
-def test_the_same_digest_saves_the_resync() -> None:
+def test_a_matching_digest_avoids_the_resync() -> None:
     one = SimulatedNode()
     one.receive(join("p0"))
     keys = one.core.service_table.keys("s0", "r0")
@@ -194,7 +194,7 @@
     assert not any(update.entries for update in updates(one.advance(1_000), "p1"))
 
 
-def test_members_that_two_nodes_hold_count_once_by_the_later_lease() -> None:
+def test_a_member_with_leases_at_two_nodes_counts_once_by_the_later_lease() -> None:
     shares = ServiceTable("n0")
     key = ("s0", "r0", "z0")
     shares.set_member(key, MemberState("p0", 1, 100, 700))
@@ -205,7 +205,7 @@
     assert shares.entry(key, "r0").entry.pressure == 700
 
 
-def test_other_regions_are_told_sums_and_a_missed_summary_is_asked_for() -> None:
+def test_other_regions_receive_sums_and_a_missed_summary_causes_a_snapshot_request() -> None:
     one = SimulatedNode()
     for name in ("n1", "n2"):
         one.core.handle(0.0, PeerUp(name))
@@ -217,7 +217,7 @@
     first = Summary("n2", "r1", 3, 1, 1, [])
     late = Summary("n2", "r1", 3, 1, 2, [StateEntry("s0", "r1", "", 3, 300, 0)])
     early = Summary("n2", "r1", 3, 1, 3, [StateEntry("s0", "r1", "", 4, 400, 0)])
-    for summary in (first, early, late):  # one overtook the other: both count, in their order
+    for summary in (first, early, late):  # reordered: both are applied, in their order
         assert one.core.handle(one.now, FromPeer(summary)) == []
     assert one.core.service_table.entry(("s0", "r1", ""), "r0").entry.up == 4
     for number in (5, 6):
@@ -226,7 +226,7 @@
     assert asked == [SendToPeer("n2", SnapshotRequest("n0"))]
 
 
-def test_a_silent_region_stays_with_its_age_a_silent_neighbour_does_not() -> None:
+def test_entries_of_a_silent_region_stay_while_those_of_a_silent_node_are_dropped() -> None:
     one = SimulatedNode()
     for name, region in (("n1", "r0"), ("n2", "r1")):
         one.core.handle(0.0, PeerUp(name))
@@ -239,10 +239,12 @@
     assert keys == [("s0", "r1", "")] and one.core.region_ages["r1"] > TERMS.peer_timeout
 
 
-# ---- a proxy's side -------------------------------------------------------------------------------------
+# ---- client ---------------------------------------------------------------------------------------------
 
 
 class SimulatedProxy:
+    """A client whose clock the test advances."""
+
     def __init__(self) -> None:
         info = ProxyInfo("p0", "r0", "z0", "s0", frozenset({"s0", "s1"}))
         self.core = ControlClient(info, NODES, TERMS, 1, 0.0)
@@ -266,7 +268,7 @@
         )
 
 
-def test_state_is_offered_until_its_end_and_confirmed_by_a_complete_update() -> None:
+def test_state_is_usable_until_it_expires_and_confirmed_by_a_complete_update() -> None:
     proxy = SimulatedProxy()
     proxy.attach()
     proxy.update(1, s0=300)
@@ -279,7 +281,7 @@
     assert not proxy.core.state("s0", proxy.now)
 
 
-def test_a_gap_is_asked_for_and_confirms_nothing() -> None:
+def test_a_missing_update_is_reported_and_confirms_nothing() -> None:
     proxy = SimulatedProxy()
     proxy.attach()
     proxy.update(1, s0=300)
@@ -290,29 +292,29 @@
     (beat,) = proxy.due()
     assert isinstance(beat, SendToNode) and isinstance(beat.message, Heartbeat)
     assert (beat.message.received, beat.message.missing) == (3, [2])
-    (beat,) = proxy.due()  # the first one may have been lost
+    (beat,) = proxy.due()  # reported again, as the first heartbeat may have been lost
     assert (
         isinstance(beat, SendToNode) and isinstance(beat.message, Heartbeat) and beat.message.missing == [2]
     )
-    proxy.update(4, s1=200)  # the node has heard it, and told again what was lost
+    proxy.update(4, s1=200)  # the node has received the heartbeat and sent the lost entries again
     assert proxy.core.confirmed_as_of != as_of and not proxy.core.missing
 
 
-def test_what_a_new_node_does_not_tell_is_dropped_with_its_first_complete_update() -> None:
+def test_entries_unknown_to_a_new_node_are_dropped_with_its_first_complete_update() -> None:
     proxy = SimulatedProxy()
     proxy.attach()
     proxy.update(1, s0=300, s1=100)
     proxy.now += TERMS.node_timeout + 1
     proxy.core.due = proxy.now
     proxy.due()
-    proxy.due()  # asks the next node
+    proxy.due()  # joins the next node
     proxy.receive(LeaseGranted(proxy.core.node, proxy.core.epoch, ["s1"]))
     assert len(proxy.core.entries) == 2
     proxy.update(1)
     assert {key[0] for key in proxy.core.entries} == {"s1"}
 
 
-def test_without_any_node_it_says_once_that_it_is_alone_and_goes_on_ever_more_slowly() -> None:
+def test_without_any_node_isolation_is_reported_once_and_joins_slow_down() -> None:
     proxy = SimulatedProxy()
     actions = [action for _ in range(20) for action in proxy.due()]
     assert actions.count(Isolated()) == 1
@@ -321,7 +323,7 @@
     assert proxy.core.due - proxy.now >= TERMS.join_retry * 0.5
 
 
-def test_a_former_node_that_still_tells_is_told_to_stop() -> None:
+def test_a_former_node_that_still_sends_updates_gets_a_leave() -> None:
     proxy = SimulatedProxy()
     proxy.attach()
     former, epoch = proxy.core.node, proxy.core.epoch
@@ -331,7 +333,7 @@
     assert told == SendToNode(former, Leave("p0", epoch))
 
 
-def test_away_from_home_it_goes_back_once_its_region_is_heard_of() -> None:
+def test_a_proxy_returns_to_its_region_once_that_is_reachable() -> None:
     proxy = SimulatedProxy()
     while proxy.core.node != "n2":
         proxy.due()
@@ -361,18 +363,18 @@
         encode_control(Update("n", 1, 0, 1, 0, {}, [StateEntry("s", "r", "z", -1, 0, 0)])),
     ],
 )  # fmt: skip
-def test_bad_messages_are_unreadable(body: bytes) -> None:
+def test_malformed_messages_are_rejected(body: bytes) -> None:
     with pytest.raises(DatagramError):
         decode_control(body)
 
 
-def test_messages_come_back_as_they_were() -> None:
+def test_messages_survive_a_round_trip() -> None:
     entry = StateEntry("s", "r", "z", 1, 100, 50, [MemberState("p", 1, 100, 50)])
     for message in (join("p"), LeaseGranted("n", 1, ["s"]), Update("n", 1, 0, 2, 0, {"r": 5}, [entry])):
         assert decode_control(encode_control(message)) == message
 
 
-def test_rate_and_burst_bound_any_second() -> None:
+def test_rate_and_burst_limit_any_second() -> None:
     bucket = TokenBucket(800.0, 700.0, 0.0)
     spent = [at for at in range(0, 5_000, 10) if bucket.take(float(at), 100.0)]
     assert max(sum(at < other <= at + 1_000 for other in spent) for at in spent) <= 15
--- a/tests/control/test_processes.py
+++ b/tests/control/test_processes.py
@@ -1,4 +1,4 @@
-"""Control nodes and proxies as real processes: leases, state, the loss of one node and of all, bad input."""
+"""Control nodes and proxies as real processes: leases, state, loss of one node and of all, bad input."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from martentide_lab.servers import Board, SessionServer
 from tests.net.support import SETTINGS
 
-LIMIT = 30.0  # s that any wait may take before the test fails
+LIMIT = 30.0  # s per wait before the test fails
 
 
 async def holds(proxy: Proxy, service: str, members: set[str]) -> None:
-    """Until the proxy holds just these members of the service."""
+    """Wait until the proxy holds exactly these members of the service."""
     async with asyncio.timeout(LIMIT):
         while True:
             entries = (await status(proxy))["entries"]
@@ -33,7 +33,7 @@
             await asyncio.sleep(0.05)
 
 
-async def play() -> None:
+async def run_scenario() -> None:
     server, board = SessionServer(0), Board()
     await server.start()
     await board.start()
@@ -60,7 +60,7 @@
         await until_attached(proxies, LIMIT)
         await holds(caller, "sign", {"p0", "p1"})
 
-        proxies[0].send(signal.SIGTERM)  # it gives its lease back, and is forgotten at once
+        proxies[0].send(signal.SIGTERM)  # releases its lease and is removed at once
         await holds(caller, "sign", {"p1"})
 
         for name in list(nodes.processes):
@@ -78,10 +78,10 @@
 
 
 def test_leases_state_and_the_loss_of_nodes() -> None:
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_garbage_at_the_control_port_costs_a_counter_only() -> None:
+def test_garbage_at_the_control_port_only_raises_a_counter() -> None:
     async def flood() -> None:
         nodes = ControlNodes(1)
         await nodes.start("c0")
@@ -124,13 +124,13 @@
         (f'control-node {{\n fleet "f"\n {NODES}\n}}', "expected a node name, found none"),
     ],
 )  # fmt: skip
-def test_a_bad_file_gets_one_clear_line(text: str, message: str) -> None:
+def test_an_invalid_file_gets_a_one_line_error(text: str, message: str) -> None:
     with pytest.raises(ExtrasError) as error:
         read_extras(text, "f", None)
     assert message in str(error.value)
 
 
-def test_a_lease_is_refused_where_proxies_may_not_talk() -> None:
+def test_the_control_tier_is_refused_if_the_settings_forbid_peers() -> None:
     settings = settings_from(SETTINGS)
     assert not settings.may_tell_peers
     with pytest.raises(ExtrasError, match=r"control-tier: the settings forbid .*limits\.peers is false"):
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -1,4 +1,5 @@
-"""The tier in simulated time, and its checker: an ordinary day breaks nothing, a planted fault is found."""
+"""The control tier in simulated time: no invariant breaks in a day of faults, and the checker finds each
+planted defect."""
 
 from __future__ import annotations
 
@@ -31,7 +32,7 @@
 
 
 def broken_rules(terms: ControlTerms | None = None, seconds: int = 30, **limits: float) -> set[str]:
-    """The rules that a calm play breaks, with a proxy killed in the midst of it."""
+    """Return the rules broken in a run without network faults in which one proxy is killed halfway."""
     tier = SimulatedTier(SMALL, 5, terms, Link(delay=2.0, jitter=2.0))
     checker = TierChecker(tier, Limits(**limits))  # type: ignore[arg-type]
     tier.start()
@@ -44,7 +45,7 @@
     return {one.rule for one in checker.finish()}
 
 
-def test_a_calm_play_breaks_nothing() -> None:
+def test_a_run_without_faults_breaks_no_invariant() -> None:
     assert broken_rules() == set()
 
 
@@ -79,7 +80,7 @@
     assert rule in broken_rules()
 
 
-def test_state_past_its_end_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_use_of_expired_state_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     disable_ageing(monkeypatch)
     tier = SimulatedTier(SMALL, 5)
     checker = TierChecker(tier)
@@ -104,7 +105,7 @@
     assert "load" in broken_rules(ControlTerms(min_bound=2))
 
 
-def test_a_proxy_that_stays_away_from_home_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_proxy_that_stays_in_another_region_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ControlClient, "_schedule_home_return", lambda self, update, now: None)
     tier = SimulatedTier(SMALL, 5)
     checker = TierChecker(tier)
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -1,4 +1,4 @@
-"""Learned state: format, files, ageing, recovery, and what a restored Controller does."""
+"""Learned state: format, files, ageing, recovery, and the behaviour of a restored Controller."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
     return None
 
 
-# ---- every field is decided on ----------------------------------------------------------------------------
+# ---- schema -----------------------------------------------------------------------------------------------
 
 
-def test_every_learned_field_is_kept_or_not_for_a_reason() -> None:
-    told = {
+def test_every_learned_field_has_a_policy() -> None:
+    configured = {
         "settings",
         "random",
         "classes",
@@ -65,9 +65,9 @@
         "window",
         "part",
     }
-    loop = {"actions", "ticking", "tenants_due", "peers_due", "servers"}
+    internal = {"actions", "ticking", "tenants_due", "peers_due", "servers"}
     assert set(SERVER_FIELDS) == {field.name for field in dataclasses.fields(Server)}
-    assert set(CONTROLLER_FIELDS) == set(vars(Bench().controller)) - told - loop
+    assert set(CONTROLLER_FIELDS) == set(vars(Bench().controller)) - configured - internal
     kept = {name for name, field in SERVER_FIELDS.items() if field.persisted}
     assert kept == {field.name for field in msgspec.structs.fields(Saved)} - {"name", "started"}
 
@@ -81,13 +81,13 @@
     assert read_state(write_state(state, b"other settings.."), None) == state
 
 
-def test_every_byte_flipped_and_every_length_cut_is_refused_and_never_read_wrong() -> None:
+def test_every_flipped_byte_and_every_truncation_is_refused() -> None:
     raw = write_state(learned(), PRINT)
     for at in range(len(raw)):
         for bit in (0x01, 0x80):
-            spoilt = bytearray(raw)
-            spoilt[at] ^= bit
-            assert fault_of(bytes(spoilt)) is not None, f"byte {at}"
+            corrupted = bytearray(raw)
+            corrupted[at] ^= bit
+            assert fault_of(bytes(corrupted)) is not None, f"byte {at}"
         assert fault_of(raw[:at]) in (Fault.EMPTY, Fault.CUT), f"cut at {at}"
         zeroed = raw[:at] + bytes(len(raw) - at)
         assert zeroed == raw or fault_of(zeroed) is not None, f"zeroes from {at}"
@@ -116,8 +116,8 @@
                 write_state(learned(), PRINT)
 
 
-def test_the_file_of_each_version_that_ever_was_is_read_or_refused_as_then() -> None:
-    """A file written by version 1, kept as it was: a change that can't read it needs another version."""
+def test_files_of_earlier_versions_stay_readable() -> None:
+    """The file was written by version 1: a change that cannot read it must increase the version."""
     raw = (Path(__file__).parent / "files" / "format-1-schema-1.state").read_bytes()
     image = ImageState(0.5, 3.0, 7000.0, 1000.0)
     server = Saved("s0", 5.0, wait=40.0, image=image, offered=(1.0, 2.0))
@@ -144,17 +144,17 @@
 
 
 class MachineStopped(BaseException):
-    """The machine stops here."""
+    """Simulated stop of the machine."""
 
 
 class SimulatedDisk:
-    """A folder that loses what was not synced when the machine stops, in any way that a disk may."""
+    """A directory that may lose unsynced data when the machine stops, in the ways a real disk does."""
 
-    def __init__(self, dice: random.Random) -> None:
-        self.dice = dice
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.live: dict[str, bytes] = {}
-        self.synced: dict[str, bytes] = {}  # contents that are on the disk, by name at that time
-        self.names: dict[str, bytes] = {}  # what the folder holds on the disk
+        self.synced: dict[str, bytes] = {}  # contents on the disk, by current name
+        self.names: dict[str, bytes] = {}  # directory entries on the disk
         self.fail: dict[str, int] = {}
 
     def _step(self, name: str) -> None:
@@ -189,11 +189,11 @@
         self._step("sync-folder")
 
     def crash(self) -> None:
-        """Renames are atomic and in order; contents that were not synced come back whole, cut or zeroed."""
+        """Renames are atomic and ordered; unsynced contents end up whole, truncated or zeroed."""
         for name, data in self.live.items():
             if self.synced.get(name) != data:
-                cut = self.dice.randrange(len(data) + 1)
-                self.live[name] = self.dice.choice([data, data[:cut], data[:cut] + bytes(len(data) - cut)])
+                cut = self.rng.randrange(len(data) + 1)
+                self.live[name] = self.rng.choice([data, data[:cut], data[:cut] + bytes(len(data) - cut)])
 
 
 def saved(sequence: int) -> bytes:
@@ -202,7 +202,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("seed", range(12))
-def test_whatever_step_the_machine_dies_at_the_last_or_the_one_before_is_read(step: str, seed: int) -> None:
+def test_a_crash_at_any_step_leaves_the_last_or_previous_state_readable(step: str, seed: int) -> None:
     disk = SimulatedDisk(random.Random(seed))
     save(disk, saved(1))
     save(disk, saved(2))
@@ -214,7 +214,7 @@
     with pytest.raises(MachineStopped):
         save(disk, saved(3), die)
     if step == "sync":
-        disk.crash()  # the new file may hold anything
+        disk.crash()  # the new file may have any contents
     decision = decide(load(disk), PRINT, NOW)
     assert decision.state is not None
     assert decision.state.learned.sequence == (3 if step == "sync-folder" else 2)
@@ -225,7 +225,9 @@
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EROFS, errno.EACCES])
 @pytest.mark.parametrize("step", STEPS)
-def test_whatever_step_fails_a_good_state_stays_and_the_next_save_mends_it(step: str, number: int) -> None:
+def test_a_failure_at_any_step_leaves_a_valid_state_and_the_next_save_recovers(
+    step: str, number: int
+) -> None:
     disk = SimulatedDisk(random.Random(1))
     save(disk, saved(1))
     save(disk, saved(2))
@@ -255,7 +257,7 @@
         (write_state(learned(saved_at=NOW - 86_400_000.0), PRINT), None, StartOutcome.AGED_OUT, STATE, 0),
     ],
 )
-def test_a_start_takes_the_last_good_state_or_none(
+def test_startup_uses_the_last_valid_state_or_none(
     newest: bytes | None, before: bytes | None, start: StartOutcome, used: str, refused: int
 ) -> None:
     decision = decide([Found(STATE, newest), Found(OLD, before)], PRINT, NOW)
@@ -263,7 +265,7 @@
     assert (decision.state is None) == (start in (StartOutcome.NOTHING, StartOutcome.REFUSED))
 
 
-def test_a_difference_names_server_field_and_figures() -> None:
+def test_a_difference_names_server_field_and_values() -> None:
     old, new = learned(servers=2), learned(servers=1)
     changed = msgspec.structs.replace(new, servers=(msgspec.structs.replace(new.servers[0], wait=80.0),))
     assert diff(old, changed) == ["s0: wait: 40.0 -> 80.0", "s1: left"]
@@ -282,7 +284,7 @@
         (NOW + 2_500.0, ClockStatus.FUTURE),
     ],
 )
-def test_a_clock_that_went_back_and_a_file_from_the_future_have_a_defined_answer(
+def test_a_clock_set_back_and_a_file_from_the_future_are_handled(
     saved_at: float, expected: ClockStatus
 ) -> None:
     assert classify_clock(saved_at, NOW) is expected
@@ -292,12 +294,12 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.floats(0.0, 1e8), st.floats(0.0, 1e8), st.sampled_from(sorted(SERVER_FIELDS)))
-def test_old_state_counts_for_less_and_never_for_more(one: float, other: float, field: str) -> None:
+def test_weights_never_increase_with_age(one: float, other: float, field: str) -> None:
     younger, older = sorted((one, other))
     assert 0.0 <= weight(older, field) <= weight(younger, field) <= 1.0
 
 
-def test_an_image_lapses_by_its_report_and_a_way_is_forgotten_slowly() -> None:
+def test_an_image_expires_by_its_report_and_a_round_trip_ages_slowly() -> None:
     image = ImageState(0.8, 2.0, NOW + IMAGE_LIFE, NOW)
     assert aged_image(image, 0.0, NOW) == image
     later = aged_image(image, 1500.0, NOW + 1500.0)
@@ -310,14 +312,14 @@
 
 
 def restarted(before: Bench, gap: float, **more: object) -> tuple[Bench, Restored, Hints]:
-    """A fresh Controller with the same list, ``gap`` ms after the last one's state was saved and aged."""
+    """Return a new Controller with the same list, restored ``gap`` ms after the save of ``before``."""
     state = read_state(write_state(take(before.controller, before.now), PRINT), PRINT)
     fresh = Bench(now=before.now + gap, seed=9, **more)  # type: ignore[arg-type]
     counts, hints = restore(fresh.controller, age_state(state, fresh.now), fresh.now, random.Random(1))
     return fresh, counts, hints
 
 
-def test_a_silent_server_is_tried_by_single_calls_after_a_restart() -> None:
+def test_a_silent_server_gets_only_single_probes_after_a_restart() -> None:
     before = Bench()
     for send in sends([action for _ in range(3) for action in before.offer(first=0)]):
         if send.server == "s0":
@@ -343,8 +345,8 @@
 
 
 @pytest.mark.parametrize("keep", [True, False])
-def test_restarts_bring_a_cold_server_no_more_than_one_life_would(keep: bool) -> None:
-    """Restarts each 2 s beside a cold server: rule 4 counts what all its lives send together."""
+def test_restarts_send_a_cold_server_no_more_than_one_process_would(keep: bool) -> None:
+    """With restarts every 2 s and a cold server, rule 4 limits the calls of all processes together."""
 
     def sent(plays: int) -> int:
         count = 0
@@ -364,12 +366,12 @@
                 bench = fresh
         return count
 
-    # It is the only server, and nothing tells its pace: the least rate holds, at most its share of that.
+    # The only server, of unknown pace: its cold share of the minimum rate applies.
     most = 6 * 1.8 * BOUND_FLOOR * SETTINGS.fall_multiple * SETTINGS.cold_share * slow_start.USE
     assert 0.3 * most < sent(40) / 40 <= most
 
 
-def test_a_server_that_started_anew_or_left_brings_nothing_over() -> None:
+def test_nothing_is_restored_for_a_restarted_or_removed_server() -> None:
     before = Bench(servers=3)
     before.press("s0", 0.9)
     state = age_state(take(before.controller, before.now), before.now)
@@ -381,7 +383,7 @@
     assert fresh.controller.servers["s0"].image is None
 
 
-def test_fresh_evidence_ends_a_restored_belief_at_once() -> None:
+def test_new_evidence_drops_restored_state_at_once() -> None:
     before = Bench()
     for _ in range(20):
         before.offer(first=0)
@@ -392,7 +394,7 @@
     fresh.feed(event)
     hints.heard(fresh.now, event, fresh.controller)
     assert fresh.controller.servers["s0"].image is None and hints.dropped == 1
-    assert set(hints.servers) == {"s1"}, "no word of the other yet"
+    assert set(hints.servers) == {"s1"}, "no evidence on the other server yet"
 
 
 def test_a_redial_is_known_across_the_restart_until_the_class_gives_up() -> None:
@@ -425,7 +427,7 @@
 # ---- pacing -----------------------------------------------------------------------------------------------
 
 
-def test_saves_keep_their_gap_and_never_two_at_a_time() -> None:
+def test_saves_keep_their_gap_and_never_overlap() -> None:
     pacing = Pacing(Pace())
     assert pacing.may_begin(NOW)
     pacing.begin(NOW)
@@ -439,7 +441,7 @@
     assert pacing.due(NOW + 260.0) == NOW + 2260.0, "a large state is saved less often"
 
 
-def test_failures_wait_longer_each_time_and_a_hung_disk_is_said_once() -> None:
+def test_failures_back_off_and_a_hung_disk_is_reported_once() -> None:
     pacing, waits = Pacing(Pace()), []
     for _ in range(9):
         pacing.begin(NOW)
--- a/tests/net/test_codec.py
+++ b/tests/net/test_codec.py
@@ -1,4 +1,4 @@
-"""Tables of cases for the parsers and encoders."""
+"""Table-driven tests of the parsers and encoders."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     [
         (b"\x01" + CALL, Message(1, CALL, {})),
         (b"\x0c" + CALL + b"\x9d\0\x01\x10", Message(12, CALL, {157: b"\x10"})),
-        (b"\xfe" + CALL + b"\x01\0\0", Message(254, CALL, {1: b""})),  # unknown types and codes are carried
+        (b"\xfe" + CALL + b"\x01\0\0", Message(254, CALL, {1: b""})),  # unknown types and codes are forwarded
         (b"\x09" + CALL + b"\x9f\0\x01a\x9f\0\x01b", Message(9, CALL, {159: b"a"})),
     ],
 )
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize(
     "data", [b"", b"\x01" + CALL[:7], b"\x01" + CALL + b"\x81", b"\x01" + CALL + b"\x81\0\x02a"]
 )
-def test_messages_cut_short_are_malformed(data: bytes) -> None:
+def test_truncated_messages_are_malformed(data: bytes) -> None:
     with pytest.raises(CodecError):
         read_message(data)
 
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(("hold_off", "text"), [(0.0, None), (250.0, "250"), (0.2, "1")])
-def test_releases_tell_when_to_come_back(hold_off: float, text: str | None) -> None:
+def test_releases_carry_the_hold_off(hold_off: float, text: str | None) -> None:
     message = read_message(write_release(CALL, 42, hold_off)[2:])
     assert (message.cause(), message.text(Code.HOLD_OFF)) == (42, text)
 
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("text", ["x0", "x0:", ":1", "x0:a", "x0:inf", "x0:nan"])
-def test_what_is_no_figure_is_malformed(text: str) -> None:
+def test_invalid_figures_are_malformed(text: str) -> None:
     with pytest.raises(CodecError):
         read_figures(text)
 
@@ -102,7 +102,7 @@
         read_first_choice(text)
 
 
-def test_messages_are_split_off_whole_and_what_came_before_a_bad_one_is_kept() -> None:
+def test_complete_messages_are_split_off_also_before_an_invalid_one() -> None:
     whole = write_message(Type.TEST, bytes(8))
     received = bytearray(whole + whole[:5])
     assert list(split(received)) == [whole[2:]] and bytes(received) == whole[:5]
@@ -114,21 +114,21 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "state", "whole", "told"),
+    ("kind", "state", "whole", "expected_state"),
     [(1, 0, True, ServerState.OPEN), (2, 1, False, ServerState.DRAINING), (2, 2, False, ServerState.GONE)],
 )
-def test_frames_are_read(kind: int, state: int, whole: bool, told: ServerState) -> None:
+def test_frames_are_read(kind: int, state: int, whole: bool, expected_state: ServerState) -> None:
     data = frame(41, kind, (7, 5080, state))
     assert frame_length(data[:4]) == len(data) - 4
     notice = read_frame(data[4:], ZONES)
     assert notice is not None and (notice.number, notice.whole) == (41, whole)
     [listed] = notice.servers
     assert (listed.entry.name, listed.host, listed.port) == ("s-00000007", "127.0.0.1", 5080)
-    assert (listed.entry.state, listed.entry.place, listed.entry.size) == (told, 7, 1.0)
+    assert (listed.entry.state, listed.entry.place, listed.entry.size) == (expected_state, 7, 1.0)
     assert (listed.entry.zone, listed.entry.started) == ("east", None)
 
 
-def test_frames_with_nothing_new_or_half_a_record() -> None:
+def test_frames_without_changes_or_with_a_partial_record() -> None:
     assert read_frame(frame(41, 0)[4:], ZONES) is None
     with pytest.raises(CodecError):
         read_frame(frame(41, 2, (7, 5080, 0))[4:-1], ZONES)
