--- a/martentide/codec/messages.py
+++ b/martentide/codec/messages.py
@@ -91,14 +91,14 @@
     return length
 
 
-def split(received: bytearray) -> Iterator[bytes]:
+def split(buffer: bytearray) -> Iterator[bytes]:
     """Remove and yield complete messages without their length fields; an incomplete one stays buffered."""
-    while len(received) >= 2:
-        end = 2 + body_length(received[:2])
-        if len(received) < end:
+    while len(buffer) >= 2:
+        end = 2 + body_length(buffer[:2])
+        if len(buffer) < end:
             return
-        body = bytes(received[2:end])
-        del received[:end]
+        body = bytes(buffer[2:end])
+        del buffer[:end]
         yield body
 
 
@@ -108,16 +108,16 @@
         raise CodecError(f"message too short: {len(body)} bytes")
     kind, call = body[0], body[1:MIN_LENGTH]
     parameters: dict[int, bytes] = {}
-    at = MIN_LENGTH
-    while at < len(body):
-        if at + PARAMETER.size > len(body):
+    offset = MIN_LENGTH
+    while offset < len(body):
+        if offset + PARAMETER.size > len(body):
             raise CodecError("truncated parameter header")
-        code, length = PARAMETER.unpack_from(body, at)
-        at += PARAMETER.size
-        if at + length > len(body):
+        code, length = PARAMETER.unpack_from(body, offset)
+        offset += PARAMETER.size
+        if offset + length > len(body):
             raise CodecError(f"parameter {code} is truncated")
-        parameters.setdefault(code, body[at : at + length])
-        at += length
+        parameters.setdefault(code, body[offset : offset + length])
+        offset += length
     return Message(kind, call, parameters)
 
 
--- a/martentide/control/client.py
+++ b/martentide/control/client.py
@@ -200,15 +200,15 @@
             self._heartbeat(now)
 
     def _join(self, now: float) -> None:
-        held = {service: self._digest(service) for service in self.info.services}
+        digests = {service: self._digest(service) for service in self.info.services}
         info, own = self.info, self.own_state
         join = Join(
             info.name, self.incarnation, self.epoch, info.region, info.zone, info.service, own.capacity,
-            own.pressure, held,
+            own.pressure, digests,
         )  # fmt: skip
         self.actions.append(SendToNode(self.node, join))
-        slower = min(MAX_JOIN_SLOWDOWN, max(1.0, self.failed_joins / len(self.order)))
-        self.due = now + self.terms.join_retry * slower * self.rng.uniform(0.5, 1.5)
+        slowdown = min(MAX_JOIN_SLOWDOWN, max(1.0, self.failed_joins / len(self.order)))
+        self.due = now + self.terms.join_retry * slowdown * self.rng.uniform(0.5, 1.5)
 
     def _select_next_node(self, now: float) -> None:
         """Move to the next node if the last join got no answer; report isolation after a full round."""
@@ -269,11 +269,11 @@
             case Update() if self.attached:
                 self._update(message, now)
 
-    def _granted(self, same: frozenset[str], now: float) -> None:
+    def _granted(self, matching_services: frozenset[str], now: float) -> None:
         if self.attached:
             return
         for key, held in self.entries.items():
-            if key[0] in same:
+            if key[0] in matching_services:
                 held.epoch = self.epoch
         self.attached, self.isolated, self.failed_joins = True, False, 0
         self.last_received_at, self.last_number, self.synchronized = now, 0, False
@@ -326,7 +326,7 @@
             del self.missing[number]
 
     def _schedule_home_return(self, update: Update, now: float) -> None:
-        """Plan the return to the own region, at a random time, once this node hears from that region."""
+        """Plan the return to the own region, at a random time, once this node reports that region as live."""
         region_reachable = update.ages.get(self.info.region, self.terms.lease) < self.terms.lease
         if self.node in self.home_nodes or not self.home_nodes or not region_reachable:
             self.home_return_at = None
@@ -341,5 +341,5 @@
             self.entries = {key: held for key, held in self.entries.items() if held.epoch == self.epoch}
         self.update_as_of = {region: now - age - update.backlog_age for region, age in update.ages.items()}
         for region, as_of in self.update_as_of.items():
-            before = [one.as_of.get(region, 0.0) for one in self.missing.values()]
-            self.confirmed_as_of[region] = min([as_of, *before])
+            unconfirmed_as_of = [one.as_of.get(region, 0.0) for one in self.missing.values()]
+            self.confirmed_as_of[region] = min([as_of, *unconfirmed_as_of])
--- a/martentide/control/node.py
+++ b/martentide/control/node.py
@@ -105,9 +105,8 @@
     leases: int = 0
     series: int = -1  # of its summaries; ``applied_number`` is the last one applied
     applied_number: int = 0
-    out_of_order: dict[int, Summary] = field(
-        default_factory=dict
-    )  # by number, received before an earlier one
+    # Summaries by number, received before an earlier one.
+    out_of_order: dict[int, Summary] = field(default_factory=dict)
     gap_since: float | None = None
     snapshot_requested_at: float = -math.inf
     sent_number: int = 0  # last summary sent to it, within ``sent_series``
@@ -168,27 +167,29 @@
             case Heartbeat():
                 self._heartbeat(message, address, now)
             case Leave():
-                known = self.leases.get(message.name)
-                if known is not None and known.epoch == message.epoch:
-                    self._end_lease(known)
+                subscriber = self.leases.get(message.name)
+                if subscriber is not None and subscriber.epoch == message.epoch:
+                    self._end_lease(subscriber)
 
     def _join(self, join: Join, address: Hashable, now: float) -> None:
-        known = self.leases.get(join.name)
-        if known is not None and (known.epoch > join.epoch and known.incarnation == join.incarnation):
+        subscriber = self.leases.get(join.name)
+        if subscriber is not None and (
+            subscriber.epoch > join.epoch and subscriber.incarnation == join.incarnation
+        ):
             self.counts["old-join"] += 1
             return
-        if known is None or known.epoch != join.epoch:
+        if subscriber is None or subscriber.epoch != join.epoch:
             if len(join.digests) > self.terms.max_subscriptions:
                 self.counts["too-many-subscriptions"] += 1
                 return
-            if known is None and self._over_bound(1, now):
+            if subscriber is None and self._exceeds_limit(1, now):
                 self._refuse(join, address, full=True, retry=0.0)
                 return
             if not self.join_bucket.take(now, 1.0):
                 self._refuse(join, address, full=False, retry=self.join_bucket.time_until(JOIN_RETRY_TOKENS))
                 return
-            if known is not None:
-                self._end_lease(known)
+            if subscriber is not None:
+                self._end_lease(subscriber)
             self._grant(join, address, now)
         granted = LeaseGranted(self.name, join.epoch, sorted(self.leases[join.name].matching_services))
         self.actions.append(SendToProxy(address, granted))
@@ -204,25 +205,25 @@
             self.by_service.setdefault(service, {})[join.name] = subscriber
         self.service_table.set_member(subscriber.key, subscriber.member())
         self._mark_own_changed(subscriber.key, urgent=True)
-        for service, held in join.digests.items():
+        for service, held_digest in join.digests.items():
             keys = self.service_table.keys(service, subscriber.region)
-            if held == digest(self.service_table.entry(key, subscriber.region).entry for key in keys):
+            if held_digest == digest(self.service_table.entry(key, subscriber.region).entry for key in keys):
                 subscriber.matching_services.add(service)
             else:
                 subscriber.mark_changed(keys, now)
                 self.pending[join.name] = subscriber
 
     def _heartbeat(self, heartbeat: Heartbeat, address: Hashable, now: float) -> None:
-        known = self.leases.get(heartbeat.name)
-        if known is None or known.epoch != heartbeat.epoch:
+        subscriber = self.leases.get(heartbeat.name)
+        if subscriber is None or subscriber.epoch != heartbeat.epoch:
             answer = LeaseRefused(self.name, heartbeat.epoch, False, 0, unknown=True)
             self.actions.append(SendToProxy(address, answer))
             return
-        known.address = address
-        if known.apply_heartbeat(heartbeat, now):
-            self.service_table.set_member(known.key, known.member())
-            self._mark_own_changed(known.key, urgent=False)
-        self._send_update(known, now, answer=True)
+        subscriber.address = address
+        if subscriber.apply_heartbeat(heartbeat, now):
+            self.service_table.set_member(subscriber.key, subscriber.member())
+            self._mark_own_changed(subscriber.key, urgent=False)
+        self._send_update(subscriber, now, answer=True)
 
     def _end_lease(self, subscriber: Subscriber) -> None:
         del self.leases[subscriber.name]
@@ -244,7 +245,7 @@
 
     # ---- load -------------------------------------------------------------------------------------------
 
-    def bound(self, now: float) -> int:
+    def lease_limit(self, now: float) -> int:
         """Return the lease limit: ``load_bound`` times this node's weighted share of the region's leases."""
         peers = [peer for peer in self.peers.values() if peer.info.region == self.region]
         live_peers = [peer for peer in peers if peer.up]
@@ -254,12 +255,12 @@
         limit = max(self.terms.min_bound, math.floor(self.terms.load_bound * total * share))
         return min(self.terms.max_leases, limit if live_peers else self.terms.max_leases)
 
-    def _over_bound(self, more: int, now: float) -> bool:
-        return len(self.leases) + more > self.bound(now)
+    def _exceeds_limit(self, more: int, now: float) -> bool:
+        return len(self.leases) + more > self.lease_limit(now)
 
     def _shed(self, now: float) -> None:
         """Ask a few proxies to move while this node is over its limit, as after another node returned."""
-        excess = len(self.leases) - self.bound(now)
+        excess = len(self.leases) - self.lease_limit(now)
         if excess <= 0:
             return
         for subscriber in list(self.leases.values())[-min(excess, MAX_SHED_PER_PASS) :]:
@@ -285,9 +286,9 @@
             peer.pending[visible_key] = None
 
     def _send_update(self, subscriber: Subscriber, now: float, answer: bool) -> None:
-        shares, region = self.service_table, subscriber.region
+        service_table, region = self.service_table, subscriber.region
         update = subscriber.build_update(
-            self.name, self.region_ages, lambda key: shares.entry(key, region), now, answer
+            self.name, self.region_ages, lambda key: service_table.entry(key, region), now, answer
         )  # fmt: skip
         if update is not None:
             self.actions.append(SendToProxy(subscriber.address, update))
@@ -355,8 +356,8 @@
         if not peer.up:
             return
         same_region = peer.info.region == self.region
-        anew = peer.needs_snapshot
-        if anew:
+        send_snapshot = peer.needs_snapshot
+        if send_snapshot:
             keys = self.service_table.own_keys()
             peer.pending = OrderedDict.fromkeys(
                 keys if same_region else [(key[0], key[1], "") for key in keys]
@@ -364,15 +365,15 @@
             peer.needs_snapshot, peer.sent_number = False, 0
             self.series += 1
             peer.sent_series = self.series
-        if not peer.pending and not anew and now - peer.last_sent_at < SUMMARY_KEEPALIVE_MS:
+        if not peer.pending and not send_snapshot and now - peer.last_sent_at < SUMMARY_KEEPALIVE_MS:
             return
         while True:
             entries: list[StateEntry] = []
-            room = SUMMARY_MAX_BYTES
+            remaining_bytes = SUMMARY_MAX_BYTES
             while peer.pending:
                 entry = self._own_entry(next(iter(peer.pending)))
-                room -= entry_size(entry)
-                if room < 0 and entries:
+                remaining_bytes -= entry_size(entry)
+                if remaining_bytes < 0 and entries:
                     break
                 peer.pending.popitem(last=False)
                 entries.append(entry)
--- a/martentide/control/service_table.py
+++ b/martentide/control/service_table.py
@@ -76,24 +76,24 @@
     def set_entry(self, source: str, entry: StateEntry) -> bool:
         """Replace the entry of another node; return whether the set or number of members changed."""
         if entry.zone:
-            known = self._source_members(entry.key, source)
-            names = set(known)
-            known.clear()
-            known.update({member.name: member for member in entry.members})
-            members_changed = names != known.keys()
+            known_members = self._source_members(entry.key, source)
+            names = set(known_members)
+            known_members.clear()
+            known_members.update({member.name: member for member in entry.members})
+            members_changed = names != known_members.keys()
             self._prune(entry.key, source)
             self._invalidate(entry.key)
             return members_changed
         key = (entry.service, entry.region)
         self._invalidate(entry.key)
-        former = self.sums.get(key, {}).get(source)
+        previous = self.sums.get(key, {}).get(source)
         if entry.up:
             self.regions.setdefault(entry.service, set()).add(entry.region)
             self.sums.setdefault(key, {})[source] = entry
         else:
             self.sums.get(key, {}).pop(source, None)
             self._prune_region(*key)
-        return entry.up != (former.up if former is not None else 0)
+        return entry.up != (previous.up if previous is not None else 0)
 
     def drop_source(self, source: str) -> list[DetailKey]:
         """Remove all entries of that node and return the keys that changed."""
@@ -113,8 +113,8 @@
     def _invalidate(self, key: DetailKey) -> None:
         """Drop the cached values that the key is part of."""
         self.zone_entries.pop(key, None)
-        whole = (key[0], key[1], "")
-        for one in ((key, True), (key, False), (whole, True), (whole, False)):
+        region_key = (key[0], key[1], "")
+        for one in ((key, True), (key, False), (region_key, True), (region_key, False)):
             self.sized_entries.pop(one, None)
 
     def _source_members(self, key: DetailKey, source: str) -> dict[str, MemberState]:
@@ -166,11 +166,11 @@
         """Return the entry of the key for a reader in that region: zones of its own region, sums of others.
         The sum of the reader's own region covers the members whose leases are at nodes of other regions."""
         same_region = key[1] == reader
-        known = self.sized_entries.get((key, same_region))
-        if known is None:
+        cached = self.sized_entries.get((key, same_region))
+        if cached is None:
             entry = self._zone_entry(key) if key[2] else self._region_entry(key, same_region)
-            known = self.sized_entries[(key, same_region)] = SizedEntry(entry, entry_size(entry))
-        return known
+            cached = self.sized_entries[(key, same_region)] = SizedEntry(entry, entry_size(entry))
+        return cached
 
     def _region_entry(self, key: DetailKey, same_region: bool) -> StateEntry:
         service, region, _ = key
--- a/martentide/control/subscriber.py
+++ b/martentide/control/subscriber.py
@@ -73,18 +73,18 @@
         self.last_received_at = now
         self.beat = max(self.beat, heartbeat.beat)
         self._process_acknowledgements(heartbeat, now)
-        moved = abs(heartbeat.pressure - self.pressure) >= self.terms.pressure_step
+        pressure_changed = abs(heartbeat.pressure - self.pressure) >= self.terms.pressure_step
         pressure_ended = heartbeat.pressure != self.pressure and heartbeat.pressure == 0
-        changed = moved or pressure_ended or heartbeat.capacity != self.capacity
+        changed = pressure_changed or pressure_ended or heartbeat.capacity != self.capacity
         if changed:
             self.capacity, self.pressure = heartbeat.capacity, heartbeat.pressure
         return changed
 
     def _process_acknowledgements(self, heartbeat: Heartbeat, now: float) -> None:
         lost: list[DetailKey] = []
-        for number, (sent, keys) in list(self.unacknowledged.items()):
+        for number, (sent_at, keys) in list(self.unacknowledged.items()):
             arrived = number <= heartbeat.received and number not in heartbeat.missing
-            if not arrived and now - sent < self.terms.resend_after and number > heartbeat.received:
+            if not arrived and now - sent_at < self.terms.resend_after and number > heartbeat.received:
                 continue
             del self.unacknowledged[number]
             if not arrived:
@@ -104,9 +104,11 @@
     ) -> Update | None:
         """Return the next update, or None if nothing is queued or the byte budget or the window is used up.
         The ``answer`` to a heartbeat is always sent and charged to the budget."""
-        base = UPDATE_BASE + sum(len(region) + AGE_BYTES for region in ages)
-        room = min(self.bucket.available(now), DATAGRAM) - base
-        if not answer and (not self.pending or room <= 0 or len(self.unacknowledged) >= self.terms.window):
+        total_bytes = UPDATE_BASE + sum(len(region) + AGE_BYTES for region in ages)
+        remaining_bytes = min(self.bucket.available(now), DATAGRAM) - total_bytes
+        if not answer and (
+            not self.pending or remaining_bytes <= 0 or len(self.unacknowledged) >= self.terms.window
+        ):
             return None
         entries: list[StateEntry] = []
         keys: list[DetailKey] = []
@@ -116,17 +118,17 @@
             if self.sent_entries.get(key) == sized.entry:  # it changed back, or a node repeated its whole set
                 del self.pending[key]
                 continue
-            if sized.size > room:
+            if sized.size > remaining_bytes:
                 break
-            room -= sized.size
-            base += sized.size
+            remaining_bytes -= sized.size
+            total_bytes += sized.size
             del self.pending[key]
             self.sent_entries[key] = sized.entry
             entries.append(sized.entry)
             keys.append(key)
         if not entries and not answer:
             return None
-        self.bucket.spend(now, base)
+        self.bucket.spend(now, total_bytes)
         self.last_number += 1
         if keys:
             self.unacknowledged[self.last_number] = (now, tuple(keys))
--- a/martentide/learned/codec.py
+++ b/martentide/learned/codec.py
@@ -107,11 +107,11 @@
         raise StateError(
             Fault.TOO_LARGE, f"a payload of {length} bytes, expected {MAX_PAYLOAD_BYTES} at most"
         )
-    whole = HEADER_BYTES + length + CRC_FIELD.size
-    if len(raw) < whole:
-        raise StateError(Fault.CUT, f"{len(raw)} bytes, expected {whole}")
-    if len(raw) > whole:
-        raise StateError(Fault.TRAILING, f"{len(raw) - whole} trailing bytes")
+    total_bytes = HEADER_BYTES + length + CRC_FIELD.size
+    if len(raw) < total_bytes:
+        raise StateError(Fault.CUT, f"{len(raw)} bytes, expected {total_bytes}")
+    if len(raw) > total_bytes:
+        raise StateError(Fault.TRAILING, f"{len(raw) - total_bytes} trailing bytes")
     payload = raw[HEADER_BYTES : HEADER_BYTES + length]
     (payload_sum,) = CRC_FIELD.unpack_from(raw, HEADER_BYTES + length)
     if crc32c.crc32c(payload) != payload_sum:
--- a/martentide/learned/recovery.py
+++ b/martentide/learned/recovery.py
@@ -70,8 +70,8 @@
             ahead = (learned.saved_at - now) / 1000.0
             refused.append((file.name, f"{ClockStatus.FUTURE.value}: saved {ahead:.0f} s ahead of the clock"))
             continue
-        first = not any(name == files[0].name for name, _ in refused) and files[0].raw is not None
-        start = StartOutcome.LAST_GOOD if first else StartOutcome.EARLIER_GOOD
+        newest_valid = not any(name == files[0].name for name, _ in refused) and files[0].raw is not None
+        start = StartOutcome.LAST_GOOD if newest_valid else StartOutcome.EARLIER_GOOD
         if aged.clock is ClockStatus.STALE:
             start = StartOutcome.AGED_OUT
         return Decision(start, aged, file.name, tuple(refused), sequence)
@@ -83,17 +83,17 @@
 def diff(old: Learned, new: Learned) -> list[str]:
     """Return the differences between two states as human-readable lines."""
     lines: list[str] = []
-    before = {server.name: server for server in old.servers}
-    after = {server.name: server for server in new.servers}
-    for name in sorted(before.keys() | after.keys()):
-        one, other = before.get(name), after.get(name)
-        if one is None or other is None:
-            lines.append(f"{name}: {'came' if one is None else 'left'}")
+    old_servers = {server.name: server for server in old.servers}
+    new_servers = {server.name: server for server in new.servers}
+    for name in sorted(old_servers.keys() | new_servers.keys()):
+        old_server, new_server = old_servers.get(name), new_servers.get(name)
+        if old_server is None or new_server is None:
+            lines.append(f"{name}: {'came' if old_server is None else 'left'}")
             continue
         for field in COMPARED_FIELDS:
-            was, now = getattr(one, field), getattr(other, field)
-            if was != now:
-                lines.append(f"{name}: {field}: {_short(was)} -> {_short(now)}")
+            old_value, new_value = getattr(old_server, field), getattr(new_server, field)
+            if old_value != new_value:
+                lines.append(f"{name}: {field}: {_short(old_value)} -> {_short(new_value)}")
     if len(old.redials) != len(new.redials):
         lines.append(f"redials: {len(old.redials)} -> {len(new.redials)}")
     return lines
--- a/martentide/learned/restore.py
+++ b/martentide/learned/restore.py
@@ -123,8 +123,8 @@
     def _drop(self, server: Server, saved: ServerState) -> None:
         """Drop at once the restored state that speaks against a server which answers quickly."""
         self.dropped += 1
-        image, old = server.image, saved.image
-        if image is not None and old is not None and image.hold_back <= old.hold_back:
+        image, saved_image = server.image, saved.image
+        if image is not None and saved_image is not None and image.hold_back <= saved_image.hold_back:
             server.image = None
         if server.wait == saved.wait:
             server.wait = 0.0
--- a/martentide/learned/snapshot.py
+++ b/martentide/learned/snapshot.py
@@ -49,7 +49,7 @@
     )
 
 
-def change_marker(server: Server) -> tuple[object, ...]:
+def change_key(server: Server) -> tuple[object, ...]:
     """Return a value that changes whenever the record does and is cheaper to compute than the record."""
     image = server.image
     return (
@@ -86,7 +86,7 @@
                 if server is None:
                     self.records.pop(name, None)
                     continue
-                known, marker = self.records.get(name), change_marker(server)
+                known, marker = self.records.get(name), change_key(server)
                 if known is None or known[0] != marker:
                     self.records[name] = (marker, take_server(server))
             yield None
@@ -102,5 +102,5 @@
 
 def take(controller: Controller, now: float, sequence: int = 1) -> Learned:
     """Take a whole snapshot at once; for few servers and at shutdown."""
-    whole = [part for part in Snapshots(sequence - 1).slices(controller, now) if part is not None]
-    return whole[0]
+    snapshots = [part for part in Snapshots(sequence - 1).slices(controller, now) if part is not None]
+    return snapshots[0]
--- a/tests/control/test_cores.py
+++ b/tests/control/test_cores.py
@@ -125,7 +125,7 @@
         (answer,) = one.receive(join(f"p{at}"))
         assert isinstance(answer, SendToProxy)
         granted += isinstance(answer.message, LeaseGranted)
-    assert granted == one.core.bound(0.0) == len(one.core.leases) < 30
+    assert granted == one.core.lease_limit(0.0) == len(one.core.leases) < 30
     one.core.handle(
         0.0, FromPeer(Summary("n1", "r0", 0, 1, 2, []))
     )  # the other node has restarted without leases
@@ -148,9 +148,9 @@
     one = SimulatedNode()
     one.receive(join("p0", s0=0, s1=0))
     one.receive(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s9": 0}))
-    told = updates(one.advance(1_000), "p0")
-    assert {entry.service for update in told for entry in update.entries} == {"s0"}
-    answer = one.receive(Heartbeat("p0", 1, 1, 100, 400, told[-1].number, []))
+    received = updates(one.advance(1_000), "p0")
+    assert {entry.service for update in received for entry in update.entries} == {"s0"}
+    answer = one.receive(Heartbeat("p0", 1, 1, 100, 400, received[-1].number, []))
     later = updates(answer + one.advance(600), "p0")
     assert [entry.pressure for update in later for entry in update.entries] == [400]
 
@@ -210,8 +210,8 @@
     for name in ("n1", "n2"):
         one.core.handle(0.0, PeerUp(name))
     one.receive(join("p0"))
-    told = [action for action in one.advance(200) if isinstance(action, SendToPeer)]
-    by_peer = {one.to: one.message for one in told if isinstance(one.message, Summary)}
+    sent = [action for action in one.advance(200) if isinstance(action, SendToPeer)]
+    by_peer = {one.to: one.message for one in sent if isinstance(one.message, Summary)}
     assert by_peer["n1"].entries[0].members and by_peer["n1"].entries[0].zone == "z0"
     assert by_peer["n2"].entries[0] == StateEntry("s0", "r0", "", 1, 100, 0)
     first = Summary("n2", "r1", 3, 1, 1, [])
@@ -329,8 +329,8 @@
     former, epoch = proxy.core.node, proxy.core.epoch
     proxy.receive(LeaseRefused(former, epoch, True, 0))
     proxy.due()
-    (told,) = proxy.receive(Update(former, epoch, 0, 9, 0, {}, []))
-    assert told == SendToNode(former, Leave("p0", epoch))
+    (action,) = proxy.receive(Update(former, epoch, 0, 9, 0, {}, []))
+    assert action == SendToNode(former, Leave("p0", epoch))
 
 
 def test_a_proxy_returns_to_its_region_once_that_is_reachable() -> None:
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -99,7 +99,7 @@
 
 
 def test_a_node_with_too_many_leases_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ControlNode, "_over_bound", lambda self, more, now: False)
+    monkeypatch.setattr(ControlNode, "_exceeds_limit", lambda self, more, now: False)
     monkeypatch.setattr(ControlNode, "_shed", lambda self, now: None)
     monkeypatch.setattr("martentide.control.placement.draw", lambda proxy, node: 0.9 if node == "n0" else 0.1)
     assert "load" in broken_rules(ControlTerms(min_bound=2))
