--- a/martentide/learned/codec.py
+++ b/martentide/learned/codec.py
@@ -104,9 +104,7 @@
     if schema != SCHEMA_VERSION:
         raise StateError(Fault.OTHER_SCHEMA, f"schema {schema}, expected {SCHEMA_VERSION}")
     if length > MAX_PAYLOAD_BYTES:
-        raise StateError(
-            Fault.TOO_LARGE, f"a payload of {length} bytes, expected {MAX_PAYLOAD_BYTES} at most"
-        )
+        raise StateError(Fault.TOO_LARGE, f"payload of {length} bytes, expected at most {MAX_PAYLOAD_BYTES}")
     total_bytes = HEADER_BYTES + length + CRC_FIELD.size
     if len(raw) < total_bytes:
         raise StateError(Fault.CUT, f"{len(raw)} bytes, expected {total_bytes}")
