--- a/martentide/learned/recovery.py
+++ b/martentide/learned/recovery.py
@@ -1,10 +1,10 @@
-"""What a start makes of the files it finds: a pure table from their contents to a decision.
+"""Choice of the saved state at startup, as a pure function of the contents of the files.
 
-nothing        no file is there: start fresh
-last-good      the newest file is whole
-earlier-good   the newest is not, the one before is
-aged-out       a file is whole, but so old that practically nothing of it counts
-refused        files are there, none can be used: start fresh, and say why for each
+nothing        no file exists: start without state
+last-good      the newest file is valid
+earlier-good   the newest is missing or invalid, the previous one is valid
+aged-out       a file is valid, but so old that practically nothing of it counts
+refused        files exist but none is usable: start without state and report a reason for each
 """
 
 from __future__ import annotations
@@ -13,12 +13,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from martentide.learned.ageing import Aged, Clock, age_state
+from martentide.learned.ageing import Aged, ClockStatus, age_state
 from martentide.learned.codec import StateError, read_state
 from martentide.learned.schema import Learned
 
 
-class Start(Enum):
+class StartOutcome(Enum):
+    """Outcome of the choice; see the module docstring."""
+
     NOTHING = "nothing"
     LAST_GOOD = "last-good"
     EARLIER_GOOD = "earlier-good"
@@ -28,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """One file: its bytes, or why it could not be read (None and no error: it is not there)."""
+    """One file: its bytes, or the error of reading it (no bytes and no error: it does not exist)."""
 
     name: str
     raw: bytes | None
@@ -37,18 +39,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """``state`` None: start fresh. ``refused``: name and reason of each file that can't be used."""
+    """``state`` None: start without state. ``refused``: name and reason of each unusable file."""
 
-    start: Start
+    start: StartOutcome
     state: Aged | None
     used: str
     refused: tuple[tuple[str, str], ...]
-    sequence: int  # to go on from: beyond every file that was whole
+    sequence: int  # highest of all valid files; later saves continue from it
 
 
 def decide(files: Sequence[Found], settings_print: bytes, now: float) -> Decision:
-    """``files`` newest generation first. Whole files are taken by their sequence, the highest first."""
-    good: list[tuple[Learned, Found]] = []
+    """Choose the state to start from. ``files``: newest generation first. Of the valid files, the one with
+    the highest sequence is used."""
+    valid: list[tuple[Learned, Found]] = []
     refused: list[tuple[str, str]] = []
     for file in files:
         if file.raw is None:
@@ -56,45 +59,47 @@
                 refused.append((file.name, file.error))
             continue
         try:
-            good.append((read_state(file.raw, settings_print), file))
+            valid.append((read_state(file.raw, settings_print), file))
         except StateError as error:
             refused.append((file.name, str(error)))
-    sequence = max((learned.sequence for learned, _ in good), default=0)
-    good.sort(key=lambda pair: -pair[0].sequence)
-    for learned, file in good:
+    sequence = max((learned.sequence for learned, _ in valid), default=0)
+    valid.sort(key=lambda pair: -pair[0].sequence)
+    for learned, file in valid:
         aged = age_state(learned, now)
-        if aged.clock is Clock.FUTURE:
+        if aged.clock is ClockStatus.FUTURE:
             ahead = (learned.saved_at - now) / 1000.0
-            refused.append((file.name, f"{Clock.FUTURE.value}: saved {ahead:.0f} s ahead of the clock"))
+            refused.append((file.name, f"{ClockStatus.FUTURE.value}: saved {ahead:.0f} s ahead of the clock"))
             continue
-        first = not any(name == files[0].name for name, _ in refused) and files[0].raw is not None
-        start = Start.LAST_GOOD if first else Start.EARLIER_GOOD
-        if aged.clock is Clock.STALE:
-            start = Start.AGED_OUT
+        newest_valid = not any(name == files[0].name for name, _ in refused) and files[0].raw is not None
+        start = StartOutcome.LAST_GOOD if newest_valid else StartOutcome.EARLIER_GOOD
+        if aged.clock is ClockStatus.STALE:
+            start = StartOutcome.AGED_OUT
         return Decision(start, aged, file.name, tuple(refused), sequence)
-    return Decision(Start.REFUSED if refused else Start.NOTHING, None, "", tuple(refused), sequence)
+    return Decision(
+        StartOutcome.REFUSED if refused else StartOutcome.NOTHING, None, "", tuple(refused), sequence
+    )
 
 
 def diff(old: Learned, new: Learned) -> list[str]:
-    """What changed from one state to another, a line each, for people."""
+    """Return the differences between two states as human-readable lines."""
     lines: list[str] = []
-    before = {server.name: server for server in old.servers}
-    after = {server.name: server for server in new.servers}
-    for name in sorted(before.keys() | after.keys()):
-        one, other = before.get(name), after.get(name)
-        if one is None or other is None:
-            lines.append(f"{name}: {'came' if one is None else 'left'}")
+    old_servers = {server.name: server for server in old.servers}
+    new_servers = {server.name: server for server in new.servers}
+    for name in sorted(old_servers.keys() | new_servers.keys()):
+        old_server, new_server = old_servers.get(name), new_servers.get(name)
+        if old_server is None or new_server is None:
+            lines.append(f"{name}: {'came' if old_server is None else 'left'}")
             continue
-        for field in COMPARED:
-            was, now = getattr(one, field), getattr(other, field)
-            if was != now:
-                lines.append(f"{name}: {field}: {_short(was)} -> {_short(now)}")
+        for field in COMPARED_FIELDS:
+            old_value, new_value = getattr(old_server, field), getattr(new_server, field)
+            if old_value != new_value:
+                lines.append(f"{name}: {field}: {_short(old_value)} -> {_short(new_value)}")
     if len(old.redials) != len(new.redials):
         lines.append(f"redials: {len(old.redials)} -> {len(new.redials)}")
     return lines
 
 
-COMPARED = (
+COMPARED_FIELDS = (
     "started",
     "wait",
     "lag",
--- a/martentide/learned/snapshot.py
+++ b/martentide/learned/snapshot.py
@@ -1,7 +1,6 @@
-"""Takes what was learned from a Controller, in slices: with thousands of servers no look may hold up others.
+"""Reads the learned state of a Controller in slices, so that many servers do not block the event loop.
 
-A server's record is taken in one piece, so it is never half of one time and half of another. Servers that
-nothing happened to keep their last record.
+The record of a server is read in one step, so it is consistent. The record of an unchanged server is reused.
 """
 
 from __future__ import annotations
@@ -10,20 +9,20 @@
 from itertools import islice
 
 from martentide.learned.schema import (
-    MOST_OFFERS,
-    MOST_REDIALS,
-    MOST_SERVERS,
+    MAX_OFFERS,
+    MAX_REDIALS,
+    MAX_SERVERS,
     ImageState,
     Learned,
     ServerState,
 )
 from martentide.rules import Controller, Server
 
-SLICE = 64  # servers taken at a time
+SERVERS_PER_SLICE = 64  # read without interruption
 
 
 def take_server(server: Server) -> ServerState:
-    """One server's record."""
+    """Return the record of one server."""
     image = server.image
     entry = server.entry
     return ServerState(
@@ -46,12 +45,12 @@
         image=None
         if image is None
         else ImageState(image.hold_back, image.rate, image.expires, image.reported),
-        offered=tuple(islice(reversed(server.offered), MOST_OFFERS))[::-1],
+        offered=tuple(islice(reversed(server.offered), MAX_OFFERS))[::-1],
     )
 
 
-def mark(server: Server) -> tuple[object, ...]:
-    """Changes whenever the record does: cheaper to look at than to take the record."""
+def change_key(server: Server) -> tuple[object, ...]:
+    """Return a value that changes whenever the record does and is cheaper to compute than the record."""
     image = server.image
     return (
         server.entry.started,
@@ -71,37 +70,37 @@
 
 
 class Snapshots:
-    """Takes one after another; ``sequence`` grows with each."""
+    """Produces successive snapshots; ``sequence`` increases with each."""
 
     def __init__(self, sequence: int = 0) -> None:
         self.sequence = sequence
         self.records: dict[str, tuple[tuple[object, ...], ServerState]] = {}
 
     def slices(self, controller: Controller, now: float) -> Iterator[Learned | None]:
-        """None after each slice but the last, which brings the whole. The caller lets others have their turn
-        between slices; a server that leaves meanwhile is left out, one that comes is taken next time."""
-        names = list(controller.servers)[:MOST_SERVERS]
-        for start in range(0, len(names), SLICE):
-            for name in names[start : start + SLICE]:
+        """Yield None after each slice, then the snapshot. The caller yields to the event loop between slices.
+        A server removed meanwhile is left out; one added is included in the next snapshot."""
+        names = list(controller.servers)[:MAX_SERVERS]
+        for start in range(0, len(names), SERVERS_PER_SLICE):
+            for name in names[start : start + SERVERS_PER_SLICE]:
                 server = controller.servers.get(name)
                 if server is None:
                     self.records.pop(name, None)
                     continue
-                known, marked = self.records.get(name), mark(server)
-                if known is None or known[0] != marked:
-                    self.records[name] = (marked, take_server(server))
+                known, marker = self.records.get(name), change_key(server)
+                if known is None or known[0] != marker:
+                    self.records[name] = (marker, take_server(server))
             yield None
         if len(self.records) > len(controller.servers):
             for name in [name for name in self.records if name not in controller.servers]:
                 del self.records[name]
-        skip = max(0, len(controller.first_tries) - MOST_REDIALS)
+        skip = max(0, len(controller.first_tries) - MAX_REDIALS)
         redials = dict(islice(controller.first_tries.items(), skip, None))
         self.sequence += 1
-        kept = tuple(record for _, record in self.records.values())
-        yield Learned(now, self.sequence, kept, redials)
+        records = tuple(record for _, record in self.records.values())
+        yield Learned(now, self.sequence, records, redials)
 
 
 def take(controller: Controller, now: float, sequence: int = 1) -> Learned:
-    """The whole at once; for few servers, and at the end."""
-    whole = [part for part in Snapshots(sequence - 1).slices(controller, now) if part is not None]
-    return whole[0]
+    """Take a whole snapshot at once; for few servers and at shutdown."""
+    snapshots = [part for part in Snapshots(sequence - 1).slices(controller, now) if part is not None]
+    return snapshots[0]
--- a/martentide/net/tier/proxy.py
+++ b/martentide/net/tier/proxy.py
@@ -1,7 +1,7 @@
-"""The actor of a proxy's lease: owns the client's core, and speaks with control nodes by datagrams.
+"""The actor of a proxy's lease: owns the client core and exchanges datagrams with control nodes.
 
-What it learns is for the same consumers as the flat fleet's; until they take it, it is shown by the
-operator's call ``/control/fleet``. The proxy's own pressure is that of its session server, by its reports.
+Its state is meant for the consumers of the flat fleet's state; until they use it, the operator's call
+``/control/fleet`` shows it. The proxy's own pressure is taken from the load reports of its session server.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 from martentide.control import client
 from martentide.control.client import (
-    Alone,
     Attached,
     ControlClient,
     FromNode,
+    Isolated,
     OwnState,
     ProxyInfo,
     SendToNode,
 )
 from martentide.control.messages import (
-    MOST_PRESSURE,
-    Granted,
+    MAX_PRESSURE,
+    LeaseGranted,
+    LeaseRefused,
     StateEntry,
-    TurnedAway,
     Update,
-    read_control,
-    write_control,
+    decode_control,
+    encode_control,
 )
 from martentide.control.terms import ControlTerms
 from martentide.extras import ControlTierPart
@@ -39,40 +39,40 @@
 from martentide.net.due_timer import DueTimer
 from martentide.net.tier.datagrams import Arrived, Endpoint
 
-MOST_WAITING = 256  # items in the mailbox; more is dropped, as a full socket buffer would
-UNIT = 100  # in which the session server's size is told as its capacity
+MAILBOX_SIZE = 256  # items; further ones are dropped, as by a full socket buffer
+CAPACITY_PER_SIZE = 100  # published capacity of a session server of size 1
 
 
 class Tick:
-    """The core's time has come."""
+    """The core's deadline has been reached."""
 
 
 Item = Arrived | Tick
 
 
 class TierMember:
-    """This proxy's lease; ``join`` after ``retire`` takes one anew."""
+    """This proxy's lease; ``join`` after ``retire`` requests a new one."""
 
     def __init__(self, part: ControlTierPart, name: str, dispatcher: Dispatcher, seed: int) -> None:
         self.part, self.name, self.dispatcher, self.seed = part, name, dispatcher, seed
         self.loop = asyncio.get_running_loop()
-        self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MOST_WAITING)
+        self.mailbox: asyncio.Queue[Item] = asyncio.Queue(MAILBOX_SIZE)
         self.counts: Counter[str] = Counter()
         self.frame = Frame(part.fleet, part.secret)
         self.addresses = {one.name: one.address for one in part.nodes}
-        self.own = OwnState(UNIT, 0)
+        self.own_state = OwnState(CAPACITY_PER_SIZE, 0)
         self.core: ControlClient | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.timer = DueTimer(lambda: self.post(Tick()))
-        dispatcher.event_observers.append(self._overhear)
+        dispatcher.event_observers.append(self._observe_event)
 
     def _now(self) -> float:
         return self.loop.time() * 1_000.0
 
-    # ---- life -------------------------------------------------------------------------------------------
+    # ---- life cycle -------------------------------------------------------------------------------------
 
     async def join(self) -> None:
-        """Open an endpoint, at a port of the system's choice, and ask for a lease."""
+        """Open a UDP endpoint at an ephemeral port and request a lease."""
         if self.core is not None:
             return
         transport, _ = await self.loop.create_datagram_endpoint(
@@ -83,39 +83,40 @@
         info = ProxyInfo(
             self.name, part.region, part.zone, part.service, frozenset((part.service, *part.calls))
         )
-        # Leases of a later process under this name count before those of an earlier one.
+        # Leases of a later process under this name take precedence over those of an earlier one.
         epoch = int(time.time())
         self.core = ControlClient(
             info, part.infos(), ControlTerms(), self.seed ^ time.monotonic_ns(), self._now(), epoch
         )
-        self._feed(self.own)
+        self._handle_event(self.own_state)
         self._arm()
 
     def retire(self) -> None:
-        """Fall silent without a word: a successor takes the name over."""
+        """Stop without releasing the lease: a successor takes over the name."""
         self.timer.cancel()
         if self.transport is not None:
             self.transport.close()
         self.core = self.transport = None
 
     def depart(self) -> None:
-        """Give the lease back, then fall silent."""
+        """Release the lease, then stop."""
         if self.core is not None:
-            self._feed(client.Depart())
+            self._handle_event(client.Depart())
         self.retire()
 
     async def run(self) -> None:
+        """Process the mailbox until cancelled."""
         while True:
             item = await self.mailbox.get()
             try:
-                self._take(item)
-            except Exception:  # one strange message must not end the lease
+                self._process_item(item)
+            except Exception:  # one unexpected message must not end the lease
                 LOG.exception("internal-error tier", item=type(item).__name__)
             if self.core is not None:
                 self._arm()
 
     def post(self, item: Item) -> bool:
-        """Whether there was room for it."""
+        """Put an item into the mailbox; return False and count it if the mailbox is full."""
         if self.mailbox.full():
             self.counts["overrun"] += 1
             return False
@@ -124,21 +125,21 @@
 
     # ---- items ------------------------------------------------------------------------------------------
 
-    def _take(self, item: Item) -> None:
+    def _process_item(self, item: Item) -> None:
         if self.core is None:
             return
         if isinstance(item, Tick):
-            self._feed(client.Due())
+            self._handle_event(client.Due())
             return
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(item.data)
         try:
-            message = read_control(self.frame.open(item.data))
+            message = decode_control(self.frame.open(item.data))
         except DatagramError as error:
             self.counts[error.why.value] += 1
             return
-        if isinstance(message, Granted | TurnedAway | Update):
-            self._feed(FromNode(message))
+        if isinstance(message, LeaseGranted | LeaseRefused | Update):
+            self._handle_event(FromNode(message))
         else:
             self.counts["misplaced"] += 1
 
@@ -146,46 +147,48 @@
         assert self.core is not None
         self.timer.arm(self.core.due / 1_000.0)
 
-    def _feed(self, event: client.Event) -> None:
+    def _handle_event(self, event: client.Event) -> None:
         assert self.core is not None
         for action in self.core.handle(self._now(), event):
             match action:
                 case SendToNode(node, message):
-                    data = self.frame.seal(write_control(message))
+                    data = self.frame.seal(encode_control(message))
                     self.counts["sent"] += 1
                     self.counts["sent_bytes"] += len(data)
                     if self.transport is not None:
                         self.transport.sendto(data, self.addresses[node])
                 case Attached(node):
                     log_event("tier-attached", node=node, epoch=self.core.epoch)
-                case Alone():
+                case Isolated():
                     log_event("tier-alone", nodes=len(self.addresses))
 
     # ---- the proxy's own state --------------------------------------------------------------------------
 
-    def _overhear(self, _: float, event: Event) -> None:
-        """Runs in the dispatcher's turn: what the own session server asks to be held back."""
+    def _observe_event(self, _: float, event: Event) -> None:
+        """Update the own state from a load report of the own session server. Called by the dispatcher."""
         if not isinstance(event, ProbeEnded | AttemptEnded) or event.server != self.part.server:
             return
         if event.report is None or event.report.hold_back is None:
             return
         listed = self.dispatcher.listed.get(event.server)
-        capacity = UNIT if listed is None else max(1, round(UNIT * listed.entry.size))
-        pressure = min(MOST_PRESSURE, max(0, round(event.report.hold_back * MOST_PRESSURE)))
+        capacity = (
+            CAPACITY_PER_SIZE if listed is None else max(1, round(CAPACITY_PER_SIZE * listed.entry.size))
+        )
+        pressure = min(MAX_PRESSURE, max(0, round(event.report.hold_back * MAX_PRESSURE)))
         own = OwnState(capacity, pressure)
-        if own != self.own:
-            self.own = own
+        if own != self.own_state:
+            self.own_state = own
             if self.core is not None:
-                self._feed(own)
+                self._handle_event(own)
 
-    # ---- what people see --------------------------------------------------------------------------------
+    # ---- status -----------------------------------------------------------------------------------------
 
     def state(self, service: str) -> list[StateEntry]:
-        """What may be acted on of a service: nothing without a lease's word in time."""
+        """Return the usable entries of a service; none if the control tier has sent nothing in time."""
         return [] if self.core is None else self.core.state(service, self._now())
 
     def status(self) -> str:
-        """JSON: the lease, and the entries with their ages in ms."""
+        """Return JSON with the lease and the entries with their ages in ms."""
         core = self.core
         if core is None:
             return json.dumps({"fleet": self.part.fleet, "name": self.name, "state": "retired"})
@@ -196,7 +199,7 @@
              "members": [one.name for one in held.entry.members]}
             for key, held in sorted(core.entries.items())
         ]  # fmt: skip
-        state = "attached" if core.attached else "alone" if core.alone else "joining"
+        state = "attached" if core.attached else "alone" if core.isolated else "joining"
         return json.dumps(
             {"fleet": self.part.fleet, "name": self.name, "state": state, "node": core.node,
              "counts": dict(self.counts), "entries": entries}
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -1,4 +1,5 @@
-"""The tier in simulated time, and its checker: an ordinary day breaks nothing, a planted fault is found."""
+"""The control tier in simulated time: no invariant breaks in a day of faults, and the checker finds each
+planted defect."""
 
 from __future__ import annotations
 
@@ -31,7 +32,7 @@
 
 
 def broken_rules(terms: ControlTerms | None = None, seconds: int = 30, **limits: float) -> set[str]:
-    """The rules that a calm play breaks, with a proxy killed in the midst of it."""
+    """Return the rules broken in a run without network faults in which one proxy is killed halfway."""
     tier = SimulatedTier(SMALL, 5, terms, Link(delay=2.0, jitter=2.0))
     checker = TierChecker(tier, Limits(**limits))  # type: ignore[arg-type]
     tier.start()
@@ -44,11 +45,11 @@
     return {one.rule for one in checker.finish()}
 
 
-def test_a_calm_play_breaks_nothing() -> None:
+def test_a_run_without_faults_breaks_no_invariant() -> None:
     assert broken_rules() == set()
 
 
-def forgets_a_member(patch: pytest.MonkeyPatch) -> None:
+def drop_a_member(patch: pytest.MonkeyPatch) -> None:
     whole = ControlClient._update
 
     def without(self: ControlClient, update: object, now: float) -> None:
@@ -63,15 +64,15 @@
     patch.setattr(ControlClient, "_update", without)
 
 
-def never_expires(patch: pytest.MonkeyPatch) -> None:
+def disable_expiry(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ControlNode, "_expire", lambda self, now: None)
 
 
-def never_ages(patch: pytest.MonkeyPatch) -> None:
+def disable_ageing(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ControlClient, "age", lambda self, key, now: 0.0)
 
 
-@pytest.mark.parametrize(("plant", "rule"), [(forgets_a_member, "held-dead"), (never_expires, "held-alive")])
+@pytest.mark.parametrize(("plant", "rule"), [(drop_a_member, "held-dead"), (disable_expiry, "held-alive")])
 def test_a_planted_fault_is_found(
     monkeypatch: pytest.MonkeyPatch, plant: Callable[[pytest.MonkeyPatch], None], rule: str
 ) -> None:
@@ -79,8 +80,8 @@
     assert rule in broken_rules()
 
 
-def test_state_past_its_end_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    never_ages(monkeypatch)
+def test_use_of_expired_state_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    disable_ageing(monkeypatch)
     tier = SimulatedTier(SMALL, 5)
     checker = TierChecker(tier)
     tier.start()
@@ -93,19 +94,19 @@
 
 
 def test_too_many_bytes_are_found() -> None:
-    terms = ControlTerms(update_bytes_s=80_000.0, update_burst=80_000.0, pressure_step=1, heartbeat=20.0)
+    terms = ControlTerms(update_bytes_per_s=80_000.0, update_burst=80_000.0, pressure_step=1, heartbeat=20.0)
     assert "bytes" in broken_rules(terms, seconds=8)
 
 
 def test_a_node_with_too_many_leases_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ControlNode, "_over_bound", lambda self, more, now: False)
+    monkeypatch.setattr(ControlNode, "_exceeds_limit", lambda self, more, now: False)
     monkeypatch.setattr(ControlNode, "_shed", lambda self, now: None)
     monkeypatch.setattr("martentide.control.placement.draw", lambda proxy, node: 0.9 if node == "n0" else 0.1)
-    assert "load" in broken_rules(ControlTerms(least_bound=2))
+    assert "load" in broken_rules(ControlTerms(min_bound=2))
 
 
-def test_a_proxy_that_stays_away_from_home_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ControlClient, "_look_homeward", lambda self, update, now: None)
+def test_a_proxy_that_stays_in_another_region_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(ControlClient, "_schedule_home_return", lambda self, update, now: None)
     tier = SimulatedTier(SMALL, 5)
     checker = TierChecker(tier)
     home = [info.name for info in tier.infos if info.region == "r0"]
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -142,7 +142,7 @@
     async def scenario(fixture: StoreFixture) -> None:
         await fixture.until(lambda: fixture.store.save_count >= 1)
         monkeypatch.setattr("martentide.net.learned.os.fsync", hang)
-        await fixture.until(lambda: fixture.store.pacing.hang_said)
+        await fixture.until(lambda: fixture.store.pacing.hang_reported)
         before = fixture.last_wait
         await fixture.until(lambda: fixture.last_wait > before + 20)  # the event loop still runs
         free.set()
