--- a/martentide/cli.py
+++ b/martentide/cli.py
@@ -20,7 +20,7 @@
 from martentide.versions import OPERATOR, REFUSED, add_to
 
 
-class Default(click.Group):
+class DefaultGroup(click.Group):
     """A group whose ``serve`` is run where no command is named."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
@@ -34,7 +34,7 @@
     return click.option("--config", metavar="FILE", help="configuration; default: $PROXY_CONFIG")(command)
 
 
-@click.group(cls=Default, invoke_without_command=False, help="Signalling proxy with shared decisions.")
+@click.group(cls=DefaultGroup, invoke_without_command=False, help="Signalling proxy with shared decisions.")
 def top() -> None:
     pass
 
@@ -111,7 +111,7 @@
     pass
 
 
-def read_file(path: str) -> Any:
+def read_state_file(path: str) -> Any:
     """The state in a file; exits with 2 where it can't be read, with 3 where it is refused."""
     from martentide.learned.codec import MOST_FILE, StateError, read_state
 
@@ -131,7 +131,7 @@
 @state.command("check", help="Say whether the file is whole: 0 it is, 3 it is refused.")
 @click.argument("file")
 def state_check(file: str) -> None:
-    learned = read_file(file)
+    learned = read_state_file(file)
     click.echo(f"{file}: whole, save {learned.sequence}, {len(learned.servers)} servers")
 
 
@@ -141,7 +141,7 @@
 def state_show(file: str, as_json: bool) -> None:
     import msgspec
 
-    learned = read_file(file)
+    learned = read_state_file(file)
     if as_json:
         click.echo(msgspec.json.encode(learned).decode())
         return
@@ -165,7 +165,7 @@
 
     from martentide.learned.recovery import diff
 
-    lines = diff(read_file(old), read_file(new))
+    lines = diff(read_state_file(old), read_state_file(new))
     click.echo(msgspec.json.encode(lines).decode() if as_json else "\n".join(lines) or "no difference")
     sys.exit(1 if lines else 0)
 
--- a/martentide/client/client.py
+++ b/martentide/client/client.py
@@ -13,7 +13,7 @@
 import martentide.grpc_engine  # noqa: F401  (before grpc)
 import grpc
 
-from martentide.client.state import Passed, Renumbered, Requests
+from martentide.client.state import Delivery, Renumbered, RequestTable
 from martentide.decisions.v1 import decisions_pb2 as pb
 from martentide.extproc.messages import (
     Ask,
@@ -28,19 +28,22 @@
     Why,
     Withdrawn,
 )
-from martentide.extproc.wire import read_proxy, write_front
+from martentide.extproc.wire import decode_proxy_message, encode_front_message
 from martentide.interface import Ending
 
 METHOD = "/martentide.decisions.v1.Decisions/Decide"
-REDIAL = (0.02, 1.0)  # s before the next stream, the first time and at most; doubles with each that fails
-WELCOME_LIMIT = 2.0  # s in which a stream must be welcomed
-MOST_CALLS = 50_000  # open at once; beyond, a question is refused here
-MOST_UNSENT = 100_000  # messages that wait for a proxy that takes none, before its stream is given up
-WRITE_LIMIT = 2.0  # s that one write may take
-LONGEST_WAIT = 600_000.0  # ms: the bound of a question that names no time left
-LEAVE_LIMIT = 0.5  # s for the last words of a client that is closed
-IN_A_FRAME = 256  # messages written in one frame at most
-CONNECT_AFTER_BREAK = (grpc.StatusCode.NOT_FOUND, grpc.StatusCode.INVALID_ARGUMENT)  # the session is no more
+RECONNECT_DELAY_S = (
+    0.02,
+    1.0,
+)  # s before the next stream, the first time and at most; doubles with each that fails
+WELCOME_TIMEOUT_S = 2.0  # s in which a stream must be welcomed
+MAX_OPEN_CALLS = 50_000  # open at once; beyond, a question is refused here
+MAX_UNSENT_MESSAGES = 100_000  # messages that wait for a proxy that takes none, before its stream is given up
+WRITE_TIMEOUT_S = 2.0  # s that one write may take
+MAX_WAIT_MS = 600_000.0  # ms: the bound of a question that names no time left
+LEAVE_TIMEOUT_S = 0.5  # s for the last words of a client that is closed
+MAX_MESSAGES_PER_FRAME = 256  # messages written in one frame at most
+SESSION_LOST_CODES = (grpc.StatusCode.NOT_FOUND, grpc.StatusCode.INVALID_ARGUMENT)  # the session is no more
 
 Verdict = Route | Refused | Failed | Standing | Cancelled
 
@@ -115,13 +118,13 @@
         """A call that stood is over."""
         self.client.over(self, cut, report)
 
-    def _heard(self, message: ToFront) -> None:
+    def _receive(self, message: ToFront) -> None:
         if isinstance(message, Withdrawn):
             self.revoked.set()
             return
         if isinstance(message, Release):
             self.released.set()
-            self._done()
+            self._finish()
             return
         if self.final:
             return
@@ -134,16 +137,16 @@
         self.verdict = message
         self.verdicts.put_nowait(message)
         if self.final and not isinstance(message, Standing):
-            self._done()
+            self._finish()
 
-    def _done(self) -> None:
+    def _finish(self) -> None:
         self.client.calls.pop(self.request, None)
         if self.timer is not None:
             self.timer.cancel()
 
     def _closed(self) -> None:
         self.verdicts.put_nowait(None)
-        self._done()
+        self._finish()
 
 
 class Client:
@@ -159,7 +162,7 @@
             raise ValueError("addresses: expected one at least")
         self.addresses, self.front, self.tap = list(addresses), front, tap
         self.loop = asyncio.get_running_loop()
-        self.requests = Requests()
+        self.requests = RequestTable()
         self.calls: dict[int, Call] = {}
         self.servers: dict[str, pb.ServerChange] = {}
         self.token = b""
@@ -184,20 +187,20 @@
         """Take leave: say what is still to be said and end the stream. Calls that wait for a verdict raise
         ClientClosed."""
         if self.task is not None:
-            await self._take_leave()
+            await self._send_leave()
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
             self.task = None
         for call in list(self.calls.values()):
             call._closed()
 
-    async def _take_leave(self) -> None:
+    async def _send_leave(self) -> None:
         if not self.connected.is_set():
             return
         self.closing = True
         self.wake.set()
         try:
-            async with asyncio.timeout(LEAVE_LIMIT):
+            async with asyncio.timeout(LEAVE_TIMEOUT_S):
                 while self.connected.is_set():
                     await asyncio.sleep(0.005)
         except TimeoutError:
@@ -233,11 +236,11 @@
         now = self.loop.time() * 1000.0
         call = Call(self, self.requests.ask(call_class, number, time_left, first_choice, now))
         self.calls[call.request] = call
-        wait = LONGEST_WAIT if time_left is None else max(0.0, time_left)
-        call.timer = self.loop.call_later(wait / 1000.0, self._out_of_time, call)
-        if len(self.calls) > MOST_CALLS:
+        wait = MAX_WAIT_MS if time_left is None else max(0.0, time_left)
+        call.timer = self.loop.call_later(wait / 1000.0, self._on_deadline, call)
+        if len(self.calls) > MAX_OPEN_CALLS:
             self.requests.cancel(call.request)
-            call._heard(Refused(call.request, 0.0, Why.FRONT_BUSY))
+            call._receive(Refused(call.request, 0.0, Why.FRONT_BUSY))
         self._flush()
         return call
 
@@ -248,16 +251,16 @@
 
     def cancel(self, call: Call) -> None:
         self.requests.cancel(call.request)
-        call._heard(Cancelled(call.request))
-        call._done()
+        call._receive(Cancelled(call.request))
+        call._finish()
         self._flush()
 
     def over(self, call: Call, cut: bool = False, report: str = "") -> None:
         self.requests.over(call.request, cut, report)
-        call._done()
+        call._finish()
         self._flush()
 
-    def _out_of_time(self, call: Call) -> None:
+    def _on_deadline(self, call: Call) -> None:
         """No final in time: the caller gets one made here, and the proxy is told that nobody waits."""
         if call.final:
             return
@@ -265,7 +268,7 @@
         self.requests.cancel(call.request)
         call.revoked.set()
         late = Failed(call.request, Why.DEADLINE) if routed else Refused(call.request, 0.0, Why.DEADLINE)
-        call._heard(late)
+        call._receive(late)
         self._flush()
 
     async def carry(
@@ -325,19 +328,19 @@
     def _flush(self) -> None:
         if self.requests.to_send:
             self.wake.set()
-        if len(self.requests.to_send) > MOST_UNSENT and self.stream is not None:
+        if len(self.requests.to_send) > MAX_UNSENT_MESSAGES and self.stream is not None:
             self.stream.cancel()  # what was said is settled by the next welcome
 
     async def _run(self) -> None:
-        pause, at = REDIAL[0], 0
+        pause, at = RECONNECT_DELAY_S[0], 0
         while True:
             address = self.addresses[at % len(self.addresses)]
             try:
                 async with grpc.aio.insecure_channel(address) as channel:
-                    welcomed = await self._follow(channel)
+                    welcomed = await self._run_stream(channel)
             except grpc.aio.AioRpcError as error:
                 welcomed = False
-                if error.code() in CONNECT_AFTER_BREAK:
+                if error.code() in SESSION_LOST_CODES:
                     self.token = b""
                 elif not self.token:
                     at += 1
@@ -356,13 +359,13 @@
             self.connected.clear()
             if self.closing:
                 return
-            self.requests.broken()
+            self.requests.stream_ended()
             if self.going_away and self.token:
                 self.token, self.going_away, at = b"", False, at + 1
-            pause = REDIAL[0] if welcomed else min(REDIAL[1], pause * 2.0)
+            pause = RECONNECT_DELAY_S[0] if welcomed else min(RECONNECT_DELAY_S[1], pause * 2.0)
             await asyncio.sleep(pause * random.uniform(0.5, 1.0))
 
-    async def _follow(self, channel: Any) -> bool:
+    async def _run_stream(self, channel: Any) -> bool:
         """One stream, from Hello to its end."""
         method = channel.stream_stream(
             METHOD,
@@ -371,11 +374,11 @@
         )
         self.stream = stream = method()
         hello = pb.Hello(front=self.front, session=self.token)
-        async with asyncio.timeout(WELCOME_LIMIT):
+        async with asyncio.timeout(WELCOME_TIMEOUT_S):
             await stream.write(pb.FrontFrame(messages=[pb.FrontMessage(hello=hello)]))
             frame = await stream.read()
         if frame is grpc.aio.EOF:
-            await self._end_of(stream)
+            await self._stream_ended(stream)
             return False
         self._read(frame)
         self.connected.set()
@@ -384,16 +387,16 @@
             while True:
                 frame = await stream.read()
                 if frame is grpc.aio.EOF:
-                    await self._end_of(stream)
+                    await self._stream_ended(stream)
                     return True
                 self._read(frame)
         finally:
             writing.cancel()
             stream.cancel()
 
-    async def _end_of(self, stream: Any) -> None:
+    async def _stream_ended(self, stream: Any) -> None:
         code = await stream.code()
-        if code in CONNECT_AFTER_BREAK:
+        if code in SESSION_LOST_CODES:
             self.token = b""
 
     async def _write(self, stream: Any) -> None:
@@ -401,19 +404,21 @@
             await self.wake.wait()
             self.wake.clear()
             waiting, self.requests.to_send = self.requests.to_send, []
-            for start in range(0, len(waiting), IN_A_FRAME):
-                part = waiting[start : start + IN_A_FRAME]
+            for start in range(0, len(waiting), MAX_MESSAGES_PER_FRAME):
+                part = waiting[start : start + MAX_MESSAGES_PER_FRAME]
                 asked = (
                     time.time() * 1000.0 - self.loop.time() * 1000.0
                 )  # from this loop's clock to Unix time
                 some = [
-                    write_front(message, report, message.at + asked if isinstance(message, Ask) else None)
+                    encode_front_message(
+                        message, report, message.at + asked if isinstance(message, Ask) else None
+                    )
                     for message, report in part
                 ]
                 if self.tap is not None:
                     for message, _ in part:
                         self.tap(message)
-                watch = self.loop.call_later(WRITE_LIMIT, stream.cancel)
+                watch = self.loop.call_later(WRITE_TIMEOUT_S, stream.cancel)
                 try:
                     await stream.write(pb.FrontFrame(messages=some))
                 finally:
@@ -441,16 +446,16 @@
             if kind == "welcome":
                 self.token, self.lease = message.welcome.session, float(message.welcome.lease_ms)
                 self.servers.clear()
-            said = read_proxy(message)
+            said = decode_proxy_message(message)
             if said is None:
                 continue
             if self.tap is not None:
                 self.tap(said)
             for result in self.requests.handle(said, now):
-                self._pass(result)
+                self._deliver(result)
         self._flush()
 
-    def _pass(self, result: Passed | Renumbered) -> None:
+    def _deliver(self, result: Delivery | Renumbered) -> None:
         if isinstance(result, Renumbered):
             call = self.calls.pop(result.old, None)
             if call is not None:
@@ -459,4 +464,4 @@
             return
         call = self.calls.get(result.request)
         if call is not None:
-            call._heard(result.message)
+            call._receive(result.message)
--- a/martentide/client/state.py
+++ b/martentide/client/state.py
@@ -29,7 +29,7 @@
 )
 from martentide.interface import Ending
 
-NEVER_RAN = (Ending.FULL, Ending.UNREACHABLE, Ending.NOT_SENT)
+NOT_EXECUTED_ENDINGS = (Ending.FULL, Ending.UNREACHABLE, Ending.NOT_SENT)
 
 
 class Phase(Enum):
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Own:
+class OpenRequest:
     """One request of this front that is not closed."""
 
     ask: Ask
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class Delivery:
     """For the front's own code: a route, a final, a withdrawal or a release, each once."""
 
     request: int
@@ -68,15 +68,15 @@
     new: int
 
 
-Result = Passed | Renumbered
+Result = Delivery | Renumbered
 
 
-class Requests:
+class RequestTable:
     """All requests of one front. ``to_send`` fills with what is to be written, in order."""
 
     def __init__(self) -> None:
-        self.own: dict[int, Own] = {}
-        self.last = 0
+        self.open_requests: dict[int, OpenRequest] = {}
+        self.last_request = 0
         self.to_send: list[tuple[FromFront, str]] = []  # and the server's report as it came
         self.counts: Counter[str] = Counter()
         self.connected = False
@@ -86,16 +86,16 @@
     def ask(
         self, call_class: str, number: str | None, time_left: float | None, first_choice: int, now: float
     ) -> int:
-        self.last += 1
-        ask = Ask(self.last, call_class, number, time_left, first_choice, now)
-        self.own[self.last] = Own(ask)
+        self.last_request += 1
+        ask = Ask(self.last_request, call_class, number, time_left, first_choice, now)
+        self.open_requests[self.last_request] = OpenRequest(ask)
         if self.connected:
             self.to_send.append((ask, ""))
-        return self.last
+        return self.last_request
 
     def begin(self, request: int) -> bool:
         """The first byte of the attempt is about to be sent: False where it must not be any more."""
-        one = self.own.get(request)
+        one = self.open_requests.get(request)
         if one is None or one.phase is not Phase.ROUTED:
             return False
         one.begun = True
@@ -110,24 +110,24 @@
         report: str = "",
     ) -> Outcome | None:
         """Say what came of the attempt; None where nothing is to be said any more."""
-        one = self.own.get(request)
+        one = self.open_requests.get(request)
         if one is None or one.phase is not Phase.ROUTED:
             return None
         outcome = one.outcome = Outcome(request, one.attempt, ending, lag, lines_full)
         one.phase, one.report = Phase.REPORTED, report
-        one.may_have_run = one.may_have_run or ending not in NEVER_RAN
+        one.may_have_run = one.may_have_run or ending not in NOT_EXECUTED_ENDINGS
         if self.connected:
             self.to_send.append((outcome, report))
         return outcome
 
     def cancel(self, request: int) -> None:
-        if self.own.pop(request, None) is not None and self.connected:
+        if self.open_requests.pop(request, None) is not None and self.connected:
             self.to_send.append((Cancel(request), ""))
 
     def over(self, request: int, cut: bool, report: str = "") -> None:
-        one = self.own.get(request)
+        one = self.open_requests.get(request)
         if one is not None and one.phase is Phase.STANDS:
-            del self.own[request]
+            del self.open_requests[request]
             if self.connected:
                 self.to_send.append((Over(request, cut), report))
 
@@ -137,9 +137,9 @@
         if isinstance(message, Welcomed):
             return self._welcomed(message, now)
         request = message.request
-        one = self.own.get(request)
+        one = self.open_requests.get(request)
         if one is None:
-            self._nobody(message)
+            self._on_unknown_request(message)
             return []
         match message:
             case Route():
@@ -155,12 +155,12 @@
                 if one.phase is Phase.STANDS:
                     self.counts["doubled"] += 1
                     return []
-                del self.own[request]
+                del self.open_requests[request]
             case Release():
-                del self.own[request]
-        return [Passed(request, message)]
+                del self.open_requests[request]
+        return [Delivery(request, message)]
 
-    def _route(self, one: Own, route: Route) -> list[Result]:
+    def _route(self, one: OpenRequest, route: Route) -> list[Result]:
         if route.attempt == one.attempt:
             if one.phase is Phase.REPORTED and one.outcome is not None:
                 self.to_send.append((one.outcome, one.report))  # it went down with the last stream
@@ -171,26 +171,26 @@
             self.counts["two_out"] += 1
             return []
         one.phase, one.attempt, one.begun, one.outcome = Phase.ROUTED, route.attempt, False, None
-        return [Passed(route.request, route)]
+        return [Delivery(route.request, route)]
 
-    def _withdrawn(self, one: Own, back: Withdrawn) -> list[Result]:
+    def _withdrawn(self, one: OpenRequest, back: Withdrawn) -> list[Result]:
         if back.attempt != one.attempt:
             return []
         if back.if_unused:
             if one.phase is Phase.ROUTED and not one.begun:
                 self.report(back.request, Ending.NOT_SENT, 0.0)
-                return [Passed(back.request, back)]
+                return [Delivery(back.request, back)]
             return []
         if one.phase in (Phase.ROUTED, Phase.REPORTED):
             one.phase, one.outcome = Phase.REPORTED, None
             one.may_have_run = True
-            return [Passed(back.request, back)]
+            return [Delivery(back.request, back)]
         if one.phase is Phase.STANDS:
-            del self.own[back.request]
-            return [Passed(back.request, Release(back.request, back.why))]
+            del self.open_requests[back.request]
+            return [Delivery(back.request, Release(back.request, back.why))]
         return []
 
-    def _nobody(self, message: ToFront) -> None:
+    def _on_unknown_request(self, message: ToFront) -> None:
         """Nobody waits for it: it was cancelled, or had its final."""
         if isinstance(message, Route):
             unused = Outcome(message.request, message.attempt, Ending.NOT_SENT, 0.0)
@@ -200,7 +200,7 @@
 
     # ---- breaks -------------------------------------------------------------------------------------------
 
-    def broken(self) -> None:
+    def stream_ended(self) -> None:
         """The stream ended: nothing is sent until the next welcome."""
         self.connected = False
         self.to_send.clear()
@@ -210,22 +210,22 @@
         self.connected = True
         standing, results = set(welcome.standing), list[Result]()
         held = standing.union(welcome.routed)
-        for request in held - self.own.keys():
+        for request in held - self.open_requests.keys():
             self.to_send.append((Cancel(request), ""))
-        for request, one in list(self.own.items()):
+        for request, one in list(self.open_requests.items()):
             if request in held:
                 if one.phase is Phase.REPORTED and request in standing:
                     one.phase = Phase.STANDS  # its final went down with the last stream
-                    results.append(Passed(request, Standing(request)))
+                    results.append(Delivery(request, Standing(request)))
                 continue
             if one.phase is Phase.STANDS or (one.outcome is not None and one.outcome.ending is None):
                 # It stands between its caller and the server; only the proxy's count of it is lost.
-                del self.own[request]
+                del self.open_requests[request]
                 if one.phase is not Phase.STANDS:
-                    results.append(Passed(request, Standing(request)))
+                    results.append(Delivery(request, Standing(request)))
                 self.counts["uncounted"] += 1
                 continue
-            del self.own[request]
+            del self.open_requests[request]
             if one.phase is Phase.ASKED:
                 left = one.ask.time_left
                 left = None if left is None else left - (now - one.ask.at)
@@ -234,12 +234,12 @@
                     new = self.ask(ask.call_class, ask.number, left, ask.first_choice, now)
                     results.append(Renumbered(request, new))
                 else:
-                    results.append(Passed(request, Refused(request, 0.0, Why.DEADLINE)))
+                    results.append(Delivery(request, Refused(request, 0.0, Why.DEADLINE)))
             elif one.phase is Phase.ROUTED and one.begun:
-                results.append(Passed(request, Withdrawn(request, one.attempt, False, Why.LATE)))
-                results.append(Passed(request, Failed(request, Why.LATE)))
+                results.append(Delivery(request, Withdrawn(request, one.attempt, False, Why.LATE)))
+                results.append(Delivery(request, Failed(request, Why.LATE)))
             elif one.may_have_run:
-                results.append(Passed(request, Failed(request, Why.LATE)))
+                results.append(Delivery(request, Failed(request, Why.LATE)))
             else:
-                results.append(Passed(request, Refused(request, 0.0, Why.LATE)))
+                results.append(Delivery(request, Refused(request, 0.0, Why.LATE)))
         return results
--- a/martentide/extproc/headers.py
+++ b/martentide/extproc/headers.py
@@ -19,14 +19,14 @@
 from martentide.extproc.wire import report_or_none
 from martentide.interface import Ending, Report
 
-MOST_VALUE = 256  # characters of a header that is read
-BAD_REQUEST = 400
-WHY = "x-martentide-why"
-RETRY_AFTER_MS = "x-martentide-retry-after-ms"
-DIGITS = 9  # of a number in a header
+MAX_VALUE_BYTES = 256  # characters of a header that is read
+BAD_REQUEST_STATUS = 400
+REASON_HEADER = "x-martentide-why"
+RETRY_AFTER_MS_HEADER = "x-martentide-retry-after-ms"
+MAX_DIGITS = 9  # of a number in a header
 
 
-class Names(Protocol):
+class HeaderNames(Protocol):
     """The operator's names of headers."""
 
     @property
@@ -47,7 +47,7 @@
     def attempt(self) -> str: ...
 
 
-class Statuses(Protocol):
+class StatusCodes(Protocol):
     @property
     def full(self) -> int: ...
     @property
@@ -65,14 +65,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class Question:
     call_class: str
     number: str | None
     time_left: float | None
     first_choice: int
 
 
-def read_map(headers: Any) -> dict[str, bytes]:
+def header_map(headers: Any) -> dict[str, bytes]:
     """Names in lower case and values as the bytes that came; the first of a name counts."""
     found: dict[str, bytes] = {}
     for header in headers.headers:
@@ -80,49 +80,53 @@
     return found
 
 
-def text_of(found: Mapping[str, bytes], name: str) -> str | None:
+def text_value(found: Mapping[str, bytes], name: str) -> str | None:
     value = found.get(name)
     if value is None:
         return None
-    if len(value) > MOST_VALUE:
-        raise HeaderError(f"{name}: {len(value)} bytes, expected {MOST_VALUE} at most")
+    if len(value) > MAX_VALUE_BYTES:
+        raise HeaderError(f"{name}: {len(value)} bytes, expected {MAX_VALUE_BYTES} at most")
     try:
         return value.decode("utf-8").strip()
     except UnicodeDecodeError:
         raise HeaderError(f"{name}: {value[:32]!r} is not UTF-8") from None
 
 
-def number_of(found: Mapping[str, bytes], name: str) -> int | None:
-    text = text_of(found, name)
+def int_value(found: Mapping[str, bytes], name: str) -> int | None:
+    text = text_value(found, name)
     if text is None or text == "":
         return None
     digits = text[1:] if text[0] == "-" else text
     if not (digits.isascii() and digits.isdecimal()):
         raise HeaderError(f"{name}: {text[:32]!r}, expected a whole number")
-    return int(text) if len(digits) <= DIGITS else (10**DIGITS if text[0] != "-" else -(10**DIGITS))
+    return (
+        int(text) if len(digits) <= MAX_DIGITS else (10**MAX_DIGITS if text[0] != "-" else -(10**MAX_DIGITS))
+    )
 
 
-def read_ask(headers: Any, names: Names) -> Asked:
+def parse_question(headers: Any, names: HeaderNames) -> Question:
     """What the request headers ask; raises HeaderError."""
-    found = read_map(headers)
-    call_class = text_of(found, names.call_class)
+    found = header_map(headers)
+    call_class = text_value(found, names.call_class)
     if not call_class:
         raise HeaderError(f"{names.call_class}: missing, expected the name of a class")
-    left = number_of(found, names.deadline_ms)
+    left = int_value(found, names.deadline_ms)
     if left is not None and left < 0:
         raise HeaderError(f"{names.deadline_ms}: {left}, expected 0 or more")
-    choice = number_of(found, names.first_choice)
-    return Asked(
+    choice = int_value(found, names.first_choice)
+    return Question(
         call_class=call_class,
-        number=text_of(found, names.number) or None,
+        number=text_value(found, names.number) or None,
         time_left=None if left is None else float(left),
         first_choice=-1 if choice is None else max(-1, choice),
     )
 
 
-def read_outcome(headers: Any, names: Names, statuses: Statuses) -> tuple[Ending | None, Report | None]:
+def parse_outcome(
+    headers: Any, names: HeaderNames, statuses: StatusCodes
+) -> tuple[Ending | None, Report | None]:
     """How the response headers end an attempt (None: it stands), and the load report they carry."""
-    found = read_map(headers)
+    found = header_map(headers)
     report = report_or_none(found.get(names.report, b"").decode("utf-8", "replace"))
     code = found.get(":status", b"").decode("ascii", "replace")
     number = int(code) if code.isdecimal() and len(code) == 3 else 0
@@ -136,32 +140,32 @@
     return ends.get(number, Ending.ERROR), report
 
 
-def _option(name: str, value: str) -> core.HeaderValueOption:
+def _header_option(name: str, value: str) -> core.HeaderValueOption:
     return core.HeaderValueOption(
         header=core.HeaderValue(key=name, raw_value=value.encode("utf-8")),
         append_action=core.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD,
     )
 
 
-def write_route(route: Route, names: Names) -> ep.ProcessingResponse:
+def route_response(route: Route, names: HeaderNames) -> ep.ProcessingResponse:
     """Request headers changed: where to, for how long, which attempt."""
     mutation = ep.HeaderMutation(
         set_headers=[
-            _option(names.server, route.address),
-            _option(names.patience_ms, str(max(1, int(route.patience)))),
-            _option(names.attempt, str(route.attempt)),
+            _header_option(names.server, route.address),
+            _header_option(names.patience_ms, str(max(1, int(route.patience)))),
+            _header_option(names.attempt, str(route.attempt)),
         ]
     )
     common = ep.CommonResponse(header_mutation=mutation, clear_route_cache=True)
     return ep.ProcessingResponse(request_headers=ep.HeadersResponse(response=common))
 
 
-def write_final(final: Refused | Failed, statuses: Statuses) -> ep.ProcessingResponse:
+def final_response(final: Refused | Failed, statuses: StatusCodes) -> ep.ProcessingResponse:
     """An immediate response to the caller: refused or failed, with why and when to come back."""
     if final.why in (Why.BAD_REQUEST, Why.UNKNOWN_CLASS):
-        return write_bad_request(final.why.value)
+        return bad_request_response(final.why.value)
     code = statuses.failure
-    headers = [_option(WHY, final.why.value)]
+    headers = [_header_option(REASON_HEADER, final.why.value)]
     if isinstance(final, Refused):
         code = statuses.refusal
         headers += _retry_after(final)
@@ -179,34 +183,34 @@
     if final.retry_after <= 0:
         return []
     return [
-        _option("retry-after", str(math.ceil(final.retry_after / 1000.0))),
-        _option(RETRY_AFTER_MS, str(math.ceil(final.retry_after))),
+        _header_option("retry-after", str(math.ceil(final.retry_after / 1000.0))),
+        _header_option(RETRY_AFTER_MS_HEADER, str(math.ceil(final.retry_after))),
     ]
 
 
-def write_bad_request(detail: str) -> ep.ProcessingResponse:
+def bad_request_response(detail: str) -> ep.ProcessingResponse:
     return ep.ProcessingResponse(
         immediate_response=ep.ImmediateResponse(
-            status=status.HttpStatus(code=BAD_REQUEST),
-            headers=ep.HeaderMutation(set_headers=[_option(WHY, Why.BAD_REQUEST.value)]),
+            status=status.HttpStatus(code=BAD_REQUEST_STATUS),
+            headers=ep.HeaderMutation(set_headers=[_header_option(REASON_HEADER, Why.BAD_REQUEST.value)]),
             body=detail.encode("utf-8"),
             details="martentide_bad_request",
         )
     )
 
 
-def write_passed(final: Refused | Failed | None) -> ep.ProcessingResponse:
+def outcome_response(final: Refused | Failed | None) -> ep.ProcessingResponse:
     """Response headers go on; an attempt that ended without standing says why."""
     common = ep.CommonResponse()
     if final is not None:
-        options = [_option(WHY, final.why.value)]
+        options = [_header_option(REASON_HEADER, final.why.value)]
         if isinstance(final, Refused):
             options += _retry_after(final)
         common = ep.CommonResponse(header_mutation=ep.HeaderMutation(set_headers=options))
     return ep.ProcessingResponse(response_headers=ep.HeadersResponse(response=common))
 
 
-def write_continue(kind: str) -> ep.ProcessingResponse | None:
+def continue_response(kind: str) -> ep.ProcessingResponse | None:
     """What concerns no decision goes on as it is; None for kinds that have no answer."""
     empty = ep.CommonResponse()
     match kind:
--- a/martentide/extproc/messages.py
+++ b/martentide/extproc/messages.py
@@ -43,7 +43,7 @@
     time_left: float | None
     first_choice: int
     at: float  # the time left counts from then
-    came: float | None = None  # when it was read here; None: at ``at``
+    received_at: float | None = None  # when it was read here; None: at ``at``
 
 
 @dataclass(frozen=True, slots=True)
--- a/martentide/extproc/sessions.py
+++ b/martentide/extproc/sessions.py
@@ -33,12 +33,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SessionTerms:
+class SessionSettings:
     """``lease`` ms that a session outlives its stream; ``most`` sessions that are not expired."""
 
     lease: float = 2_000.0
-    most: int = 64
-    most_each: int = 8  # of one front's name
+    max_sessions: int = 64
+    max_sessions_per_front: int = 8  # of one front's name
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
 class Sessions:
     """All sessions of the program."""
 
-    def __init__(self, terms: SessionTerms, tokens: Callable[[int], bytes]) -> None:
+    def __init__(self, terms: SessionSettings, tokens: Callable[[int], bytes]) -> None:
         self.terms, self.tokens = terms, tokens
         self.by_token: dict[bytes, Session] = {}
         self.opened = 0
@@ -64,7 +64,7 @@
             return Refusal.BAD_NAME
         live = [one for one in self.by_token.values() if one.phase is not Phase.EXPIRED]
         same = [one for one in live if one.front == front]
-        if len(live) >= self.terms.most or len(same) >= self.terms.most_each:
+        if len(live) >= self.terms.max_sessions or len(same) >= self.terms.max_sessions_per_front:
             return Refusal.TOO_MANY
         self.opened += 1
         session = Session(self.opened, front, self.tokens(TOKEN_BYTES))
@@ -84,7 +84,7 @@
         session.phase = Phase.CONNECTED
         return session
 
-    def broken(self, session: Session, stream: int, now: float) -> float | None:
+    def stream_ended(self, session: Session, stream: int, now: float) -> float | None:
         """The stream ended: when the lease ends, or None where another stream speaks for the session."""
         if session.stream != stream or session.phase is not Phase.CONNECTED:
             return None
--- a/martentide/extproc/wire.py
+++ b/martentide/extproc/wire.py
@@ -26,8 +26,8 @@
 )
 from martentide.interface import Ending, Report, ServerEntry, ServerState
 
-MOST_ON_THE_WAY = 10_000.0  # ms
-MOST_TEXT = 256  # characters of a class, number or report
+MAX_TRANSIT_MS = 10_000.0  # ms
+MAX_TEXT_CHARS = 256  # characters of a class, number or report
 ENDINGS: dict[int, Ending | None] = {
     pb.STANDS: None,
     pb.FULL: Ending.FULL,
@@ -42,19 +42,19 @@
 STATES = {ServerState.OPEN: "OPEN", ServerState.DRAINING: "DRAINING", ServerState.GONE: "GONE"}
 
 
-def read_front(message: pb.FrontMessage, at: float) -> FromFront:
+def decode_front_message(message: pb.FrontMessage, at: float) -> FromFront:
     """One message of a front, but for Hello; raises CodecError for one that is none of these."""
     kind = message.WhichOneof("kind")
     if kind == "ask":
         ask = message.ask
         return Ask(
             request=ask.request,
-            call_class=_text(ask.call_class, "class"),
-            number=_text(ask.number, "number") or None,
+            call_class=_bounded_text(ask.call_class, "class"),
+            number=_bounded_text(ask.number, "number") or None,
             time_left=float(ask.time_left_ms) if ask.HasField("time_left_ms") else None,
             first_choice=ask.first_choice if ask.HasField("first_choice") else -1,
-            at=_sent(ask, at),
-            came=at,
+            at=_sent_at(ask, at),
+            received_at=at,
         )
     if kind == "outcome":
         said = message.outcome
@@ -75,22 +75,22 @@
     raise CodecError(f"a message of kind {kind}")
 
 
-def _sent(ask: pb.Ask, came: float) -> float:
+def _sent_at(ask: pb.Ask, came: float) -> float:
     """When the question was written, where the clocks agree so far that it can be believed."""
-    if ask.HasField("sent_unix_ms") and 0.0 <= came - ask.sent_unix_ms <= MOST_ON_THE_WAY:
+    if ask.HasField("sent_unix_ms") and 0.0 <= came - ask.sent_unix_ms <= MAX_TRANSIT_MS:
         return float(ask.sent_unix_ms)
     return came
 
 
-def _text(text: str, what: str) -> str:
-    if len(text) > MOST_TEXT:
+def _bounded_text(text: str, what: str) -> str:
+    if len(text) > MAX_TEXT_CHARS:
         raise CodecError(f"{what}: {len(text)} characters")
     return text
 
 
 def report_or_none(text: str) -> Report | None:
     """A server's load report; one that can't be read tells nothing, and the rest of the message stands."""
-    if not text or len(text) > MOST_TEXT:
+    if not text or len(text) > MAX_TEXT_CHARS:
         return None
     try:
         return read_report(text)
@@ -98,7 +98,7 @@
         return None
 
 
-def write_front(message: FromFront, report: str = "", sent: float | None = None) -> pb.FrontMessage:
+def encode_front_message(message: FromFront, report: str = "", sent: float | None = None) -> pb.FrontMessage:
     """One message of a front; ``report``: the server's report as it came; ``sent``: Unix ms of a question."""
     match message:
         case Ask():
@@ -127,7 +127,7 @@
             return pb.FrontMessage(over=pb.Over(request=message.request, cut=message.cut, report=report))
 
 
-def write_proxy(message: ToFront) -> pb.ProxyMessage:
+def encode_proxy_message(message: ToFront) -> pb.ProxyMessage:
     match message:
         case Route():
             return pb.ProxyMessage(
@@ -181,7 +181,7 @@
             return pb.ProxyMessage(release=pb.Release(request=message.request, why=message.why.value))
 
 
-def read_proxy(message: pb.ProxyMessage) -> ToFront | None:
+def decode_proxy_message(message: pb.ProxyMessage) -> ToFront | None:
     """One message to a front; None for a change of the list, a go-away, and kinds yet unknown."""
     kind = message.WhichOneof("kind")
     if kind == "route":
@@ -201,25 +201,25 @@
         refused = message.refused
         after = float(refused.retry_after_ms)
         waited = refused.waited_us / 1000.0
-        return Refused(refused.request, after, _why(refused.why), refused.held, waited)
+        return Refused(refused.request, after, _reason(refused.why), refused.held, waited)
     if kind == "failed":
         failed = message.failed
-        return Failed(failed.request, _why(failed.why), failed.held, failed.waited_us / 1000.0)
+        return Failed(failed.request, _reason(failed.why), failed.held, failed.waited_us / 1000.0)
     if kind == "cancelled":
         return Cancelled(message.cancelled.request)
     if kind == "stands":
         return Standing(message.stands.request)
     if kind == "withdrawn":
         back = message.withdrawn
-        return Withdrawn(back.request, back.attempt, back.if_unused, _why(back.why))
+        return Withdrawn(back.request, back.attempt, back.if_unused, _reason(back.why))
     if kind == "release":
-        return Release(message.release.request, _why(message.release.why))
+        return Release(message.release.request, _reason(message.release.why))
     if kind == "welcome":
         return Welcomed(tuple(message.welcome.routed), tuple(message.welcome.standing))
     return None
 
 
-def _why(text: str) -> Why:
+def _reason(text: str) -> Why:
     """A reason; one that a newer proxy may have counts as the decision's."""
     try:
         return Why(text)
@@ -227,6 +227,6 @@
         return Why.DECIDED
 
 
-def write_server(entry: ServerEntry, address: str) -> pb.ProxyMessage:
+def encode_server_change(entry: ServerEntry, address: str) -> pb.ProxyMessage:
     change = pb.ServerChange(server=entry.name, address=address, zone=entry.zone, state=STATES[entry.state])
     return pb.ProxyMessage(server=change)
--- a/martentide/extras.py
+++ b/martentide/extras.py
@@ -16,15 +16,15 @@
 import msgspec
 
 from martentide.control.placement import NodeInfo
-from martentide.extproc.ledger import Terms
+from martentide.extproc.ledger import LifecycleSettings
 from martentide.extproc.limits import Limits
-from martentide.extproc.sessions import SessionTerms
+from martentide.extproc.sessions import SessionSettings
 from martentide.fleet.terms import Terms as FleetTerms
 from martentide.interface import Settings
 from martentide.learned.pacing import Pace
 
-MOST_FILE = 1024 * 1024  # bytes
-MOST_CALLS = 63  # services of a proxy beside its own
+MAX_FILE_BYTES = 1024 * 1024  # bytes
+MAX_SERVICES = 63  # services of a proxy beside its own
 
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000_000)]
 Millis = Annotated[float, msgspec.Meta(ge=0, le=600_000)]
@@ -108,7 +108,7 @@
     headers: HeadersNode = HeadersNode()
     statuses: StatusNode = StatusNode()
 
-    def limits_terms(self) -> Limits:
+    def admission_limits(self) -> Limits:
         one = self.limits
         return Limits(
             pending_each=one.pending_each,
@@ -121,21 +121,21 @@
             max_retry_after=one.max_retry_after_ms,
         )
 
-    def ledger_terms(self, settings: Settings, single: bool) -> Terms:
+    def lifecycle_settings(self, settings: Settings, single: bool) -> LifecycleSettings:
         times = self.times
-        return Terms(
+        return LifecycleSettings(
             verdict_margin=times.verdict_margin_ms,
             report_margin=times.report_margin_ms,
             valid_for=times.valid_for_ms,
             lease_grace=times.lease_grace_ms,
-            standing_end=times.standing_end_ms,
-            release=settings.release,
-            most_attempts=settings.max_attempts,
-            single=single,
+            standing_expiry=times.standing_end_ms,
+            release_wait=settings.release,
+            max_attempts=settings.max_attempts,
+            single_attempt=single,
         )
 
-    def session_terms(self) -> SessionTerms:
-        return SessionTerms(self.sessions.lease_ms, self.sessions.most, self.sessions.most_each)
+    def session_settings(self) -> SessionSettings:
+        return SessionSettings(self.sessions.lease_ms, self.sessions.most, self.sessions.most_each)
 
 
 class TimesOfState(Node, frozen=True):
@@ -274,7 +274,7 @@
 
 
 SERVICES = ("decisions", "ext-proc")
-PARTS: dict[str, type[Node]] = {
+PROPERTY_NODES: dict[str, type[Node]] = {
     "limits": LimitsNode,
     "times": TimesNode,
     "sessions": SessionsNode,
@@ -289,11 +289,11 @@
     """Read and check the file; raises ExtrasError. ``settings``: None for a program without any."""
     try:
         with Path(path).open("rb") as file:
-            raw = file.read(MOST_FILE + 1)
+            raw = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise ExtrasError(f"{path}: {error.strerror}") from None
-    if len(raw) > MOST_FILE:
-        raise ExtrasError(f"{path}: more than {MOST_FILE} bytes")
+    if len(raw) > MAX_FILE_BYTES:
+        raise ExtrasError(f"{path}: more than {MAX_FILE_BYTES} bytes")
     try:
         text = raw.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -305,17 +305,17 @@
     try:
         document = ckdl.parse(text)
     except ckdl.ParseError as error:
-        raise ExtrasError(f"{path}: line {_bad_line(text)}: {error}") from None
+        raise ExtrasError(f"{path}: line {_error_line(text)}: {error}") from None
     found: dict[str, Any] = {}
     for node in document.nodes:
         where = f"{path}: {node.name}"
-        if node.name not in TOP:
-            raise ExtrasError(f"{where}: unknown node{_nearest(node.name, list(TOP))}")
+        if node.name not in TOP_LEVEL_NODES:
+            raise ExtrasError(f"{where}: unknown node{_suggestion(node.name, list(TOP_LEVEL_NODES))}")
         if node.name in found:
             raise ExtrasError(f"{where}: stands there twice")
         if node.args or node.properties:
             raise ExtrasError(f"{where}: takes no values of its own, its figures stand in nodes inside")
-        found[node.name] = TOP[node.name](node, path)
+        found[node.name] = TOP_LEVEL_NODES[node.name](node, path)
     for name in ("fleet", "control-tier"):
         if name in found and settings is not None and not settings.may_tell_peers:
             raise ExtrasError(
@@ -324,7 +324,7 @@
     return Extras(path, **{name.replace("-", "_"): part for name, part in found.items()})
 
 
-def _bad_line(text: str) -> int:
+def _error_line(text: str) -> int:
     """The first line up to which the text can't be the beginning of a document."""
     lines = text.splitlines()
     for count in range(1, len(lines) + 1):
@@ -341,10 +341,10 @@
     values: dict[str, Any] = {}
     for child, here in _children(node, where):
         if child.name == "listen":
-            values["listen"] = _one(child, str, "an address HOST:PORT", here)
-            _address(values["listen"], here)
+            values["listen"] = _single_value(child, str, "an address HOST:PORT", here)
+            _host_port(values["listen"], here)
         elif child.name == "own-links":
-            values["own-links"] = _one(child, bool, "#true or #false", here)
+            values["own-links"] = _single_value(child, bool, "#true or #false", here)
         elif child.name == "services":
             for name in child.args:
                 if name not in SERVICES:
@@ -352,11 +352,11 @@
             if not child.args or child.properties or child.children:
                 raise ExtrasError(f"{here}: expected names of services")
             values["services"] = tuple(child.args)
-        elif child.name in PARTS:
-            values[child.name] = _part(child, PARTS[child.name], here)
+        elif child.name in PROPERTY_NODES:
+            values[child.name] = _properties(child, PROPERTY_NODES[child.name], here)
         else:
-            known = ["listen", "own-links", "services", *PARTS]
-            raise ExtrasError(f"{here}: unknown node{_nearest(child.name, known)}")
+            known = ["listen", "own-links", "services", *PROPERTY_NODES]
+            raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, known)}")
     if "listen" not in values:
         raise ExtrasError(f"{where}: expected a node listen, found none")
     return ExternalProcessor(**{name.replace("-", "_"): value for name, value in values.items()})
@@ -367,28 +367,28 @@
     values: dict[str, Any] = {}
     for child, here in _children(node, where):
         if child.name == "folder":
-            values["folder"] = _one(child, str, "a path", here)
+            values["folder"] = _single_value(child, str, "a path", here)
             if not values["folder"].startswith("/"):
                 raise ExtrasError(f"{here}: expected a path from the root, found {values['folder']!r}")
         elif child.name == "times":
-            values["times"] = _part(child, TimesOfState, here)
+            values["times"] = _properties(child, TimesOfState, here)
         else:
-            raise ExtrasError(f"{here}: unknown node{_nearest(child.name, ['folder', 'times'])}")
+            raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, ['folder', 'times'])}")
     if "folder" not in values:
         raise ExtrasError(f"{where}: expected a node folder, found none")
     return LearnedState(**values)
 
 
-def _address(text: Any, where: str) -> tuple[str, int]:
+def _host_port(text: Any, where: str) -> tuple[str, int]:
     host, colon, port = str(text).rpartition(":")
     if not isinstance(text, str) or not colon or not host or not port.isdecimal() or int(port) > 65535:
         raise ExtrasError(f"{where}: expected HOST:PORT, found {text!r}")
     return host, int(port)
 
 
-def _dotted(text: Any, where: str) -> tuple[str, int]:
+def _ipv4_address(text: Any, where: str) -> tuple[str, int]:
     """An address of datagrams: members are told it as it is, so it is not looked up."""
-    host, port = _address(text, where)
+    host, port = _host_port(text, where)
     try:
         return str(ipaddress.IPv4Address(host)), port
     except ValueError:
@@ -403,24 +403,24 @@
     parts: dict[str, type[Node]] = {"times": TimesOfFleet, "limits": LimitsOfFleet}
     for child, here in _children(node, where):
         if child.name in texts:
-            values[child.name] = text = _one(child, str, "a text", here)
+            values[child.name] = text = _single_value(child, str, "a text", here)
             if not 1 <= len(text.encode()) <= texts[child.name]:
                 raise ExtrasError(f"{here}: expected 1 to {texts[child.name]} bytes, found {text!r}")
         elif child.name in addresses:
-            values[child.name] = _dotted(_one(child, str, "an address HOST:PORT", here), here)
+            values[child.name] = _ipv4_address(_single_value(child, str, "an address HOST:PORT", here), here)
         elif child.name == "seeds":
             if not 1 <= len(child.args) <= 32 or child.properties or child.children:
                 raise ExtrasError(f"{here}: expected 1 to 32 addresses HOST:PORT, found {len(child.args)}")
-            values["seeds"] = tuple(_dotted(one, here) for one in child.args)
+            values["seeds"] = tuple(_ipv4_address(one, here) for one in child.args)
         elif child.name == "overload":
-            values["overload"] = _one(child, bool, "#true or #false", here)
+            values["overload"] = _single_value(child, bool, "#true or #false", here)
         elif child.name == "agreement":
             values["agreement"] = _agreement(child, here)
         elif child.name in parts:
-            values[child.name] = _part(child, parts[child.name], here)
+            values[child.name] = _properties(child, parts[child.name], here)
         else:
             known = [*texts, *addresses, "seeds", "overload", "agreement", *parts]
-            raise ExtrasError(f"{here}: unknown node{_nearest(child.name, known)}")
+            raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, known)}")
     for name in ("name", "listen"):
         if name not in values:
             raise ExtrasError(f"{where}: expected a node {name}, found none")
@@ -444,7 +444,7 @@
                 raise ExtrasError(f"{here}: expected 1, 3 or 5 different names, found {list(names)!r}")
             values["voters"] = tuple(names)
         elif child.name in ("folder", "rules"):
-            values[child.name] = _one(child, str, "a path", here)
+            values[child.name] = _single_value(child, str, "a path", here)
         elif child.name == "bound-ms":
             if len(child.args) != 1 or type(child.args[0]) not in (int, float):
                 raise ExtrasError(f"{here}: expected ms, found {list(child.args)!r}")
@@ -453,7 +453,7 @@
                 raise ExtrasError(f"{here}: expected 500 to 60000, found {child.args[0]}")
         else:
             known = ["voters", "bound-ms", "folder", "rules"]
-            raise ExtrasError(f"{here}: unknown node{_nearest(child.name, known)}")
+            raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, known)}")
     if "voters" not in values:
         raise ExtrasError(f"{where}: expected a node voters, found none")
     return AgreementPart(**values)
@@ -464,14 +464,14 @@
     where = f"{path}: {node.name}"
     texts = {"fleet": 64, "secret": 256, "region": 32, "zone": 32, "service": 32, "server": 64}
     values = _control_values(node, where, texts, gossip=False)
-    _expect(values, ("fleet", "region", "zone", "service", "nodes"), where)
+    _require(values, ("fleet", "region", "zone", "service", "nodes"), where)
     return ControlTierPart(**values)
 
 
 def _control_node(node: ckdl.Node, path: str) -> ControlNodePart:
     where = f"{path}: {node.name}"
     values = _control_values(node, where, {"fleet": 64, "secret": 256, "name": 64}, gossip=True)
-    _expect(values, ("fleet", "name", "nodes"), where)
+    _require(values, ("fleet", "name", "nodes"), where)
     part = ControlNodePart(**values)
     if part.name not in (one.name for one in part.nodes):
         raise ExtrasError(f"{where}/name: expected one of the nodes, found {part.name!r}")
@@ -482,21 +482,23 @@
     values: dict[str, Any] = {}
     for child, here in _children(node, where):
         if child.name in texts:
-            values[child.name] = text = _one(child, str, "a text", here)
+            values[child.name] = text = _single_value(child, str, "a text", here)
             if not 1 <= len(text.encode()) <= texts[child.name]:
                 raise ExtrasError(f"{here}: expected 1 to {texts[child.name]} bytes, found {text!r}")
         elif child.name == "calls" and not gossip:
             if child.properties or child.children or not all(type(one) is str for one in child.args):
                 raise ExtrasError(f"{here}: expected names of services, found {list(child.args)!r}")
-            if len(child.args) > MOST_CALLS:
-                raise ExtrasError(f"{here}: expected {MOST_CALLS} services at most, found {len(child.args)}")
+            if len(child.args) > MAX_SERVICES:
+                raise ExtrasError(
+                    f"{here}: expected {MAX_SERVICES} services at most, found {len(child.args)}"
+                )
             values["calls"] = tuple(child.args)
         elif child.name == "nodes":
             values["nodes"] = tuple(
                 _control_address(one, path, gossip) for one, path in _children(child, here)
             )
         else:
-            raise ExtrasError(f"{here}: unknown node{_nearest(child.name, [*texts, 'calls', 'nodes'])}")
+            raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, [*texts, 'calls', 'nodes'])}")
     return values
 
 
@@ -505,19 +507,19 @@
     if node.args or node.children or not set(wanted) <= set(node.properties) <= {*wanted, "gossip"}:
         raise ExtrasError(f"{where}: expected the properties {', '.join(wanted)}")
     values = {
-        name: str(value) if name == "region" else _dotted(value, f"{where}: {name}")
+        name: str(value) if name == "region" else _ipv4_address(value, f"{where}: {name}")
         for name, value in node.properties.items()
     }
     return ControlAddress(node.name, **values)  # type: ignore[arg-type]
 
 
-def _expect(values: dict[str, Any], names: tuple[str, ...], where: str) -> None:
+def _require(values: dict[str, Any], names: tuple[str, ...], where: str) -> None:
     for name in names:
         if not values.get(name):
             raise ExtrasError(f"{where}: expected a node {name}, found none")
 
 
-TOP: dict[str, Callable[[ckdl.Node, str], Any]] = {
+TOP_LEVEL_NODES: dict[str, Callable[[ckdl.Node, str], Any]] = {
     "external-processor": _external_processor,
     "learned-state": _learned_state,
     "fleet": _fleet,
@@ -537,20 +539,20 @@
         yield child, here
 
 
-def _one(node: ckdl.Node, kind: type, expected: str, where: str) -> Any:
+def _single_value(node: ckdl.Node, kind: type, expected: str, where: str) -> Any:
     if len(node.args) != 1 or node.properties or node.children or type(node.args[0]) is not kind:
         found = ", ".join(repr(value) for value in node.args) or "none"
         raise ExtrasError(f"{where}: expected {expected}, found {found}")
     return node.args[0]
 
 
-def _part(node: ckdl.Node, kind: type[AnyNode], where: str) -> AnyNode:
+def _properties(node: ckdl.Node, kind: type[AnyNode], where: str) -> AnyNode:
     if node.args or node.children:
         raise ExtrasError(f"{where}: expected properties NAME=VALUE only")
     names = [field.encode_name for field in msgspec.structs.fields(kind)]
     for name, value in node.properties.items():
         if name not in names:
-            raise ExtrasError(f"{where}: {name}: unknown property{_nearest(name, names)}")
+            raise ExtrasError(f"{where}: {name}: unknown property{_suggestion(name, names)}")
         try:
             msgspec.convert({name: value}, kind)
         except msgspec.ValidationError as error:
@@ -559,6 +561,6 @@
     return msgspec.convert(node.properties, kind)
 
 
-def _nearest(name: str, known: list[str]) -> str:
+def _suggestion(name: str, known: list[str]) -> str:
     near = difflib.get_close_matches(name, known, 1)
     return f"; did you mean {near[0]}?" if near else f"; known are {', '.join(known)}"
--- a/martentide/net/extproc/decisions.py
+++ b/martentide/net/extproc/decisions.py
@@ -15,22 +15,22 @@
 from martentide.extproc.ledger import Ledger, Stream
 from martentide.extproc.messages import FromFront, ToFront, Welcomed
 from martentide.extproc.sessions import Refusal, Session
-from martentide.extproc.wire import read_front, write_proxy, write_server
+from martentide.extproc.wire import decode_front_message, encode_proxy_message, encode_server_change
 from martentide.net.close_reason import CloseReason, log_connection_closed, log_event
-from martentide.net.extproc.front import Front
+from martentide.net.extproc.front import FrontActor
 from martentide.net.extproc.host import Host
 from martentide.net.links import unix_ms
 
-HELLO_LIMIT = 2.0  # s in which a new stream must have said Hello
-IN_A_FRAME = 256  # messages at most: a frame stays within what one read may bring
-STATUS = {
+HELLO_TIMEOUT_S = 2.0  # s in which a new stream must have said Hello
+MAX_MESSAGES_PER_FRAME = 256  # messages at most: a frame stays within what one read may bring
+REFUSAL_STATUS = {
     Refusal.UNKNOWN_SESSION: grpc.StatusCode.NOT_FOUND,
     Refusal.ANOTHER_FRONT: grpc.StatusCode.PERMISSION_DENIED,
     Refusal.TOO_MANY: grpc.StatusCode.RESOURCE_EXHAUSTED,
     Refusal.CLOSING: grpc.StatusCode.UNAVAILABLE,
     Refusal.BAD_NAME: grpc.StatusCode.INVALID_ARGUMENT,
 }
-ENDS = {
+CLOSE_STATUS = {
     CloseReason.MALFORMED: grpc.StatusCode.INVALID_ARGUMENT,
     CloseReason.BLOCKED: grpc.StatusCode.RESOURCE_EXHAUSTED,
     CloseReason.TAKEN_OVER: grpc.StatusCode.ABORTED,
@@ -39,12 +39,12 @@
 }
 
 
-class Wire:
+class StreamWriter:
     """The writing side of one stream: bounded, in order, never waited for by an actor."""
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.waiting: deque[pb.ProxyMessage] = deque()
+        self.max_unsent = most
+        self.unsent: deque[pb.ProxyMessage] = deque()
         self.wake = asyncio.Event()
         self.closed = asyncio.Event()
         self.reason, self.detail = CloseReason.PEER_CLOSED, ""
@@ -53,10 +53,10 @@
     def put(self, messages: list[pb.ProxyMessage]) -> None:
         if self.closed.is_set():
             return
-        if len(self.waiting) + len(messages) > self.most:
-            self.close(CloseReason.BLOCKED, f"{len(self.waiting)} messages wait")
+        if len(self.unsent) + len(messages) > self.max_unsent:
+            self.close(CloseReason.BLOCKED, f"{len(self.unsent)} messages wait")
             return
-        self.waiting.extend(messages)
+        self.unsent.extend(messages)
         self.wake.set()
 
     def close(self, reason: CloseReason, detail: str = "") -> None:
@@ -74,8 +74,8 @@
         while not self.closed.is_set():
             await self.wake.wait()
             self.wake.clear()
-            while self.waiting and not self.closed.is_set():
-                some = [self.waiting.popleft() for _ in range(min(IN_A_FRAME, len(self.waiting)))]
+            while self.unsent and not self.closed.is_set():
+                some = [self.unsent.popleft() for _ in range(min(MAX_MESSAGES_PER_FRAME, len(self.unsent)))]
                 watch = loop.call_later(limit, self.close, CloseReason.BLOCKED, "a write was not taken")
                 self.writing = True
                 try:
@@ -85,29 +85,29 @@
                     watch.cancel()
 
 
-class Member:
+class FrontSession:
     """A session with its actor and, while there is one, its stream."""
 
     def __init__(self, session: Session, host: Host) -> None:
         self.session, self.host = session, host
-        self.wire: Wire | None = None
-        self.joining: Wire | None = None  # the stream that the next welcome goes out on
-        terms = host.terms(single=False)
+        self.writer: StreamWriter | None = None
+        self.next_writer: StreamWriter | None = None  # the stream that the next welcome goes out on
+        terms = host.lifecycle_settings(single=False)
         ledger = Ledger(session.front, terms, host.classes, host.admission, host.keys)
-        self.front = Front(ledger, host.dispatcher, self._deliver, self._trouble)
-        self.spoilt = self.left = False  # the front broke the protocol; it took its leave
+        self.front = FrontActor(ledger, host.dispatcher, self._deliver, self._on_protocol_error)
+        self.protocol_broken = self.left = False  # the front broke the protocol; it took its leave
 
     def _deliver(self, said: list[ToFront]) -> None:
         some: list[pb.ProxyMessage] = []
         for message in said:
             if isinstance(message, Welcomed):
                 # What was said before belongs to the old stream, which is over.
-                self.wire, self.joining = self.joining, None
+                self.writer, self.next_writer = self.next_writer, None
                 some = self._welcome(message)
             else:
-                some.append(write_proxy(message))
-        if self.wire is not None and some:
-            self.wire.put(some)
+                some.append(encode_proxy_message(message))
+        if self.writer is not None and some:
+            self.writer.put(some)
 
     def _welcome(self, message: Welcomed) -> list[pb.ProxyMessage]:
         lease = int(self.host.sessions.terms.lease)
@@ -115,13 +115,13 @@
             session=self.session.token, lease_ms=lease, routed=message.routed, standing=message.standing
         )
         listed = self.host.dispatcher.listed.values()
-        servers = [write_server(one.entry, f"{one.host}:{one.port}") for one in listed]
+        servers = [encode_server_change(one.entry, f"{one.host}:{one.port}") for one in listed]
         return [pb.ProxyMessage(welcome=welcome), *servers]
 
-    def _trouble(self, detail: str) -> None:
+    def _on_protocol_error(self, detail: str) -> None:
         """The front broke the protocol: its stream ends, and with it the session."""
-        self.spoilt = True
-        for wire in (self.wire, self.joining):
+        self.protocol_broken = True
+        for wire in (self.writer, self.next_writer):
             if wire is not None:
                 wire.close(CloseReason.MALFORMED, detail)
 
@@ -131,25 +131,25 @@
 
     def __init__(self, host: Host) -> None:
         self.host = host
-        self.members: dict[int, Member] = {}
-        self.stuck = 0  # streams that wait for a last write, which gRPC can't end
+        self.sessions: dict[int, FrontSession] = {}
+        self.blocked_streams = 0  # streams that wait for a last write, which gRPC can't end
 
     # ---- one stream ---------------------------------------------------------------------------------------
 
     async def decide(self, _: Any, context: Any) -> None:
         peer = str(context.peer())
-        wire = Wire(self.host.streams.most_unsent)
-        member: Member | None = None
+        wire = StreamWriter(self.host.streams.most_unsent)
+        member: FrontSession | None = None
         stream = 0
         tasks: list[asyncio.Task[Any]] = []
         code = grpc.StatusCode.OK
         try:
             hello = await self._hello(context, wire)
             if hello is not None:
-                found = self._enter(hello, wire)
+                found = self._open_session(hello, wire)
                 if isinstance(found, Refusal):
                     wire.close(CloseReason.NO_SESSION, found.value)
-                    code = STATUS[found]
+                    code = REFUSAL_STATUS[found]
                 else:
                     member = found
                     peer = f"{member.session.front}/{member.session.number}"
@@ -165,7 +165,7 @@
                         if task.exception() is not None:  # the stream can't be read or written any more
                             wire.close(CloseReason.PEER_RESET)
             if code is grpc.StatusCode.OK:
-                code = ENDS.get(wire.reason, grpc.StatusCode.OK)
+                code = CLOSE_STATUS.get(wire.reason, grpc.StatusCode.OK)
         except asyncio.CancelledError:
             wire.close(CloseReason.PEER_RESET)
             raise
@@ -175,19 +175,19 @@
             wire.close(wire.reason)
             log_connection_closed("front", peer, wire.reason, wire.detail)
             if member is not None:
-                self._leave(member, stream)
+                self._stream_ended(member, stream)
         if tasks and wire.writing:
-            self.stuck += 1
+            self.blocked_streams += 1
             try:
                 await asyncio.wait(tasks[:1])
             finally:
-                self.stuck -= 1
+                self.blocked_streams -= 1
         if code is not grpc.StatusCode.OK:
             await context.abort(code, wire.detail or wire.reason.value)
 
-    async def _hello(self, context: Any, wire: Wire) -> pb.Hello | None:
+    async def _hello(self, context: Any, wire: StreamWriter) -> pb.Hello | None:
         try:
-            async with asyncio.timeout(HELLO_LIMIT):
+            async with asyncio.timeout(HELLO_TIMEOUT_S):
                 frame = await context.read()
         except TimeoutError:
             wire.close(CloseReason.MUTE)
@@ -200,7 +200,7 @@
         hello: pb.Hello = frame.messages[0].hello
         return hello
 
-    async def _read(self, context: Any, wire: Wire, member: Member) -> None:
+    async def _read(self, context: Any, wire: StreamWriter, member: FrontSession) -> None:
         while True:
             frame = await context.read()
             if frame is grpc.aio.EOF:
@@ -209,64 +209,64 @@
             try:
                 messages = [one for one in frame.messages if one.WhichOneof("kind") != "leave"]
                 member.left = len(messages) < len(frame.messages)
-                events: list[FromFront] = [read_front(message, at) for message in messages]
+                events: list[FromFront] = [decode_front_message(message, at) for message in messages]
             except CodecError as error:
                 wire.close(CloseReason.MALFORMED, str(error))
                 return
             if events:
-                await member.front.credit.acquire()
-                member.front.tell(events)
+                await member.front.unread_credit.acquire()
+                member.front.enqueue(events)
             if member.left:
                 return
 
     # ---- sessions -----------------------------------------------------------------------------------------
 
-    def _enter(self, hello: pb.Hello, wire: Wire) -> Member | Refusal:
+    def _open_session(self, hello: pb.Hello, wire: StreamWriter) -> FrontSession | Refusal:
         sessions = self.host.sessions
         if self.host.closing:
             return Refusal.CLOSING
-        if self.stuck >= sessions.terms.most:
+        if self.blocked_streams >= sessions.terms.max_sessions:
             return Refusal.TOO_MANY
         if not hello.session:
             opened = sessions.open(hello.front)
             if isinstance(opened, Refusal):
                 return opened
-            member = self.members[opened.number] = Member(opened, self.host)
-            member.joining = wire
-            member.front.stream(Stream.RESUMED)
+            member = self.sessions[opened.number] = FrontSession(opened, self.host)
+            member.next_writer = wire
+            member.front.stream_changed(Stream.RESUMED)
             return member
         resumed = sessions.resume(hello.front, hello.session, unix_ms())
         if isinstance(resumed, Refusal):
             return resumed
-        member = self.members[resumed.number]
-        if member.wire is not None:
-            member.wire.close(CloseReason.TAKEN_OVER)
-            member.front.stream(Stream.BROKEN)  # what was pending on the old stream is asked anew
-        if member.joining is not None:
-            member.joining.close(CloseReason.TAKEN_OVER)
-        member.joining = wire
-        member.front.stream(Stream.RESUMED)
+        member = self.sessions[resumed.number]
+        if member.writer is not None:
+            member.writer.close(CloseReason.TAKEN_OVER)
+            member.front.stream_changed(Stream.BROKEN)  # what was pending on the old stream is asked anew
+        if member.next_writer is not None:
+            member.next_writer.close(CloseReason.TAKEN_OVER)
+        member.next_writer = wire
+        member.front.stream_changed(Stream.RESUMED)
         return member
 
-    def _leave(self, member: Member, stream: int) -> None:
-        lease = self.host.sessions.broken(member.session, stream, unix_ms())
+    def _stream_ended(self, member: FrontSession, stream: int) -> None:
+        lease = self.host.sessions.stream_ended(member.session, stream, unix_ms())
         if lease is None:
             return  # another stream speaks for the session
-        member.front.stream(Stream.BROKEN)
-        if member.spoilt or member.left or self.host.closing:
+        member.front.stream_changed(Stream.BROKEN)
+        if member.protocol_broken or member.left or self.host.closing:
             self._expire(member, stream)
         else:
             delay = max(0.0, lease - unix_ms()) / 1000.0
             self.host.loop.call_later(delay, self._expire, member, stream)
 
-    def _expire(self, member: Member, stream: int) -> None:
+    def _expire(self, member: FrontSession, stream: int) -> None:
         if not self.host.sessions.expire(member.session, stream):
             return
-        member.front.stream(Stream.EXPIRED)
-        member.front.end()
+        member.front.stream_changed(Stream.EXPIRED)
+        member.front.stop_when_idle()
         member.front.task.add_done_callback(lambda _: self._forget(member))
 
-    def _forget(self, member: Member) -> None:
+    def _forget(self, member: FrontSession) -> None:
         counts = member.front.ledger.counts
         log_event(
             "session-ended",
@@ -274,26 +274,26 @@
             session=member.session.number,
             **dict(sorted(counts.items())),
         )
-        self.members.pop(member.session.number, None)
+        self.sessions.pop(member.session.number, None)
         self.host.sessions.forget(member.session)
 
     # ---- the whole service --------------------------------------------------------------------------------
 
     def list_changed(self, listed: tuple[Listed, ...]) -> None:
-        said = [write_server(one.entry, f"{one.host}:{one.port}") for one in listed]
-        for member in self.members.values():
-            if member.wire is not None:
-                member.wire.put(said)
+        said = [encode_server_change(one.entry, f"{one.host}:{one.port}") for one in listed]
+        for member in self.sessions.values():
+            if member.writer is not None:
+                member.writer.put(said)
 
-    def fronts(self) -> list[Front]:
-        return [member.front for member in self.members.values()]
+    def fronts(self) -> list[FrontActor]:
+        return [member.front for member in self.sessions.values()]
 
     def go_away(self) -> None:
-        for member in self.members.values():
-            if member.wire is not None:
-                member.wire.put([pb.ProxyMessage(go_away=pb.GoAway(why="closing"))])
+        for member in self.sessions.values():
+            if member.writer is not None:
+                member.writer.put([pb.ProxyMessage(go_away=pb.GoAway(why="closing"))])
 
     def close(self) -> None:
-        for member in self.members.values():
-            if member.wire is not None:
-                member.wire.close(CloseReason.SHUTDOWN)
+        for member in self.sessions.values():
+            if member.writer is not None:
+                member.writer.close(CloseReason.SHUTDOWN)
--- a/martentide/net/extproc/envoy.py
+++ b/martentide/net/extproc/envoy.py
@@ -31,13 +31,13 @@
     Withdrawn,
 )
 from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
-from martentide.net.extproc.front import Front
+from martentide.net.extproc.front import FrontActor
 from martentide.net.extproc.host import Host
 from martentide.net.links import unix_ms
 
-FIRST_LIMIT = 2.0  # s in which a stream must bring its request headers
-FINAL_LIMIT = 1.0  # s for the ledger to take an outcome in; it does so at once
-MOST_PARTS = 4096  # messages of one stream that concern no decision (bodies, trailers)
+REQUEST_HEADERS_TIMEOUT_S = 2.0  # s in which a stream must bring its request headers
+OUTCOME_TIMEOUT_S = 1.0  # s for the ledger to take an outcome in; it does so at once
+MAX_PASSTHROUGH_MESSAGES = 4096  # messages of one stream that concern no decision (bodies, trailers)
 
 
 class Peer:
@@ -46,10 +46,10 @@
     def __init__(self, name: str, host: Host) -> None:
         self.numbers = itertools.count(1)
         self.inboxes: dict[int, asyncio.Queue[ToFront]] = {}
-        ledger = Ledger(name, host.terms(single=True), host.classes, host.admission, host.keys)
-        self.front = Front(ledger, host.dispatcher, self._deliver, self._trouble)
+        ledger = Ledger(name, host.lifecycle_settings(single=True), host.classes, host.admission, host.keys)
+        self.front = FrontActor(ledger, host.dispatcher, self._deliver, self._on_protocol_error)
 
-    def _trouble(self, detail: str) -> None:
+    def _on_protocol_error(self, detail: str) -> None:
         """The numbers are given here, so it is no fault of the peer's."""
         LOG.error("internal-error", front=self.front.ledger.front, detail=repr(detail))
 
@@ -61,33 +61,33 @@
                     inbox.put_nowait(message)
 
 
-class Closed(Exception):
+class StreamClosed(Exception):
     """The stream is over, in good order or not."""
 
 
-class Gone(Exception):
+class AttemptRevoked(Exception):
     """The attempt was taken back, or its server is gone: Envoy must reset the request."""
 
 
-class Exchange:
+class RequestStream:
     """One stream, from the request headers to its end."""
 
     def __init__(self, peer: Peer, host: Host, context: Any) -> None:
         self.peer, self.host, self.context = peer, host, context
         self.request = 0
         self.inbox: asyncio.Queue[ToFront] = asyncio.Queue()
-        self.asked = self.stands = self.over = self.left = False
+        self.asked = self.stands = self.over = self.settled = False
         self.route: Route | None = None
         self.sent_at = 0.0
         self.reading: asyncio.Task[Any] | None = None
-        self.hearing: asyncio.Task[ToFront] | None = None
-        self.parts = 0
+        self.receiving: asyncio.Task[ToFront] | None = None
+        self.passthrough_count = 0
 
-    def tell(self, event: Ask | Outcome | Cancel | Over) -> None:
-        self.peer.front.tell(event)
+    def notify(self, event: Ask | Outcome | Cancel | Over) -> None:
+        self.peer.front.enqueue(event)
 
-    async def play(self) -> None:
-        async with asyncio.timeout(FIRST_LIMIT):
+    async def run(self) -> None:
+        async with asyncio.timeout(REQUEST_HEADERS_TIMEOUT_S):
             first = await self._read()
         if first.WhichOneof("request") != "request_headers":
             raise headers.HeaderError("the first message must bring the request headers")
@@ -98,22 +98,22 @@
                 if message.WhichOneof("request") == "response_headers" and not self.stands and self.route:
                     await self._outcome(message.response_headers)
                 else:
-                    await self._pass(message)
+                    await self._pass_through(message)
             elif (isinstance(message, Withdrawn) and not message.if_unused) or isinstance(message, Release):
                 self.over = True
-                raise Gone(message.why.value)
+                raise AttemptRevoked(message.why.value)
 
     async def _ask(self, asked_headers: Any) -> None:
-        part = self.host.part
+        part = self.host.config
         try:
-            asked = headers.read_ask(asked_headers.headers, part.headers)
+            asked = headers.parse_question(asked_headers.headers, part.headers)
         except headers.HeaderError as error:
-            await self._write(headers.write_bad_request(str(error)))
-            raise Closed from None
+            await self._write(headers.bad_request_response(str(error)))
+            raise StreamClosed from None
         self.asked = True
         self.request = next(self.peer.numbers)  # in the order of the questions
         self.peer.inboxes[self.request] = self.inbox
-        self.tell(
+        self.notify(
             Ask(
                 self.request,
                 asked.call_class,
@@ -127,25 +127,25 @@
             message = await self._next()
             if isinstance(message, Route):
                 self.route, self.sent_at = message, self.host.loop.time()
-                await self._write(headers.write_route(message, part.headers))
+                await self._write(headers.route_response(message, part.headers))
                 return
             if isinstance(message, Refused | Failed):
                 self.over = True
-                await self._write(headers.write_final(message, part.statuses))
-                raise Closed
+                await self._write(headers.final_response(message, part.statuses))
+                raise StreamClosed
             if isinstance(message, ep.ProcessingRequest):
-                await self._pass(message)  # a body that comes before the verdict
+                await self._pass_through(message)  # a body that comes before the verdict
 
     async def _outcome(self, response: Any) -> None:
         assert self.route is not None
-        part = self.host.part
-        ending, report = headers.read_outcome(response.headers, part.headers, part.statuses)
+        part = self.host.config
+        ending, report = headers.parse_outcome(response.headers, part.headers, part.statuses)
         lag = (self.host.loop.time() - self.sent_at) * 1000.0
-        self.tell(Outcome(self.request, self.route.attempt, ending, lag, report=report))
+        self.notify(Outcome(self.request, self.route.attempt, ending, lag, report=report))
         final: Refused | Failed | None = None
-        async with asyncio.timeout(FINAL_LIMIT):
+        async with asyncio.timeout(OUTCOME_TIMEOUT_S):
             while True:
-                message = await self.inbox.get() if self.hearing is None else await self._heard()
+                message = await self.inbox.get() if self.receiving is None else await self._received()
                 if isinstance(message, Standing):
                     self.stands = True
                     break
@@ -154,15 +154,15 @@
                     break
                 if isinstance(message, Withdrawn) and not message.if_unused:
                     self.over = True
-                    raise Gone(message.why.value)
+                    raise AttemptRevoked(message.why.value)
         self.route = None
-        await self._write(headers.write_passed(final))
+        await self._write(headers.outcome_response(final))
 
-    async def _pass(self, message: Any) -> None:
-        self.parts += 1
-        if self.parts > MOST_PARTS:
-            raise headers.HeaderError(f"more than {MOST_PARTS} messages on one stream")
-        answer = headers.write_continue(message.WhichOneof("request") or "")
+    async def _pass_through(self, message: Any) -> None:
+        self.passthrough_count += 1
+        if self.passthrough_count > MAX_PASSTHROUGH_MESSAGES:
+            raise headers.HeaderError(f"more than {MAX_PASSTHROUGH_MESSAGES} messages on one stream")
+        answer = headers.continue_response(message.WhichOneof("request") or "")
         if answer is not None:
             await self._write(answer)
 
@@ -170,56 +170,56 @@
         """gRPC can't take a write back: one that is not taken in time settles the request, and is waited for
         by this stream alone."""
         limit = self.host.streams.blocked_ms / 1000.0
-        watch = self.host.loop.call_later(limit, self.leave)
+        watch = self.host.loop.call_later(limit, self.settle)
         try:
             await self.context.write(answer)
         finally:
             watch.cancel()
-        if self.left:
-            raise Closed
+        if self.settled:
+            raise StreamClosed
 
     async def _read(self) -> ep.ProcessingRequest:
         message = await self.context.read()
         if message is grpc.aio.EOF:
-            raise Closed
+            raise StreamClosed
         return message
 
-    async def _heard(self) -> ToFront:
-        assert self.hearing is not None
-        message = await self.hearing
-        self.hearing = None
+    async def _received(self) -> ToFront:
+        assert self.receiving is not None
+        message = await self.receiving
+        self.receiving = None
         return message
 
     async def _next(self) -> ep.ProcessingRequest | ToFront:
         """Whatever comes first, of the stream or of the front's actor; the actor's word goes before."""
-        if self.hearing is None and not self.inbox.empty():
+        if self.receiving is None and not self.inbox.empty():
             return self.inbox.get_nowait()
         if self.reading is None:
             self.reading = asyncio.create_task(self._read())
-        if self.hearing is None:
-            self.hearing = asyncio.create_task(self.inbox.get())
-        await asyncio.wait((self.reading, self.hearing), return_when=asyncio.FIRST_COMPLETED)
-        if self.hearing.done():
-            return await self._heard()
+        if self.receiving is None:
+            self.receiving = asyncio.create_task(self.inbox.get())
+        await asyncio.wait((self.reading, self.receiving), return_when=asyncio.FIRST_COMPLETED)
+        if self.receiving.done():
+            return await self._received()
         read, self.reading = self.reading, None
         return read.result()
 
-    def leave(self) -> None:
+    def settle(self) -> None:
         """The stream is over, whatever the reason: what it had open is settled, once."""
-        if self.left:
+        if self.settled:
             return
-        self.left = True
-        for task in (self.reading, self.hearing):
+        self.settled = True
+        for task in (self.reading, self.receiving):
             if task is not None:
                 task.cancel()
         self.peer.inboxes.pop(self.request, None)
         if not self.asked or self.over:
             return
         if self.stands:
-            self.tell(Over(self.request, cut=False))
+            self.notify(Over(self.request, cut=False))
         else:
             # Envoy ends the stream when its caller leaves or the upstream is reset: no outcome came.
-            self.tell(Cancel(self.request))
+            self.notify(Cancel(self.request))
 
 
 class ExternalProcessor:
@@ -237,17 +237,17 @@
         task = asyncio.current_task()
         if task is not None:
             self.tasks.add(task)
-        peer = self._arrive(name)
-        exchange = Exchange(peer, self.host, context)
+        peer = self._acquire_peer(name)
+        exchange = RequestStream(peer, self.host, context)
         reason, detail = CloseReason.PEER_CLOSED, ""
         abort: grpc.StatusCode | None = None
         try:
-            await exchange.play()
-        except Closed:
+            await exchange.run()
+        except StreamClosed:
             pass
         except headers.HeaderError as error:
             reason, detail, abort = CloseReason.MALFORMED, str(error), grpc.StatusCode.INVALID_ARGUMENT
-        except Gone as error:
+        except AttemptRevoked as error:
             reason, detail, abort = CloseReason.SERVER_GONE, str(error), grpc.StatusCode.UNAVAILABLE
         except TimeoutError:
             reason, abort = CloseReason.MUTE, grpc.StatusCode.DEADLINE_EXCEEDED
@@ -255,8 +255,8 @@
             reason = CloseReason.PEER_RESET
             raise
         finally:
-            exchange.leave()
-            self._depart(name)
+            exchange.settle()
+            self._release_peer(name)
             if task is not None:
                 self.tasks.discard(task)
             if (
@@ -266,22 +266,22 @@
         if abort is not None:
             await context.abort(abort, detail or reason.value)
 
-    def _arrive(self, name: str) -> Peer:
+    def _acquire_peer(self, name: str) -> Peer:
         peer = self.peers.get(name)
         if peer is None:
             peer = self.peers[name] = Peer(name, self.host)
             if self.host.closing:
-                peer.front.stream(Stream.CLOSING)
+                peer.front.stream_changed(Stream.CLOSING)
         self.streams[name] = self.streams.get(name, 0) + 1
         return peer
 
-    def _depart(self, name: str) -> None:
+    def _release_peer(self, name: str) -> None:
         self.streams[name] -= 1
         if not self.streams[name]:  # the next stream from there finds a new actor
             del self.streams[name]
-            self.peers.pop(name).front.end()
+            self.peers.pop(name).front.stop_when_idle()
 
-    def fronts(self) -> list[Front]:
+    def fronts(self) -> list[FrontActor]:
         return [peer.front for peer in self.peers.values()]
 
     def close(self) -> None:
--- a/martentide/net/extproc/front.py
+++ b/martentide/net/extproc/front.py
@@ -19,29 +19,31 @@
     Event,
     FrontError,
     Ledger,
-    Left,
+    CallClosed,
     ListChanged,
-    Offered,
-    Place,
-    Say,
+    NewCall,
+    ListedServer,
+    Send,
     Stream,
     TakeBack,
-    Unwake,
-    Wake,
+    CancelTimer,
+    SetTimer,
 )
 from martentide.extproc.messages import ToFront
 from martentide.net.dispatcher import Dispatcher, GiveUp, Offer
 from martentide.net.close_reason import LOG
 from martentide.net.links import unix_ms
 
-UNREAD = 16  # frames of one stream that wait in the mailbox at most; then the stream is read no further
-AT_A_TIME = 256  # events taken before the rest of the program has its turn
+MAX_UNREAD_FRAMES = (
+    16  # frames of one stream that wait in the mailbox at most; then the stream is read no further
+)
+MAX_EVENTS_PER_TURN = 256  # events taken before the rest of the program has its turn
 
 Deliver = Callable[[list[ToFront]], None]
 
 
-def places(listed: Iterable[Listed]) -> ListChanged:
-    return ListChanged(tuple(Place(one.entry, f"{one.host}:{one.port}") for one in listed))
+def list_changed_event(listed: Iterable[Listed]) -> ListChanged:
+    return ListChanged(tuple(ListedServer(one.entry, f"{one.host}:{one.port}") for one in listed))
 
 
 def call_id(key: int) -> bytes:
@@ -49,51 +51,56 @@
     return b"x" + key.to_bytes(8, "big")
 
 
-class Front:
+class FrontActor:
     """``trouble`` is told when the front breaks the protocol; its stream has to end then."""
 
     def __init__(
         self, ledger: Ledger, dispatcher: Dispatcher, deliver: Deliver, trouble: Callable[[str], None]
     ) -> None:
-        self.ledger, self.dispatcher, self.deliver, self.trouble = ledger, dispatcher, deliver, trouble
+        self.ledger, self.dispatcher, self.deliver, self.on_protocol_error = (
+            ledger,
+            dispatcher,
+            deliver,
+            trouble,
+        )
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Event | Sequence[Event]] = asyncio.Queue()
         self.timers: dict[tuple[int, str], asyncio.TimerHandle] = {}
-        self.credit = asyncio.Semaphore(UNREAD)
+        self.unread_credit = asyncio.Semaphore(MAX_UNREAD_FRAMES)
         self.now = 0.0
         self.ended = False
         self.idle = asyncio.Event()
         self.idle.set()
-        self.tell(places(dispatcher.listed.values()))
+        self.enqueue(list_changed_event(dispatcher.listed.values()))
         self.task = self.loop.create_task(self._run(), name=f"front {ledger.front}")
 
-    def tell(self, item: Event | Sequence[Event]) -> None:
+    def enqueue(self, item: Event | Sequence[Event]) -> None:
         """Into the mailbox; a sequence is one frame of a stream, whose reader holds a credit for it."""
         self.mailbox.put_nowait(item)
 
-    def end(self) -> None:
+    def stop_when_idle(self) -> None:
         """The actor ends once its ledger is empty."""
         self.ended = True
-        self.tell(())
+        self.enqueue(())
 
     async def _run(self) -> None:
-        while not (self.ended and self.mailbox.empty() and not self.ledger.open):
+        while not (self.ended and self.mailbox.empty() and not self.ledger.requests):
             said: list[ToFront] = []
             item = await self.mailbox.get()
-            for _ in range(AT_A_TIME):
+            for _ in range(MAX_EVENTS_PER_TURN):
                 if isinstance(item, tuple | list):
                     for event in item:
-                        self._take(event, said)
+                        self._handle(event, said)
                     if item:
-                        self.credit.release()
+                        self.unread_credit.release()
                 else:
-                    self._take(item, said)  # type: ignore[arg-type]
+                    self._handle(item, said)  # type: ignore[arg-type]
                 if self.mailbox.empty():
                     break
                 item = self.mailbox.get_nowait()
             if said:
                 self.deliver(said)
-            if self.ledger.open:
+            if self.ledger.requests:
                 self.idle.clear()
             else:
                 self.idle.set()
@@ -102,35 +109,35 @@
         for timer in self.timers.values():
             timer.cancel()
 
-    def _take(self, event: Event, said: list[ToFront]) -> None:
+    def _handle(self, event: Event, said: list[ToFront]) -> None:
         self.now = max(self.now, unix_ms())
         try:
             effects: Sequence[Effect] = self.ledger.handle(self.now, event)
         except FrontError as error:
             effects = self.ledger.effects
-            self.trouble(str(error))
+            self.on_protocol_error(str(error))
         except Exception:
             # Guards against a fault here: what the ledger had asked for is done, and timers end the rest.
             LOG.exception("internal-error", front=self.ledger.front, item=type(event).__name__)
             effects = self.ledger.effects
         for effect in effects:
-            self._do(effect, said)
+            self._apply(effect, said)
 
-    def _do(self, effect: Effect, said: list[ToFront]) -> None:
+    def _apply(self, effect: Effect, said: list[ToFront]) -> None:
         match effect:
-            case Say(message):
+            case Send(message):
                 said.append(message)
-            case Wake(key, kind, at):
+            case SetTimer(key, kind, at):
                 old = self.timers.get((key, kind))
                 if old is not None:
                     old.cancel()
                 delay = max(0.0, at - self.now) / 1000.0
                 self.timers[key, kind] = self.loop.call_later(delay, self._due, key, kind)
-            case Unwake(key, kind):
+            case CancelTimer(key, kind):
                 timer = self.timers.pop((key, kind), None)
                 if timer is not None:
                     timer.cancel()
-            case Offered():
+            case NewCall():
                 self.dispatcher.post(
                     Offer(
                         caller=self,
@@ -144,14 +151,14 @@
                         carrier=self,
                     )
                 )
-            case Left(key):
+            case CallClosed(key):
                 self.dispatcher.post(GiveUp(call_id(key)))
             case Stood() | Ended():
                 self.dispatcher.post(effect)
 
     def _due(self, key: int, kind: str) -> None:
         self.timers.pop((key, kind), None)
-        self.tell(Due(key, kind))
+        self.enqueue(Due(key, kind))
 
     # ---- what the dispatcher says: Caller and Carrier -----------------------------------------------------
 
@@ -159,10 +166,10 @@
         """The front has said itself that the call stands."""
 
     def refuse(self, call: bytes, hold_off: float) -> None:
-        self.tell(Decided(int.from_bytes(call[1:], "big"), hold_off, self._held(call)))
+        self.enqueue(Decided(int.from_bytes(call[1:], "big"), hold_off, self._held(call)))
 
     def fail(self, call: bytes) -> None:
-        self.tell(Decided(int.from_bytes(call[1:], "big"), None, self._held(call)))
+        self.enqueue(Decided(int.from_bytes(call[1:], "big"), None, self._held(call)))
 
     def release(self, call: bytes, cut: bool) -> None:
         """The ledger has ended it itself."""
@@ -171,13 +178,13 @@
         key = int.from_bytes(item.call[1:], "big")
         if isinstance(item, Order):
             held = self._held(item.call)
-            self.tell(Carry(key, item.ref, item.attempt, item.server, item.patience, held))
+            self.enqueue(Carry(key, item.ref, item.attempt, item.server, item.patience, held))
         else:
-            self.tell(TakeBack(key, item.ref, item.attempt, item.hang_up))
+            self.enqueue(TakeBack(key, item.ref, item.attempt, item.hang_up))
 
     def _held(self, call: bytes) -> bool:
         """Whether the dispatcher answers later than in the event that put the question."""
         return self.dispatcher.asking != call
 
-    def stream(self, event: Stream) -> None:
-        self.tell(event)
+    def stream_changed(self, event: Stream) -> None:
+        self.enqueue(event)
--- a/martentide/net/extproc/host.py
+++ b/martentide/net/extproc/host.py
@@ -6,7 +6,7 @@
 import itertools
 import os
 
-from martentide.extproc.ledger import Terms
+from martentide.extproc.ledger import LifecycleSettings
 from martentide.extproc.limits import Admission
 from martentide.extproc.sessions import Sessions
 from martentide.interface import Settings
@@ -20,23 +20,23 @@
     def __init__(
         self, part: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
     ) -> None:
-        self.part, self.settings, self.dispatcher = part, settings, dispatcher
+        self.config, self.settings, self.dispatcher = part, settings, dispatcher
         self.loop = asyncio.get_running_loop()
         self.classes = {kind.name: kind for kind in settings.classes}
         top = max((kind.worth for kind in settings.classes), default=1.0)
-        self.admission = Admission(part.limits_terms(), top, seed)
-        self.sessions = Sessions(part.session_terms(), os.urandom)
+        self.admission = Admission(part.admission_limits(), top, seed)
+        self.sessions = Sessions(part.session_settings(), os.urandom)
         self.keys = itertools.count(1)
         self.closing = False
 
     @property
     def streams(self) -> StreamsNode:
-        return self.part.streams
+        return self.config.streams
 
-    def terms(self, single: bool) -> Terms:
-        return self.part.ledger_terms(self.settings, single)
+    def lifecycle_settings(self, single: bool) -> LifecycleSettings:
+        return self.config.lifecycle_settings(self.settings, single)
 
-    def settle(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Other settings hold for what is asked from now on. The table of classes stays the same object:
         each front's ledger looks into it."""
         self.settings = settings
@@ -44,8 +44,8 @@
         self.classes.update({kind.name: kind for kind in settings.classes})
         self.admission.top_worth = max((kind.worth for kind in settings.classes), default=1.0)
 
-    def change(self, part: ExternalProcessor) -> None:
+    def apply_config(self, part: ExternalProcessor) -> None:
         """New figures hold for what comes from now on."""
-        self.part = part
-        self.admission.change(part.limits_terms())
-        self.sessions.terms = part.session_terms()
+        self.config = part
+        self.admission.set_limits(part.admission_limits())
+        self.sessions.terms = part.session_settings()
--- a/martentide/net/extproc/server.py
+++ b/martentide/net/extproc/server.py
@@ -19,17 +19,17 @@
 from martentide.net.close_reason import log_event
 from martentide.net.extproc.decisions import Decisions
 from martentide.net.extproc.envoy import ExternalProcessor as Envoy
-from martentide.net.extproc.front import Front, places
+from martentide.net.extproc.front import FrontActor, list_changed_event
 from martentide.net.extproc.host import Host
 from martentide.extras import ExternalProcessor
 
 DECISIONS = "martentide.decisions.v1.Decisions"
 EXT_PROC = "envoy.service.ext_proc.v3.ExternalProcessor"
-KEEPALIVE = 10_000  # ms without a word on a connection until it is tested
-KEEPALIVE_LIMIT = 5_000  # ms for that test
-SWITCH = 0.0002  # s, in place of 5 ms
-FLUSH = 0.5  # s for last verdicts to leave
-FIXED = ("listen", "services", "own_links", "streams")  # these wait for a restart
+KEEPALIVE_MS = 10_000  # ms without a word on a connection until it is tested
+KEEPALIVE_TIMEOUT_MS = 5_000  # ms for that test
+SWITCH_INTERVAL_S = 0.0002  # s, in place of 5 ms
+FLUSH_TIMEOUT_S = 0.5  # s for last verdicts to leave
+RESTART_ONLY = ("listen", "services", "own_links", "streams")  # these wait for a restart
 
 
 class ExternalProcessorServer:
@@ -46,8 +46,8 @@
         options = (
             ("grpc.max_receive_message_length", part.streams.most_message_bytes),
             ("grpc.max_concurrent_streams", part.streams.most_streams),
-            ("grpc.keepalive_time_ms", KEEPALIVE),
-            ("grpc.keepalive_timeout_ms", KEEPALIVE_LIMIT),
+            ("grpc.keepalive_time_ms", KEEPALIVE_MS),
+            ("grpc.keepalive_timeout_ms", KEEPALIVE_TIMEOUT_MS),
             ("grpc.http2.min_recv_ping_interval_without_data_ms", 1_000),
             ("grpc.so_reuseport", 0),
         )
@@ -81,54 +81,54 @@
         gc.collect()
         gc.freeze()
         # gRPC hears of its sockets in a thread of its own, which waits this long for its turn.
-        sys.setswitchinterval(SWITCH)
+        sys.setswitchinterval(SWITCH_INTERVAL_S)
         host = self.part.listen.rpartition(":")[0]
         log_event("external-processor", address=f"{host}:{self.port}", services=",".join(self.part.services))
 
-    def fronts(self) -> list[Front]:
+    def fronts(self) -> list[FrontActor]:
         return [*self.decisions.fronts(), *self.envoy.fronts()]
 
     def _list_changed(self, listed: tuple[Listed, ...]) -> None:
-        event = places(listed)
+        event = list_changed_event(listed)
         for front in self.fronts():
-            front.tell(event)
+            front.enqueue(event)
         self.decisions.list_changed(listed)
 
     def settle(self, settings: Settings) -> None:
         """Other settings hold for what is asked from now on; what is open keeps its class and attempts."""
-        self.host.settle(settings)
-        self._terms()
+        self.host.apply_settings(settings)
+        self._update_lifecycle_settings()
 
     def change(self, part: ExternalProcessor) -> list[str]:
         """New figures from the extras file; returns what waits for a restart."""
-        kept = [name for name in FIXED if getattr(part, name) != getattr(self.part, name)]
-        self.host.change(part)
-        self._terms()
+        kept = [name for name in RESTART_ONLY if getattr(part, name) != getattr(self.part, name)]
+        self.host.apply_config(part)
+        self._update_lifecycle_settings()
         return kept
 
-    def _terms(self) -> None:
-        for member in self.decisions.members.values():
-            member.front.ledger.terms = self.host.terms(single=False)
+    def _update_lifecycle_settings(self) -> None:
+        for member in self.decisions.sessions.values():
+            member.front.ledger.terms = self.host.lifecycle_settings(single=False)
         for peer in self.envoy.peers.values():
-            peer.front.ledger.terms = self.host.terms(single=True)
+            peer.front.ledger.terms = self.host.lifecycle_settings(single=True)
 
     def closing(self) -> None:
         """New questions are refused from now on; open ones get their verdicts."""
         self.host.closing = True
         self.decisions.go_away()
         for front in self.fronts():
-            front.stream(Stream.CLOSING)
+            front.stream_changed(Stream.CLOSING)
 
     async def stop(self) -> None:
         """All is answered: let the last words leave, then end the streams."""
         try:
-            async with asyncio.timeout(FLUSH):
+            async with asyncio.timeout(FLUSH_TIMEOUT_S):
                 for front in self.fronts():
                     await front.idle.wait()
-                while any(m.wire is not None and m.wire.waiting for m in self.decisions.members.values()):
+                while any(m.writer is not None and m.writer.unsent for m in self.decisions.sessions.values()):
                     await asyncio.sleep(0.005)
         except TimeoutError:
             log_event("external-processor-unflushed", fronts=len(self.fronts()))
         self.decisions.close()
         self.envoy.close()
-        await self.server.stop(FLUSH)
+        await self.server.stop(FLUSH_TIMEOUT_S)
--- a/tests/extproc/support.py
+++ b/tests/extproc/support.py
@@ -9,20 +9,20 @@
 
 from martentide.attempt_messages import Ended, Stood
 from martentide.extproc.ledger import (
+    CallClosed,
+    CancelTimer,
     Carry,
     Decided,
     Due,
     Effect,
     Event,
     Ledger,
-    Left,
+    LifecycleSettings,
     ListChanged,
-    Offered,
-    Place,
-    Say,
-    Terms,
-    Unwake,
-    Wake,
+    ListedServer,
+    NewCall,
+    Send,
+    SetTimer,
 )
 from martentide.extproc.limits import Admission, Limits
 from martentide.extproc.messages import (
@@ -49,69 +49,71 @@
 START = 1_000_000.0
 
 
-def place(name: str, state: ServerState = ServerState.OPEN, started: float | None = None) -> Place:
-    return Place(entry(name, int(name[1:]), state, started), f"127.0.0.1:{7000 + int(name[1:])}")
+def listed_server(
+    name: str, state: ServerState = ServerState.OPEN, started: float | None = None
+) -> ListedServer:
+    return ListedServer(entry(name, int(name[1:]), state, started), f"127.0.0.1:{7000 + int(name[1:])}")
 
 
-class Play:
+class LedgerHarness:
     """Feeds one ledger, keeps its timers, and checks on every effect what must hold whatever happens."""
 
-    def __init__(self, terms: Terms | None = None, limits: Limits | None = None) -> None:
+    def __init__(self, terms: LifecycleSettings | None = None, limits: Limits | None = None) -> None:
         self.now = START
         self.admission = Admission(limits or Limits(), 6.0, 1)
-        self.terms = terms or Terms()
+        self.terms = terms or LifecycleSettings()
         self.ledger = Ledger("f", self.terms, CLASSES, self.admission, itertools.count(1))
         self.timers: dict[tuple[int, str], float] = {}
-        self.said: list[ToFront] = []
+        self.sent: list[ToFront] = []
         self.effects: list[Effect] = []
-        self.offered: dict[int, int] = {}  # request by key
-        self.asked: dict[int, float] = {}  # when the caller's time is over
+        self.requests_by_key: dict[int, int] = {}  # request by key
+        self.deadlines: dict[int, float] = {}  # when the caller's time is over
         self.finals: Counter[int] = Counter()
         self.routes: Counter[tuple[int, int]] = Counter()
         self.out: dict[int, int] = {}  # attempt that is out at the front, by request
-        self.booked: dict[tuple[int, int], int] = {}  # ends owed for an order, by ref and attempt
-        self.left: set[int] = set()
+        self.owed_ends: dict[tuple[int, int], int] = {}  # ends owed for an order, by ref and attempt
+        self.closed: set[int] = set()
         self.ended: dict[int, set[int]] = {}  # attempts that are over, by request
-        self.free_at: dict[int, float] = {}  # when the release wait is over, by request
-        self.feed(ListChanged((place("s0"), place("s1"))))
+        self.release_over_at: dict[int, float] = {}  # when the release wait is over, by request
+        self.feed(ListChanged((listed_server("s0"), listed_server("s1"))))
 
     def feed(self, event: Event) -> list[Effect]:
         if isinstance(event, Carry):
-            self.booked[event.ref, event.attempt] = 1
+            self.owed_ends[event.ref, event.attempt] = 1
         effects = list(self.ledger.handle(self.now, event))
         self.effects += effects
         for effect in effects:
-            self._note(effect)
+            self._check_effect(effect)
         return effects
 
-    def _note(self, effect: Effect) -> None:
+    def _check_effect(self, effect: Effect) -> None:
         match effect:
-            case Wake(key, kind, at):
+            case SetTimer(key, kind, at):
                 self.timers[key, kind] = at
-            case Unwake(key, kind):
+            case CancelTimer(key, kind):
                 self.timers.pop((key, kind), None)
-            case Offered(key=key):
-                self.offered[key] = max(self.asked)
-            case Left(key):
-                assert key not in self.left, "left twice"
-                self.left.add(key)
+            case NewCall(key=key):
+                self.requests_by_key[key] = max(self.deadlines)
+            case CallClosed(key):
+                assert key not in self.closed, "left twice"
+                self.closed.add(key)
             case Ended(ref=ref, attempt=attempt):
-                request = self.offered[ref]
+                request = self.requests_by_key[ref]
                 if effect.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
-                    self.free_at[request] = self.now + self.terms.release
+                    self.release_over_at[request] = self.now + self.terms.release_wait
                 if effect.ending is not Ending.NOT_SENT:
                     self.ended.setdefault(request, set()).add(attempt)
-                self.booked[ref, attempt] -= 1
-                assert self.booked[ref, attempt] == 0, "two ends for one order"
+                self.owed_ends[ref, attempt] -= 1
+                assert self.owed_ends[ref, attempt] == 0, "two ends for one order"
             case Stood(ref=ref, attempt=attempt):
-                assert self.booked[ref, attempt] == 1, "stands, but was over"
-            case Say(message):
-                self.said.append(message)
-                self._heard(message)
+                assert self.owed_ends[ref, attempt] == 1, "stands, but was over"
+            case Send(message):
+                self.sent.append(message)
+                self._check_message(message)
 
-    def _heard(self, message: ToFront) -> None:
+    def _check_message(self, message: ToFront) -> None:
         if isinstance(message, Welcomed):
-            held = {one.request for one in self.ledger.open.values()}
+            held = {one.request_id for one in self.ledger.requests.values()}
             assert {*message.routed, *message.standing} == held, "pending requests outlived their stream"
             return
         request = message.request
@@ -119,10 +121,12 @@
             assert request not in self.out or self.out[request] == message.attempt, "two attempts out"
             assert not self.finals[request], "a route behind the final"
             assert message.attempt not in self.ended.get(request, set()), "a route of an attempt that is over"
-            free = self.free_at.get(request, 0.0)
+            free = self.release_over_at.get(request, 0.0)
             assert self.now >= free, "a route before the release wait is over"
-            assert self.now + message.patience <= self.asked[request], "an attempt beyond the caller's time"
-            state = self.ledger.places[message.server].entry.state
+            assert self.now + message.patience <= self.deadlines[request], (
+                "an attempt beyond the caller's time"
+            )
+            state = self.ledger.servers[message.server].entry.state
             assert state is ServerState.OPEN, "a route to a server that drains"
             assert 0 <= message.valid_for <= self.terms.valid_for and message.patience > 0
             self.out[request] = message.attempt
@@ -133,7 +137,7 @@
         elif not isinstance(message, Release):
             self.finals[request] += 1
             assert self.finals[request] == 1, "two finals"
-            assert self.now <= self.asked[request], "a final after the caller's time"
+            assert self.now <= self.deadlines[request], "a final after the caller's time"
             if not isinstance(message, Standing):
                 assert request not in self.out, "a final while an attempt is out"
 
@@ -142,11 +146,11 @@
     ) -> list[Effect]:
         kind = CLASSES.get(name)
         over = left if left is not None and 0 <= left <= 600_000 else (kind.deadline if kind else 0.0)
-        self.asked[request] = self.now + max(0.0, over)
+        self.deadlines[request] = self.now + max(0.0, over)
         return self.feed(replace(Ask(request, name, "n", left, 0, self.now), **more))
 
     def key(self, request: int) -> int:
-        return next(key for key, one in self.offered.items() if one == request)
+        return next(key for key, one in self.requests_by_key.items() if one == request)
 
     def carry(
         self, request: int, attempt: int = 0, server: str = "s0", patience: float = 800.0
@@ -171,10 +175,10 @@
             self.feed(Due(key, kind))
         self.now = end
 
-    def settled(self) -> None:
+    def assert_settled(self) -> None:
         """Nothing is open: every booking was returned and every count is back."""
-        assert not self.ledger.open and not self.ledger.by_request and not self.timers
-        assert not any(self.booked.values()), "an order without its end"
+        assert not self.ledger.requests and not self.ledger.by_request_id and not self.timers
+        assert not any(self.owed_ends.values()), "an order without its end"
         assert self.admission.pending == self.admission.open == 0
         front = self.admission.fronts.get("f")
         assert front is None or front.pending == front.open == 0
@@ -182,5 +186,5 @@
 
 def kinds(effects: list[Effect]) -> list[str]:
     """Effects by name, what is said by the message's name; timers left out."""
-    shown = [effect for effect in effects if not isinstance(effect, Wake | Unwake)]
-    return [type(e.message if isinstance(e, Say) else e).__name__ for e in shown]
+    shown = [effect for effect in effects if not isinstance(effect, SetTimer | CancelTimer)]
+    return [type(e.message if isinstance(e, Send) else e).__name__ for e in shown]
--- a/tests/extproc/test_client_state.py
+++ b/tests/extproc/test_client_state.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martentide.client.state import Passed, Phase, Renumbered, Requests
+from martentide.client.state import Delivery, Phase, Renumbered, RequestTable
 from martentide.extproc.messages import (
     Ask,
     Cancel,
@@ -26,21 +26,21 @@
 ROUTE = Route(1, 0, "s-1", "127.0.0.1:1", "east", 800.0, 800.0)
 
 
-def asked() -> Requests:
-    state = Requests()
+def asked() -> RequestTable:
+    state = RequestTable()
     state.handle(Welcomed((), ()), NOW)
     assert state.ask("plain", "n", 3000.0, -1, NOW) == 1
     return state
 
 
-def routed() -> Requests:
+def routed() -> RequestTable:
     state = asked()
-    assert state.handle(ROUTE, NOW) == [Passed(1, ROUTE)]
+    assert state.handle(ROUTE, NOW) == [Delivery(1, ROUTE)]
     assert state.begin(1)
     return state
 
 
-def sent(state: Requests) -> list[object]:
+def sent(state: RequestTable) -> list[object]:
     messages: list[object] = [message for message, _ in state.to_send]
     state.to_send.clear()
     return messages
@@ -52,11 +52,11 @@
     assert state.report(1, None, 12.0, report="x0:1") == Outcome(1, 0, None, 12.0)
     assert state.to_send[-1] == (Outcome(1, 0, None, 12.0), "x0:1")
     assert state.report(1, None, 12.0) is None, "nothing is reported twice"
-    assert state.handle(Standing(1), NOW) == [Passed(1, Standing(1))]
+    assert state.handle(Standing(1), NOW) == [Delivery(1, Standing(1))]
     assert state.handle(Standing(1), NOW) == [] == state.handle(Failed(1, Why.DECIDED), NOW)
     assert state.counts["doubled"] == 2
     state.over(1, cut=False)
-    assert not state.own
+    assert not state.open_requests
 
 
 def test_a_second_attempt_while_one_is_out_is_not_made() -> None:
@@ -79,7 +79,7 @@
     state = asked()
     state.handle(ROUTE, NOW)
     sent(state)
-    assert state.handle(back, NOW) == [Passed(1, back)]
+    assert state.handle(back, NOW) == [Delivery(1, back)]
     assert sent(state) == [Outcome(1, 0, Ending.NOT_SENT, 0.0)] and not state.begin(1)
     begun = routed()
     assert begun.handle(back, NOW) == []
@@ -89,43 +89,43 @@
 def test_a_withdrawal_for_good_ends_the_attempt_and_releases_what_stands() -> None:
     back = Withdrawn(1, 0, False, Why.PATIENCE)
     state = routed()
-    assert state.handle(back, NOW) == [Passed(1, back)]
+    assert state.handle(back, NOW) == [Delivery(1, back)]
     assert state.report(1, None, 5.0) is None
     again = replace(ROUTE, attempt=1)
-    assert state.handle(again, NOW) == [Passed(1, again)]
+    assert state.handle(again, NOW) == [Delivery(1, again)]
     state.report(1, None, 5.0)
     state.handle(Standing(1), NOW)
     late = Withdrawn(1, 1, False, Why.LATE)
-    assert state.handle(late, NOW) == [Passed(1, Release(1, Why.LATE))]
+    assert state.handle(late, NOW) == [Delivery(1, Release(1, Why.LATE))]
 
 
 def test_after_a_break_what_had_no_verdict_is_asked_anew_with_the_time_that_is_left() -> None:
     state = asked()
-    state.broken()
+    state.stream_ended()
     assert state.ask("plain", "m", 100.0, -1, NOW) == 2 and not state.to_send
     results = state.handle(Welcomed((), ()), NOW + 500.0)
     assert results[0] == Renumbered(1, 3)
-    assert results[1] == Passed(2, Refused(2, 0.0, Why.DEADLINE))
+    assert results[1] == Delivery(2, Refused(2, 0.0, Why.DEADLINE))
     assert sent(state) == [Ask(3, "plain", "n", 2500.0, -1, NOW + 500.0)]
 
 
 @pytest.mark.parametrize(
     ("ending", "welcome", "expected", "says"),
     [
-        (None, Welcomed((), (1,)), [Passed(1, Standing(1))], []),  # heard, its final was lost
+        (None, Welcomed((), (1,)), [Delivery(1, Standing(1))], []),  # heard, its final was lost
         (None, Welcomed((1,), ()), [], []),  # not heard: it is said again with the route's copy
-        (None, Welcomed((), ()), [Passed(1, Standing(1))], []),  # it stands, though it is not counted
-        (Ending.ERROR, Welcomed((), ()), [Passed(1, Failed(1, Why.LATE))], []),
-        (Ending.FULL, Welcomed((), ()), [Passed(1, Refused(1, 0.0, Why.LATE))], []),
+        (None, Welcomed((), ()), [Delivery(1, Standing(1))], []),  # it stands, though it is not counted
+        (Ending.ERROR, Welcomed((), ()), [Delivery(1, Failed(1, Why.LATE))], []),
+        (Ending.FULL, Welcomed((), ()), [Delivery(1, Refused(1, 0.0, Why.LATE))], []),
         (Ending.FULL, Welcomed((1, 9), ()), [], [Cancel(9)]),  # 9 is nobody's here
     ],
 )
 def test_after_a_break_an_outcome_that_was_said_is_settled_by_what_the_proxy_holds(
-    ending: Ending | None, welcome: Welcomed, expected: list[Passed], says: list[object]
+    ending: Ending | None, welcome: Welcomed, expected: list[Delivery], says: list[object]
 ) -> None:
     state = routed()
     outcome = state.report(1, ending, 5.0)
-    state.broken()
+    state.stream_ended()
     assert state.handle(welcome, NOW) == expected
     assert sent(state) == says
     if 1 in welcome.routed:
@@ -134,11 +134,11 @@
 
 def test_an_attempt_that_the_proxy_gave_up_meanwhile_is_given_up_here() -> None:
     state = routed()
-    state.broken()
+    state.stream_ended()
     results = state.handle(Welcomed((), ()), NOW)
     assert results == [
-        Passed(1, Withdrawn(1, 0, False, Why.LATE)),
-        Passed(1, Failed(1, Why.LATE)),
+        Delivery(1, Withdrawn(1, 0, False, Why.LATE)),
+        Delivery(1, Failed(1, Why.LATE)),
     ]
 
 
@@ -146,6 +146,6 @@
     state = routed()
     state.report(1, None, 5.0)
     state.handle(Standing(1), NOW)
-    assert state.own[1].phase is Phase.STANDS
-    state.broken()
+    assert state.open_requests[1].phase is Phase.STANDS
+    state.stream_ended()
     assert state.handle(Welcomed((), ()), NOW) == [] and state.counts["uncounted"] == 1
--- a/tests/extproc/test_extras.py
+++ b/tests/extproc/test_extras.py
@@ -9,7 +9,7 @@
 import pytest
 
 from martentide.extproc.limits import Limits
-from martentide.extproc.sessions import SessionTerms
+from martentide.extproc.sessions import SessionSettings
 from martentide.extras import ExtrasError, load_extras, read_extras
 from martentide.settings import settings_from
 from tests.net.support import ROOT, SETTINGS
@@ -22,9 +22,9 @@
     part = load_extras(str(ROOT / "deploy/extras.example.kdl"), KNOWN).external_processor
     plain = read_extras(BASE.format(""), "f", KNOWN).external_processor
     assert part == plain and part is not None
-    assert part.limits_terms() == Limits() and part.session_terms() == SessionTerms()
-    terms = part.ledger_terms(KNOWN, single=True)
-    assert (terms.release, terms.most_attempts, terms.single) == (200.0, 5, True)
+    assert part.admission_limits() == Limits() and part.session_settings() == SessionSettings()
+    terms = part.lifecycle_settings(KNOWN, single=True)
+    assert (terms.release_wait, terms.max_attempts, terms.single_attempt) == (200.0, 5, True)
 
 
 def test_an_empty_file_turns_nothing_on() -> None:
--- a/tests/extproc/test_ledger.py
+++ b/tests/extproc/test_ledger.py
@@ -10,7 +10,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
-from martentide.extproc.ledger import Carry, FrontError, ListChanged, Say, State, Stream, TakeBack, Terms
+from martentide.extproc.ledger import (
+    Carry,
+    FrontError,
+    LifecycleSettings,
+    ListChanged,
+    Send,
+    State,
+    Stream,
+    TakeBack,
+)
 from martentide.extproc.limits import Limits
 from martentide.extproc.messages import (
     Cancel,
@@ -24,33 +33,33 @@
     Withdrawn,
 )
 from martentide.interface import Ending, ServerState
-from tests.extproc.support import START, Play, kinds, place
+from tests.extproc.support import START, LedgerHarness, kinds, listed_server
 
 
-def said(play: Play) -> list[tuple[str, Why | None]]:
-    return [(type(message).__name__, getattr(message, "why", None)) for message in play.said]
+def said(play: LedgerHarness) -> list[tuple[str, Why | None]]:
+    return [(type(message).__name__, getattr(message, "why", None)) for message in play.sent]
 
 
 def test_a_request_is_routed_stands_and_is_over() -> None:
-    play = Play()
-    assert kinds(play.ask(5)) == ["Offered"]
+    play = LedgerHarness()
+    assert kinds(play.ask(5)) == ["NewCall"]
     assert kinds(play.carry(5)) == ["Route"]
-    assert play.said[-1] == Route(5, 0, "s0", "127.0.0.1:7000", "z", 800.0, 800.0)
+    assert play.sent[-1] == Route(5, 0, "s0", "127.0.0.1:7000", "z", 800.0, 800.0)
     assert kinds(play.outcome(5, None)) == ["Stood", "Standing"]
     play.advance(60_000.0)
     assert kinds(play.feed(Over(5, cut=False))) == ["Ended"]
-    play.settled()
+    play.assert_settled()
 
 
 def test_the_end_of_an_attempt_opens_the_question_anew() -> None:
-    play = Play()
+    play = LedgerHarness()
     play.ask(1)
     play.carry(1)
     assert kinds(play.outcome(1, Ending.FULL)) == ["Ended"]
     play.carry(1, 1, "s1")
     assert kinds(play.outcome(1, Ending.ERROR, 1)) == ["Ended"]
     assert kinds(play.decide(1, None)) == ["Failed"]
-    play.settled()
+    play.assert_settled()
 
 
 @pytest.mark.parametrize(
@@ -68,48 +77,48 @@
 def test_what_can_not_be_asked_has_its_final_at_once(
     left: float, name: str, more: dict[str, Any], final: Failed | Refused
 ) -> None:
-    play = Play()
-    assert play.ask(1, left, name, **more) == [Say(final)]
-    play.settled()
+    play = LedgerHarness()
+    assert play.ask(1, left, name, **more) == [Send(final)]
+    play.assert_settled()
 
 
 @pytest.mark.parametrize(("left", "cutoff"), [(None, 8980.0), (1e12, 8980.0), (3000.0, 2980.0), (50.0, 40.0)])
 def test_a_pending_question_is_refused_just_before_the_callers_time_is_over(
     left: float | None, cutoff: float
 ) -> None:
-    play = Play()
+    play = LedgerHarness()
     play.ask(1, left)
     play.advance(cutoff - 0.5)
-    assert not play.said
+    assert not play.sent
     play.advance(0.5)
     assert said(play) == [("Refused", Why.DEADLINE)] and play.ledger.counts["refused_deadline"] == 1
     assert kinds(play.carry(1)) == ["Ended"], "an order that was on its way still has its end"
     assert play.decide(1, 0.0) == []
-    play.settled()
+    play.assert_settled()
 
 
 def test_a_verdict_in_the_instant_of_the_deadline_is_the_only_one() -> None:
-    play = Play()
+    play = LedgerHarness()
     play.ask(1, 1000.0)
     play.now += 980.0  # the cut-off is due, but its timer has not been heard yet
     play.decide(1, 50.0)
     play.advance(100.0)
     assert said(play) == [("Refused", Why.DECIDED)]
-    play.settled()
+    play.assert_settled()
 
 
 def test_an_attempt_at_the_end_of_the_callers_time_is_withdrawn_and_failed_in_time() -> None:
-    play = Play()
+    play = LedgerHarness()
     play.ask(1, 1000.0)
     play.carry(1, patience=1000.0)
-    assert isinstance(play.said[-1], Route) and play.said[-1].patience == 940.0
+    assert isinstance(play.sent[-1], Route) and play.sent[-1].patience == 940.0
     play.advance(1000.0)
     assert said(play)[1:] == [("Withdrawn", Why.DEADLINE), ("Failed", Why.DEADLINE)]
-    play.settled()
+    play.assert_settled()
 
 
 def test_a_front_that_never_reports_is_a_time_out_and_its_late_report_changes_nothing() -> None:
-    play = Play()
+    play = LedgerHarness()
     play.ask(1)
     play.carry(1, patience=500.0)
     play.advance(749.0)
@@ -122,28 +131,28 @@
     assert kinds(play.outcome(1, None)) == ["Withdrawn"], "what stands too late must be released"
     assert play.ledger.counts["late_reports"] == 2
     play.decide(1, None)
-    play.settled()
+    play.assert_settled()
 
 
 @pytest.mark.parametrize("ending", [Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED])
 def test_a_route_waits_for_the_release_of_the_attempt_before(ending: Ending) -> None:
-    play = Play()
+    play = LedgerHarness()
     play.ask(1)
     play.carry(1)
     play.outcome(1, ending)
     play.advance(50.0)
     assert kinds(play.carry(1, 1, "s1")) == []
     play.advance(149.0)
-    assert len(play.said) == 1
+    assert len(play.sent) == 1
     play.advance(1.0)
-    assert isinstance(play.said[-1], Route) and play.said[-1].attempt == 1
+    assert isinstance(play.sent[-1], Route) and play.sent[-1].attempt == 1
     play.outcome(1, None, 1)
     play.feed(Over(1, cut=True))
-    play.settled()
+    play.assert_settled()
 
 
 def test_no_attempt_beyond_the_most_and_none_beside_one_that_is_out() -> None:
-    play = Play(Terms(most_attempts=2))
+    play = LedgerHarness(LifecycleSettings(max_attempts=2))
     play.ask(1)
     play.carry(1)
     assert kinds(play.carry(1, 1)) == ["Ended"]
@@ -152,10 +161,10 @@
     play.outcome(1, Ending.FULL, 2)
     assert kinds(play.carry(1, 3)) == ["Ended"]
     play.decide(1, 0.0)
-    play.settled()
+    play.assert_settled()
 
 
-def cancel(play: Play) -> None:
+def cancel(play: LedgerHarness) -> None:
     play.out.pop(1, None)  # the front gives up what is out before it says so
     play.feed(Cancel(1))
 
@@ -176,13 +185,13 @@
     ],
 )
 def test_a_cancel_before_with_and_after_the_verdict(
-    before: list[Callable[[Play], Any]], finals: list[str]
+    before: list[Callable[[LedgerHarness], Any]], finals: list[str]
 ) -> None:
-    play = Play()
+    play = LedgerHarness()
     for step in before:
         step(play)
     assert [name for name, _ in said(play)] == finals
-    play.settled()
+    play.assert_settled()
 
 
 @pytest.mark.parametrize(
@@ -190,37 +199,39 @@
     [Cancel(9), Over(9, cut=False), Outcome(9, 0, None, 1.0), Outcome(1, 3, None, 1.0), Over(1, cut=True)],
 )
 def test_what_was_never_asked_or_routed_breaks_the_protocol(event: Any) -> None:
-    play = Play()
+    play = LedgerHarness()
     play.ask(1)
     with pytest.raises(FrontError):
         play.feed(event)
 
 
 def test_a_number_that_comes_again_breaks_the_protocol() -> None:
-    play = Play()
+    play = LedgerHarness()
     play.ask(4)
     with pytest.raises(FrontError, match="numbers must grow"):
         play.ask(4)
 
 
 def test_a_drain_takes_back_a_route_that_is_not_used() -> None:
-    play = Play()
+    play = LedgerHarness()
     play.ask(1)
     play.ask(2)
     for request in (1, 2):
         play.carry(request)
-    play.feed(ListChanged((place("s0", ServerState.DRAINING),)))
-    assert play.said[2:] == [Withdrawn(n, 0, True, Why.DRAINING) for n in (1, 2)]
+    play.feed(ListChanged((listed_server("s0", ServerState.DRAINING),)))
+    assert play.sent[2:] == [Withdrawn(n, 0, True, Why.DRAINING) for n in (1, 2)]
     assert kinds(play.carry(1, 1)) == ["Ended"], "no route to a server that drains"
     play.outcome(1, Ending.NOT_SENT)
     play.carry(1, 1, "s1")
     play.outcome(2, None)  # it was in use already, and goes on
-    assert play.said[-1] == Standing(2)
+    assert play.sent[-1] == Standing(2)
 
 
-@pytest.mark.parametrize("change", [place("s0", ServerState.GONE), place("s0", started=START + 10.0)])
+@pytest.mark.parametrize(
+    "change", [listed_server("s0", ServerState.GONE), listed_server("s0", started=START + 10.0)]
+)
 def test_a_server_gone_or_started_anew_cuts_what_is_there(change: Any) -> None:
-    play = Play()
+    play = LedgerHarness()
     for request in (1, 2):
         play.ask(request)
         play.carry(request)
@@ -229,29 +240,29 @@
     play.feed(ListChanged((change,)))
     assert said(play)[3:] == [("Withdrawn", Why.SERVER_GONE), ("Release", Why.SERVER_GONE)]
     play.decide(1, None)
-    play.settled()
+    play.assert_settled()
 
 
 def test_a_broken_stream_closes_what_is_pending_and_keeps_what_is_routed() -> None:
-    play = Play()
+    play = LedgerHarness()
     for request in (1, 2, 3):
         play.ask(request)
     play.carry(2)
     play.carry(3)
     play.outcome(3, None)
     play.feed(Stream.BROKEN)
-    assert [one.state for one in play.ledger.open.values()] == [State.ROUTED, State.STANDS]
+    assert [one.state for one in play.ledger.requests.values()] == [State.ROUTED, State.STANDS]
     play.advance(300.0)
     play.feed(Stream.RESUMED)
-    assert play.said[-1] == Route(2, 0, "s0", "127.0.0.1:7000", "z", 500.0, 500.0)
+    assert play.sent[-1] == Route(2, 0, "s0", "127.0.0.1:7000", "z", 500.0, 500.0)
     play.outcome(2, None)
     for request in (2, 3):
         play.feed(Over(request, cut=False))
-    play.settled()
+    play.assert_settled()
 
 
 def test_a_front_that_does_not_come_back_loses_its_routes_as_cut_and_its_calls_in_time() -> None:
-    play = Play()
+    play = LedgerHarness()
     for request in (1, 2):
         play.ask(request, None)
         play.carry(request, patience=5000.0)
@@ -262,13 +273,13 @@
     over = [effect for effect in play.effects if type(effect).__name__ == "Ended"]
     assert [one.ending for one in over] == [Ending.CUT]  # type: ignore[union-attr]
     play.advance(7999.0)
-    assert len(play.ledger.open) == 1
+    assert len(play.ledger.requests) == 1
     play.advance(1.0)
-    play.settled()
+    play.assert_settled()
 
 
 def test_closing_refuses_new_questions_answers_the_open_ones_and_hands_back_what_stands() -> None:
-    play = Play()
+    play = LedgerHarness()
     for request in (1, 2):
         play.ask(request)
     play.carry(1)
@@ -277,17 +288,17 @@
     play.ask(3)
     play.decide(2, 10.0)
     assert said(play)[2:] == [("Refused", Why.CLOSING), ("Refused", Why.DECIDED)]
-    play.settled()
+    play.assert_settled()
 
 
 def test_a_front_of_one_attempt_has_its_final_with_the_outcome() -> None:
-    play = Play(Terms(single=True))
+    play = LedgerHarness(LifecycleSettings(single_attempt=True))
     for request, ending in ((1, Ending.FULL), (2, Ending.ERROR)):
         play.ask(request)
         play.carry(request)
-        assert kinds(play.outcome(request, ending))[:2] == ["Left", "Ended"]
+        assert kinds(play.outcome(request, ending))[:2] == ["CallClosed", "Ended"]
     assert [name for name, _ in said(play)] == ["Route", "Refused", "Route", "Failed"]
-    play.settled()
+    play.assert_settled()
 
 
 STATES = [ServerState.OPEN] * 3 + list(ServerState)
@@ -298,7 +309,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.play = Play(Terms(most_attempts=3), Limits(pending_each=4, open_each=6, rate_each=50.0))
+        self.play = LedgerHarness(
+            LifecycleSettings(max_attempts=3), Limits(pending_each=4, open_each=6, rate_each=50.0)
+        )
         self.request = 0
         self.broken = False
         self.module: dict[int, int] = {}  # the last attempt of calls that the module has, by key
@@ -306,13 +319,13 @@
 
     def owed(self) -> dict[int, int]:
         """Orders of the module whose end it has not heard: attempts by key."""
-        return {ref: attempt for (ref, attempt), count in self.play.booked.items() if count}
+        return {ref: attempt for (ref, attempt), count in self.play.owed_ends.items() if count}
 
     def free(self) -> list[int]:
         """Keys that the module may act on: also late on what is closed, as on a real mailbox."""
         busy = self.owed()
-        keys = [key for key in self.play.offered if key not in self.settled and key not in busy]
-        return [key for key in keys if key not in self.play.left or self.module.get(key, -1) < 1][-4:]
+        keys = [key for key in self.play.requests_by_key if key not in self.settled and key not in busy]
+        return [key for key in keys if key not in self.play.closed or self.module.get(key, -1) < 1][-4:]
 
     def ask(self, left: float | None, name: str) -> None:
         self.request += 1
@@ -330,10 +343,10 @@
         patience=st.sampled_from([1.0, 200.0, 4000.0]),
     )
     def asks(self, left: float | None, name: str, routed: bool, patience: float) -> None:
-        before = len(self.play.offered)
+        before = len(self.play.requests_by_key)
         self.ask(left, name)
-        if routed and len(self.play.offered) > before:
-            self.carry(max(self.play.offered), "s0", patience)
+        if routed and len(self.play.requests_by_key) > before:
+            self.carry(max(self.play.requests_by_key), "s0", patience)
 
     @precondition(lambda self: self.free())
     @rule(data=st.data(), server=st.sampled_from(["s0", "s1"]), patience=st.sampled_from([200.0, 4000.0]))
@@ -345,7 +358,7 @@
     def decides(self, data: st.DataObject, hold_off: float | None) -> None:
         key = data.draw(st.sampled_from(self.free()))
         self.settled.add(key)
-        self.play.decide(self.play.offered[key], hold_off)
+        self.play.decide(self.play.requests_by_key[key], hold_off)
 
     @precondition(lambda self: self.play.out and not self.broken)
     @rule(data=st.data(), ending=st.sampled_from([None, *Ending]), late=st.booleans())
@@ -377,7 +390,7 @@
         name=st.sampled_from(["s0", "s1"]), state=st.sampled_from([ServerState.OPEN] * 3 + list(ServerState))
     )
     def change(self, name: str, state: ServerState) -> None:
-        self.play.feed(ListChanged((place(name, state),)))
+        self.play.feed(ListChanged((listed_server(name, state),)))
 
     @rule(breaks=st.sampled_from([True, False, False, False]))
     def stream(self, breaks: bool) -> None:
@@ -392,7 +405,7 @@
         self.play.feed(Stream.BROKEN)
         self.play.feed(Stream.EXPIRED)
         self.play.advance(20_000.0)
-        self.play.settled()
+        self.play.assert_settled()
 
 
 Lifecycle.TestCase.settings = settings(
--- a/tests/extproc/test_limits.py
+++ b/tests/extproc/test_limits.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from martentide.extproc.limits import Admission, Denied, Limits
+from martentide.extproc.limits import Admission, Limits, Rejection
 from martentide.extproc.messages import Why
-from martentide.extproc.sessions import Phase, Refusal, Session, Sessions, SessionTerms
+from martentide.extproc.sessions import Phase, Refusal, Session, Sessions, SessionSettings
 
 NOW = 5_000.0
 
@@ -20,7 +20,7 @@
     return Admission(Limits(**limits), 6.0, 3)  # type: ignore[arg-type]
 
 
-def why(said: Denied | None) -> Why | None:
+def why(said: Rejection | None) -> Why | None:
     return said.why if said is not None else None
 
 
@@ -39,8 +39,8 @@
 ) -> None:
     gate = admission(**limits)
     for _ in range(admitted):
-        assert gate.ask("f", 6.0, NOW) is None
-    denied = gate.ask("f", 6.0, NOW)
+        assert gate.admit("f", 6.0, NOW) is None
+    denied = gate.admit("f", 6.0, NOW)
     assert denied is not None and denied.why is then and 20.0 <= denied.retry_after <= 2000.0
     assert gate.fronts["f"].refused == {then: 1}
 
@@ -48,54 +48,54 @@
 @pytest.mark.parametrize("limits", [{"pending_each": 10}, {"open_all": 10}, {"rate_each": 40.0}])
 def test_the_worthiest_class_goes_last(limits: dict[str, float]) -> None:
     gate = admission(**limits, reserve=0.5)
-    while gate.ask("f", 1.0, NOW) is None:
+    while gate.admit("f", 1.0, NOW) is None:
         pass
     middle = 0
-    while gate.ask("f", 3.0, NOW) is None:
+    while gate.admit("f", 3.0, NOW) is None:
         middle += 1
     top = 0
-    while gate.ask("f", 6.0, NOW) is None:
+    while gate.admit("f", 6.0, NOW) is None:
         top += 1
     assert middle and top, "each worthier class finds room that the lesser left"
-    assert why(gate.ask("f", 1.0, NOW)) is not None
+    assert why(gate.admit("f", 1.0, NOW)) is not None
 
 
 def test_the_rate_comes_back_with_time() -> None:
     gate = admission(rate_each=10.0, burst_ms=100.0)
-    assert gate.ask("f", 6.0, NOW) is None
-    denied = gate.ask("f", 6.0, NOW)
+    assert gate.admit("f", 6.0, NOW) is None
+    denied = gate.admit("f", 6.0, NOW)
     assert denied is not None
-    assert gate.ask("f", 6.0, NOW + 100.0) is None
+    assert gate.admit("f", 6.0, NOW + 100.0) is None
 
 
 def test_a_front_over_its_part_of_a_crowded_total_makes_room_for_the_other() -> None:
     gate = admission(pending_all=10, pending_each=10)
-    assert gate.ask("small", 6.0, NOW) is None
+    assert gate.admit("small", 6.0, NOW) is None
     greedy = 0
-    while gate.ask("greedy", 6.0, NOW) is None:
+    while gate.admit("greedy", 6.0, NOW) is None:
         greedy += 1
     assert greedy == 7, "up to FAIR_FROM of the total it may use what the other leaves"
-    assert gate.ask("small", 6.0, NOW) is None and gate.ask("small", 6.0, NOW) is None
-    assert why(gate.ask("greedy", 6.0, NOW)) is Why.BUSY
+    assert gate.admit("small", 6.0, NOW) is None and gate.admit("small", 6.0, NOW) is None
+    assert why(gate.admit("greedy", 6.0, NOW)) is Why.BUSY
 
 
 def test_new_limits_hold_for_what_comes_and_keep_what_is_open() -> None:
     gate = admission(pending_each=2)
-    assert gate.ask("f", 6.0, NOW) is None
-    gate.change(Limits(pending_each=1))
-    assert why(gate.ask("f", 6.0, NOW)) is Why.FRONT_BUSY
+    assert gate.admit("f", 6.0, NOW) is None
+    gate.set_limits(Limits(pending_each=1))
+    assert why(gate.admit("f", 6.0, NOW)) is Why.FRONT_BUSY
     gate.decided("f", 3.0)
     gate.closed("f")
-    assert gate.ask("f", 6.0, NOW) is None
+    assert gate.admit("f", 6.0, NOW) is None
 
 
 def test_quiet_fronts_are_forgotten_and_open_ones_are_not() -> None:
     gate = admission()
-    gate.ask("busy", 6.0, NOW)
-    gate.ask("quiet", 6.0, NOW)
+    gate.admit("busy", 6.0, NOW)
+    gate.admit("quiet", 6.0, NOW)
     gate.decided("quiet")
     gate.closed("quiet")
-    gate.ask("new", 6.0, NOW + 60_000.0)
+    gate.admit("new", 6.0, NOW + 60_000.0)
     assert set(gate.fronts) == {"busy", "new"}
 
 
@@ -115,7 +115,7 @@
     pending, opened = Counter[str](), Counter[str]()
     for name, worth, what in steps:
         if what == "ask":
-            if gate.ask(name, worth, now) is None:
+            if gate.admit(name, worth, now) is None:
                 pending[name] += 1
                 opened[name] += 1
         elif what == "decided" and pending[name]:
@@ -125,7 +125,7 @@
             gate.closed(name)
             opened[name] -= 1
         elif what == "again" and opened[name] > pending[name]:
-            gate.asked_again(name)
+            gate.reopened(name)
             pending[name] += 1
         elif what == "wait":
             now += 10.0
@@ -139,7 +139,7 @@
 
 def sessions(**terms: float) -> Sessions:
     numbers = itertools.count(1)
-    return Sessions(SessionTerms(**terms), lambda count: next(numbers).to_bytes(count, "big"))  # type: ignore[arg-type]
+    return Sessions(SessionSettings(**terms), lambda count: next(numbers).to_bytes(count, "big"))  # type: ignore[arg-type]
 
 
 def opened(registry: Sessions, front: str = "f") -> Session:
@@ -154,7 +154,7 @@
 
 
 def test_sessions_are_bounded_each_and_in_all() -> None:
-    registry = sessions(most=3, most_each=2)
+    registry = sessions(max_sessions=3, max_sessions_per_front=2)
     opened(registry)
     opened(registry)
     assert registry.open("f") is Refusal.TOO_MANY
@@ -165,11 +165,11 @@
 def test_a_front_goes_on_within_the_lease_and_not_after() -> None:
     registry = sessions(lease=2000.0)
     session = opened(registry)
-    assert registry.broken(session, 0, NOW) == NOW + 2000.0
+    assert registry.stream_ended(session, 0, NOW) == NOW + 2000.0
     assert registry.resume("g", session.token, NOW + 10.0) is Refusal.ANOTHER_FRONT
     assert registry.resume("f", b"guess", NOW + 10.0) is Refusal.UNKNOWN_SESSION
     assert registry.resume("f", session.token, NOW + 1999.0) is session and session.stream == 1
-    assert registry.broken(session, 1, NOW + 3000.0) == NOW + 5000.0
+    assert registry.stream_ended(session, 1, NOW + 3000.0) == NOW + 5000.0
     assert registry.resume("f", session.token, NOW + 5000.0) is Refusal.UNKNOWN_SESSION
 
 
@@ -177,15 +177,15 @@
     registry = sessions()
     session = opened(registry)
     assert registry.resume("f", session.token, NOW) is session
-    assert registry.broken(session, 0, NOW + 1.0) is None
+    assert registry.stream_ended(session, 0, NOW + 1.0) is None
     assert session.phase is Phase.CONNECTED
     assert not registry.expire(session, 0)
 
 
 def test_an_expired_session_is_not_gone_on_with_and_leaves_room() -> None:
-    registry = sessions(most=1)
+    registry = sessions(max_sessions=1)
     session = opened(registry)
-    registry.broken(session, 0, NOW)
+    registry.stream_ended(session, 0, NOW)
     assert registry.expire(session, 0)
     assert registry.resume("f", session.token, NOW + 1.0) is Refusal.UNKNOWN_SESSION
     assert isinstance(registry.open("f"), Session)
--- a/tests/extproc/test_wire.py
+++ b/tests/extproc/test_wire.py
@@ -25,7 +25,12 @@
     Why,
     Withdrawn,
 )
-from martentide.extproc.wire import read_front, read_proxy, write_front, write_proxy
+from martentide.extproc.wire import (
+    decode_front_message,
+    decode_proxy_message,
+    encode_front_message,
+    encode_proxy_message,
+)
 from martentide.extras import HeadersNode, StatusNode
 from martentide.interface import Ending, Report
 
@@ -43,9 +48,9 @@
     ],
 )
 def test_a_fronts_messages_come_through(message: Any) -> None:
-    raw = pb.FrontMessage.FromString(write_front(message).SerializeToString())
-    read = read_front(raw, CAME)
-    assert (dataclasses.replace(read, came=None) if isinstance(read, Ask) else read) == message
+    raw = pb.FrontMessage.FromString(encode_front_message(message).SerializeToString())
+    read = decode_front_message(raw, CAME)
+    assert (dataclasses.replace(read, received_at=None) if isinstance(read, Ask) else read) == message
 
 
 @pytest.mark.parametrize(
@@ -61,8 +66,8 @@
     ],
 )
 def test_what_a_front_is_told_comes_through(message: Any) -> None:
-    raw = pb.ProxyMessage.FromString(write_proxy(message).SerializeToString())
-    assert read_proxy(raw) == message
+    raw = pb.ProxyMessage.FromString(encode_proxy_message(message).SerializeToString())
+    assert decode_proxy_message(raw) == message
 
 
 @pytest.mark.parametrize(
@@ -71,7 +76,7 @@
 def test_the_time_left_counts_from_the_writing_where_that_can_be_believed(
     sent: float | None, at: float
 ) -> None:
-    read = read_front(write_front(Ask(1, "plain", None, 10.0, -1, 0.0), sent=sent), CAME)
+    read = decode_front_message(encode_front_message(Ask(1, "plain", None, 10.0, -1, 0.0), sent=sent), CAME)
     assert isinstance(read, Ask) and read.at == at
 
 
@@ -86,13 +91,13 @@
 )
 def test_what_is_no_message_of_a_front_is_refused(raw: pb.FrontMessage) -> None:
     with pytest.raises(CodecError):
-        read_front(raw, CAME)
+        decode_front_message(raw, CAME)
 
 
 @pytest.mark.parametrize("text", ["x0:", "x0:nan", "\x00", "y" * 300])
 def test_a_report_that_can_not_be_read_tells_nothing_and_the_outcome_stands(text: str) -> None:
     raw = pb.FrontMessage(outcome=pb.Outcome(request=1, ending="STANDS", report=text))
-    assert read_front(raw, CAME) == Outcome(1, 0, None, 0.0, report=None)
+    assert decode_front_message(raw, CAME) == Outcome(1, 0, None, 0.0, report=None)
 
 
 @pytest.mark.parametrize(
@@ -114,5 +119,5 @@
         core.HeaderValue(key=":status", value=status),
         core.HeaderValue(key="X-Load-Report", raw_value=b"x0:3;eps:0.5"),
     ]
-    read = headers.read_outcome(core.HeaderMap(headers=values), HeadersNode(), StatusNode())
+    read = headers.parse_outcome(core.HeaderMap(headers=values), HeadersNode(), StatusNode())
     assert read == (ending, Report(3.0, 0.5, None))
