--- a/martentide/extproc/__init__.py
+++ b/martentide/extproc/__init__.py
@@ -1,5 +1,5 @@
-"""External processor mode: other proxies carry the calls and ask here, once for each, what to do.
+"""External processor mode: other proxies carry the calls and ask this process to decide on each call.
 
-``messages``, ``ledger``, ``limits`` and ``sessions`` decide and keep state; they do no input or output, and
-are handed their clock and their random numbers. ``martentide/net/extproc/`` puts them on gRPC.
+``messages``, ``ledger``, ``limits`` and ``sessions`` hold the logic and its state; they do no I/O and take
+clock and random numbers as arguments. ``martentide/net/extproc/`` serves them over gRPC.
 """
--- a/martentide/extproc/headers.py
+++ b/martentide/extproc/headers.py
@@ -1,7 +1,7 @@
-"""HTTP headers of Envoy's ext_proc: what is asked, what is answered, how a server's answer ends an attempt.
+"""HTTP headers of Envoy's ext_proc: parses questions and outcomes, builds the responses; no I/O.
 
-Pure; the messages are those of ``envoy.service.ext_proc.v3`` (Envoy's API, External Processing). The names of
-the headers and the meaning of statuses are the operator's.
+The messages are those of ``envoy.service.ext_proc.v3`` (Envoy's API, External Processing). The operator
+configures the names of the headers and the meaning of the status codes.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from martentide.extproc.wire import report_or_none
 from martentide.interface import Ending, Report
 
-MAX_VALUE_BYTES = 256  # characters of a header that is read
+MAX_VALUE_BYTES = 256  # of a header that is parsed
 BAD_REQUEST_STATUS = 400
 REASON_HEADER = "x-martentide-why"
 RETRY_AFTER_MS_HEADER = "x-martentide-retry-after-ms"
-MAX_DIGITS = 9  # of a number in a header
+MAX_DIGITS = 9  # of a number in a header; larger values are clamped
 
 
 class HeaderNames(Protocol):
-    """The operator's names of headers."""
+    """The configured names of the headers."""
 
     @property
     def call_class(self) -> str: ...
@@ -48,6 +48,8 @@
 
 
 class StatusCodes(Protocol):
+    """The configured HTTP status codes of attempt outcomes and of final verdicts."""
+
     @property
     def full(self) -> int: ...
     @property
@@ -61,11 +63,13 @@
 
 
 class HeaderError(ValueError):
-    """A header can't be read; the text names it, what was found and what was expected."""
+    """A header can't be parsed; the text names the header, the value found and the value expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
+    """What the request headers ask for; ``time_left`` in ms."""
+
     call_class: str
     number: str | None
     time_left: float | None
@@ -73,7 +77,7 @@
 
 
 def header_map(headers: Any) -> dict[str, bytes]:
-    """Names in lower case and values as the bytes that came; the first of a name counts."""
+    """Map lower-case header names to raw values; the first header of a name counts."""
     found: dict[str, bytes] = {}
     for header in headers.headers:
         found.setdefault(header.key.lower(), header.raw_value or header.value.encode("utf-8"))
@@ -81,6 +85,7 @@
 
 
 def text_value(found: Mapping[str, bytes], name: str) -> str | None:
+    """Value of a header as text, None if missing; raises HeaderError."""
     value = found.get(name)
     if value is None:
         return None
@@ -93,6 +98,7 @@
 
 
 def int_value(found: Mapping[str, bytes], name: str) -> int | None:
+    """Value of a header as a whole number, None if missing or empty; raises HeaderError."""
     text = text_value(found, name)
     if text is None or text == "":
         return None
@@ -105,39 +111,39 @@
 
 
 def parse_question(headers: Any, names: HeaderNames) -> Question:
-    """What the request headers ask; raises HeaderError."""
+    """Parse the question in the request headers; raises HeaderError."""
     found = header_map(headers)
     call_class = text_value(found, names.call_class)
     if not call_class:
         raise HeaderError(f"{names.call_class}: missing, expected the name of a class")
-    left = int_value(found, names.deadline_ms)
-    if left is not None and left < 0:
-        raise HeaderError(f"{names.deadline_ms}: {left}, expected 0 or more")
-    choice = int_value(found, names.first_choice)
+    time_left = int_value(found, names.deadline_ms)
+    if time_left is not None and time_left < 0:
+        raise HeaderError(f"{names.deadline_ms}: {time_left}, expected 0 or more")
+    first_choice = int_value(found, names.first_choice)
     return Question(
         call_class=call_class,
         number=text_value(found, names.number) or None,
-        time_left=None if left is None else float(left),
-        first_choice=-1 if choice is None else max(-1, choice),
+        time_left=None if time_left is None else float(time_left),
+        first_choice=-1 if first_choice is None else max(-1, first_choice),
     )
 
 
 def parse_outcome(
     headers: Any, names: HeaderNames, statuses: StatusCodes
 ) -> tuple[Ending | None, Report | None]:
-    """How the response headers end an attempt (None: it stands), and the load report they carry."""
+    """Parse the response headers: how the attempt ended (None: the call stands), and the load report."""
     found = header_map(headers)
     report = report_or_none(found.get(names.report, b"").decode("utf-8", "replace"))
     code = found.get(":status", b"").decode("ascii", "replace")
     number = int(code) if code.isdecimal() and len(code) == 3 else 0
     if 100 <= number < 400:
         return None, report
-    ends = {
+    endings = {
         statuses.timed_out: Ending.TIMED_OUT,
         statuses.unreachable: Ending.UNREACHABLE,
         statuses.full: Ending.FULL,
     }
-    return ends.get(number, Ending.ERROR), report
+    return endings.get(number, Ending.ERROR), report
 
 
 def _header_option(name: str, value: str) -> core.HeaderValueOption:
@@ -148,7 +154,7 @@
 
 
 def route_response(route: Route, names: HeaderNames) -> ep.ProcessingResponse:
-    """Request headers changed: where to, for how long, which attempt."""
+    """Change the request headers to set the server's address, the timeout and the attempt's number."""
     mutation = ep.HeaderMutation(
         set_headers=[
             _header_option(names.server, route.address),
@@ -161,7 +167,7 @@
 
 
 def final_response(final: Refused | Failed, statuses: StatusCodes) -> ep.ProcessingResponse:
-    """An immediate response to the caller: refused or failed, with why and when to come back."""
+    """Build the immediate response to the caller: refused or failed, with the reason and the retry time."""
     if final.why in (Why.BAD_REQUEST, Why.UNKNOWN_CLASS):
         return bad_request_response(final.why.value)
     code = statuses.failure
@@ -179,7 +185,7 @@
 
 
 def _retry_after(final: Refused) -> list[core.HeaderValueOption]:
-    """Retry-After counts whole seconds (RFC 9110, 10.2.3); the exact time stands beside it."""
+    """Retry-After in whole seconds (RFC 9110, 10.2.3), and a second header with the time in ms."""
     if final.retry_after <= 0:
         return []
     return [
@@ -189,6 +195,7 @@
 
 
 def bad_request_response(detail: str) -> ep.ProcessingResponse:
+    """Build the immediate response to a request that can't be parsed or has an unknown class."""
     return ep.ProcessingResponse(
         immediate_response=ep.ImmediateResponse(
             status=status.HttpStatus(code=BAD_REQUEST_STATUS),
@@ -200,7 +207,7 @@
 
 
 def outcome_response(final: Refused | Failed | None) -> ep.ProcessingResponse:
-    """Response headers go on; an attempt that ended without standing says why."""
+    """Forward the response headers; if the attempt failed, add the reason of the final verdict."""
     common = ep.CommonResponse()
     if final is not None:
         options = [_header_option(REASON_HEADER, final.why.value)]
@@ -211,7 +218,7 @@
 
 
 def continue_response(kind: str) -> ep.ProcessingResponse | None:
-    """What concerns no decision goes on as it is; None for kinds that have no answer."""
+    """Forward a message that concerns no decision unchanged; None for kinds that take no response."""
     empty = ep.CommonResponse()
     match kind:
         case "request_headers" | "response_headers":
--- a/martentide/extproc/ledger.py
+++ b/martentide/extproc/ledger.py
@@ -1,16 +1,17 @@
-"""The lifecycle of the requests that one front asks about, from offered to closed.
+"""Lifecycle of the requests of one front, from the first question to the close.
 
-A pure state machine: ``handle(now, event)`` takes one event, returns effects in their order, and has no
-clock, timer or random number of its own. The decision module decides server, repeat and refusal; the ledger
-decides what of that may still reach the front, and sees to the rules where a front carries the attempts:
+A pure state machine: ``handle(now, event)`` processes one event and returns effects in order. It has no
+clock, timer or random numbers of its own. The decision module chooses the server and decides on retry and
+refusal; the ledger decides which of these decisions may still be sent to the front, and enforces the rules
+for attempts that a front carries out:
 
-- each request gets one final, and each question its verdict, before the caller's time is over;
-- one attempt out at most: the next route goes out behind the end, or the withdrawal, of the last, on one
-  ordered stream, and not before the release wait is over;
-- one end for each attempt that was ordered, matched to it, whatever the front reports or leaves out;
-- the withdrawal is said before the module hears of a time-out;
-- a route is of use for a short time only, so that the front's first byte to a server that drains keeps the
-  drain rule even when the withdrawal is lost.
+- each request gets one final verdict, and each question a verdict, before the caller's deadline;
+- at most one attempt is in flight: the next route is sent after the end or the withdrawal of the previous
+  one, on the same ordered stream, and not before the release wait is over;
+- each ordered attempt has exactly one end, matched to it, whatever the front reports or omits;
+- a withdrawal is sent before the module is notified of a timeout;
+- a route is valid for a short time only, so that the front's first byte to a draining server keeps the drain
+  rule even when the withdrawal is lost.
 
     PENDING --route--> ROUTED --stands--> STANDS --over--> closed
        ^  \\               |  \\
@@ -48,48 +49,48 @@
 )
 from martentide.interface import CallClass, Ending, Report, ServerEntry, ServerState
 
-MAX_TIME_LEFT_MS = 600_000.0  # ms: a time left beyond it is taken for the class's give-up time
+MAX_TIME_LEFT_MS = 600_000.0  # a longer time left is replaced by the class's give-up time
 NOT_EXECUTED_ENDINGS = (Ending.FULL, Ending.UNREACHABLE, Ending.NOT_SENT)
 RELEASE_WAIT_ENDINGS = (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED)
 
 
 class FrontError(ValueError):
-    """What a front said breaks the protocol: its stream is closed. The text says what was found."""
+    """A message of the front violates the protocol; its stream is closed. The text says what was found."""
 
 
 @dataclass(frozen=True, slots=True)
 class LifecycleSettings:
-    """Times of the lifecycle in ms, from the extras file; ``single``: one attempt for each request."""
-
-    verdict_margin: float = 20.0  # before the caller's time is over, the last final goes out
-    margin_share: float = 0.2  # of the time left, where that is less
-    report_margin: float = 40.0  # for the last attempt's outcome and its final to travel
-    valid_for: float = 1_000.0  # a route may be begun so long; below the drain rule's grace
-    lease_grace: float = 250.0  # beyond its patience, for an attempt's outcome to come
-    standing_expiry: float = 8_000.0  # after a front is lost, its standing calls are counted so long
-    release_wait: float = 200.0  # after a timed-out, cut or cancelled attempt
+    """Times of the lifecycle in ms, from the extras file; ``single_attempt``: one attempt per request."""
+
+    verdict_margin: float = 20.0  # time before the caller's deadline at which the final verdict is sent
+    margin_share: float = 0.2  # share of the time left that caps verdict_margin
+    report_margin: float = 40.0  # time for the last attempt's outcome and its final verdict to be transmitted
+    valid_for: float = 1_000.0  # time in which a route may be used; shorter than the grace of the drain rule
+    lease_grace: float = 250.0  # time beyond an attempt's patience in which its outcome may still arrive
+    standing_expiry: float = 8_000.0  # time for which the standing calls of a lost front stay counted
+    release_wait: float = 200.0  # wait after a timed-out, cut or cancelled attempt
     max_attempts: int = 5
     single_attempt: bool = False
 
 
-# ---- from the dispatcher, the list, the stream and the timers ---------------------------------------------
+# ---- events of the dispatcher, the server list, the stream and the timers ---------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Carry:
-    """The module sends the call's set-up: attempt ``attempt`` at ``server``."""
+    """The module orders attempt ``attempt`` of the call at ``server``; ``patience`` is in ms."""
 
     key: int
     ref: int
     attempt: int
     server: str
     patience: float
-    held: bool = False  # not the first word of the module on the question
+    held: bool = False  # not decided in the event that brought the question
 
 
 @dataclass(frozen=True, slots=True)
 class TakeBack:
-    """An attempt is withdrawn; ``hang_up``: also if it stands."""
+    """The module withdraws an attempt; ``hang_up``: even if the call stands."""
 
     key: int
     ref: int
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decided:
-    """The final answer of the module: refused with a hold-off in ms, or failed (None)."""
+    """The module's final verdict: refused with a hold-off in ms, or failed (None)."""
 
     key: int
     hold_off: float | None
@@ -108,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A server of the list and its address."""
+    """An entry of the server list and the server's address."""
 
     entry: ServerEntry
     address: str
@@ -116,19 +117,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChanged:
+    """The server list changed; ``servers`` holds the changed entries."""
+
     servers: tuple[ListedServer, ...]
 
 
 class Stream(Enum):
-    BROKEN = "broken"  # the stream ended; the front may come back within its lease
+    """What happened to the front's stream."""
+
+    BROKEN = "broken"  # the stream ended; the front may resume the session within its lease
     RESUMED = "resumed"
-    EXPIRED = "expired"  # it did not
-    CLOSING = "closing"  # the proxy ends
+    EXPIRED = "expired"  # the lease ended without a new stream
+    CLOSING = "closing"  # the proxy shuts down
 
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """A timer that ``Wake`` asked for."""
+    """A timer set by ``SetTimer`` has expired."""
 
     key: int
     kind: str
@@ -142,12 +147,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send a message to the front."""
+
     message: ToFront
 
 
 @dataclass(frozen=True, slots=True)
 class NewCall:
-    """A new call for the module; ``time_left`` counts from ``at``."""
+    """Offer a new call to the module; ``time_left`` (ms) counts from ``at``."""
 
     key: int
     call_class: str
@@ -159,14 +166,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClosed:
-    """The call is closed here: nothing more is owed for it."""
+    """The request is closed; the module has to send no further verdict for it."""
 
     key: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Feed ``Due(key, kind)`` at ``at``; it takes the place of an earlier one of that key and kind."""
+    """Deliver ``Due(key, kind)`` at ``at``; replaces an earlier timer with the same key and kind."""
 
     key: int
     kind: str
@@ -175,6 +182,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelTimer:
+    """Cancel the timer with this key and kind."""
+
     key: int
     kind: str
 
@@ -183,6 +192,8 @@
 
 
 class State(Enum):
+    """State of an open request."""
+
     PENDING = "pending"
     ROUTED = "routed"
     STANDS = "stands"
@@ -190,29 +201,29 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request that is not closed."""
+    """One open request."""
 
-    key: int  # unique in the program
-    request_id: int  # the front's own number
+    key: int  # unique in the process
+    request_id: int  # number given by the front
     class_settings: CallClass
-    terms: LifecycleSettings  # those it was asked under: they hold to its end
-    cutoff: float  # the last final goes out by then
+    terms: LifecycleSettings  # in force when the request was asked; kept until it is closed
+    cutoff: float  # time at which the final verdict is sent at the latest
     asked_at: float
     state: State = State.PENDING
     ref: int = -1
-    attempt: int = -1  # the last one that was ordered
+    attempt: int = -1  # the last one ordered
     attempts: int = 0
     server: str = ""
     routed_at: float = 0.0
     lease: float = 0.0
     not_before: float = 0.0
     may_have_run: bool = False
-    deferred_order: Carry | None = None  # a route that waits for the release
+    deferred_order: Carry | None = None  # an order held until the release wait is over
     timers: set[str] = field(default_factory=set)
 
 
 class Ledger:
-    """All requests of one front. ``keys`` hands out numbers that no other ledger of the program uses."""
+    """The open requests of one front. ``keys`` yields numbers that no other ledger of the process uses."""
 
     def __init__(
         self,
@@ -233,7 +244,10 @@
         self.effects: list[Effect] = []
 
     def handle(self, now: float, event: Event) -> list[Effect]:
-        """What one event leads to. Raises FrontError; the effects so far are then in ``effects``."""
+        """Process one event and return its effects.
+
+        Raises FrontError; ``effects`` then holds the effects produced so far.
+        """
         self.effects = []
         match event:
             case Ask():
@@ -262,21 +276,21 @@
 
     def _on_ask(self, now: float, ask: Ask) -> None:
         if ask.request <= self.last_request:
-            # Guards against two verdicts under one number: which is whose could not be told.
+            # Two verdicts under one number could not be told apart.
             raise FrontError(f"request {ask.request} after request {self.last_request}: numbers must grow")
         self.last_request = ask.request
         self.counts["asked"] += 1
-        kind = self.classes.get(ask.call_class)
-        if kind is None:
+        class_settings = self.classes.get(ask.call_class)
+        if class_settings is None:
             self._send(Failed(ask.request, Why.UNKNOWN_CLASS))
             return
-        left = kind.deadline if ask.time_left is None else ask.time_left
-        if not isfinite(left) or left < 0 or ask.first_choice < -1:
+        time_left = class_settings.deadline if ask.time_left is None else ask.time_left
+        if not isfinite(time_left) or time_left < 0 or ask.first_choice < -1:
             self._send(Failed(ask.request, Why.BAD_REQUEST))
             return
-        if left > MAX_TIME_LEFT_MS:
-            left = kind.deadline
-        cutoff = ask.at + left - min(self.terms.verdict_margin, self.terms.margin_share * left)
+        if time_left > MAX_TIME_LEFT_MS:
+            time_left = class_settings.deadline
+        cutoff = ask.at + time_left - min(self.terms.verdict_margin, self.terms.margin_share * time_left)
         if now >= cutoff:
             self.counts["refused_deadline"] += 1
             self._send(Refused(ask.request, 0.0, Why.DEADLINE))
@@ -284,55 +298,65 @@
         if self.closing:
             self._send(Refused(ask.request, 0.0, Why.CLOSING))
             return
-        denied = self.admission.admit(self.front, kind.worth, now)
-        if denied is not None:
-            self._send(Refused(ask.request, denied.retry_after, denied.why))
+        rejection = self.admission.admit(self.front, class_settings.worth, now)
+        if rejection is not None:
+            self._send(Refused(ask.request, rejection.retry_after, rejection.why))
             return
-        came = ask.at if ask.received_at is None else ask.received_at
-        request = Request(next(self.keys), ask.request, kind, self.terms, cutoff, came)
+        received_at = ask.at if ask.received_at is None else ask.received_at
+        request = Request(next(self.keys), ask.request, class_settings, self.terms, cutoff, received_at)
         self.requests[request.key] = self.by_request_id[request.request_id] = request
         self._set_timer(request, "cutoff", cutoff)
         number = ask.number or ""
-        self.effects.append(NewCall(request.key, kind.name, number, left, ask.first_choice, ask.at))
+        self.effects.append(
+            NewCall(request.key, class_settings.name, number, time_left, ask.first_choice, ask.at)
+        )
 
     def _on_carry(self, now: float, order: Carry) -> None:
         request = self.requests.get(order.key)
-        place = self.servers.get(order.server)
-        if request is None or request.state is not State.PENDING or place is None:
+        listed = self.servers.get(order.server)
+        if request is None or request.state is not State.PENDING or listed is None:
             self._end_not_sent(
                 order
-            )  # it was closed as the order was on its way, or the server left the list
+            )  # the request was closed before the order arrived, or the server left the list
             return
         request.ref = order.ref
-        if request.attempts >= (1 if request.terms.single_attempt else request.terms.max_attempts) or not self.connected:
+        if (
+            request.attempts >= (1 if request.terms.single_attempt else request.terms.max_attempts)
+            or not self.connected
+        ):
             self._end_not_sent(order)
             return
         if now < request.not_before:
             request.deferred_order = order
             self._set_timer(request, "release", request.not_before)
             return
-        # Reported as given up so early that the final still reaches the caller in time.
+        # The attempt must end early enough for the final verdict to reach the caller in time.
         patience = min(order.patience, request.cutoff - self.terms.report_margin - now)
-        if patience < 1.0 or place.entry.state is not ServerState.OPEN:
+        if patience < 1.0 or listed.entry.state is not ServerState.OPEN:
             self._end_not_sent(order)
             return
-        request.state, request.attempt, request.server, request.routed_at = State.ROUTED, order.attempt, order.server, now
+        request.state, request.attempt, request.server, request.routed_at = (
+            State.ROUTED,
+            order.attempt,
+            order.server,
+            now,
+        )
         request.attempts += 1
         request.lease = now + patience
         self._record_verdict(request, now)
         self._set_timer(request, "lease", min(request.lease + self.terms.lease_grace, request.cutoff))
         self.counts["routed"] += 1
-        self._send(self._build_route(request, place, now, order.held))
+        self._send(self._build_route(request, listed, now, order.held))
 
-    def _build_route(self, request: Request, place: ListedServer, now: float, held: bool = False) -> Route:
+    def _build_route(self, request: Request, listed: ListedServer, now: float, held: bool = False) -> Route:
         patience = request.lease - now
         valid = min(self.terms.valid_for, patience, request.routed_at + self.terms.valid_for - now)
         return Route(
             request=request.request_id,
             attempt=request.attempt,
             server=request.server,
-            address=place.address,
-            zone=place.entry.zone,
+            address=listed.address,
+            zone=listed.entry.zone,
             patience=patience,
             valid_for=max(0.0, valid),
             held=held,
@@ -346,7 +370,7 @@
     def _on_decided(self, now: float, decided: Decided) -> None:
         request = self.requests.get(decided.key)
         if request is None or request.state is not State.PENDING:
-            return  # closed meanwhile, by word of the front or by the clock
+            return  # closed in the meantime, by the front or by a timer
         self._record_verdict(request, now)
         self._close(request)
         waited = max(0.0, now - request.asked_at)
@@ -356,7 +380,7 @@
             self._send(Refused(request.request_id, decided.hold_off, Why.DECIDED, decided.held, waited))
 
     def _record_verdict(self, request: Request, now: float) -> None:
-        """The open question is answered."""
+        """Record the verdict on the pending question with the admission control."""
         self.admission.decided(self.front, now - request.asked_at)
 
     # ---- what the front reports ---------------------------------------------------------------------------
@@ -386,10 +410,15 @@
         self._end_attempt(request, now, outcome.ending, outcome, lag)
 
     def _end_attempt(
-        self, request: Request, now: float, ending: Ending, said: Outcome | None = None, lag: float | None = None
+        self,
+        request: Request,
+        now: float,
+        ending: Ending,
+        outcome: Outcome | None = None,
+        lag: float | None = None,
     ) -> None:
-        """The routed attempt ended without standing: the module hears, and the question is open anew."""
-        if ending is Ending.DELIVERED:  # over before it was said to stand: nothing shows that it stood
+        """End a routed attempt that does not stand: notify the module and make the request pending again."""
+        if ending is Ending.DELIVERED:  # the end came without a report that the call stands: count it as cut
             ending = Ending.CUT
         if ending in RELEASE_WAIT_ENDINGS:
             request.not_before = now + request.terms.release_wait
@@ -397,19 +426,19 @@
         request.state, request.asked_at = State.PENDING, now
         self._cancel_timer(request, "lease")
         self.admission.reopened(self.front)
-        over = Ended(
+        ended = Ended(
             request.ref,
             request.attempt,
             request.server,
             ending,
-            said.lines_full if said is not None else False,
+            outcome.lines_full if outcome is not None else False,
             now - request.routed_at if lag is None else lag,
-            said.report if said is not None else None,
+            outcome.report if outcome is not None else None,
         )
         if self.terms.single_attempt or not self.connected:
-            # No second attempt can be made: the call is closed first, so that the module orders none.
+            # No further attempt is possible; the call is closed first, so that the module does not order one.
             self.effects.append(CallClosed(request.key))
-            self.effects.append(over)
+            self.effects.append(ended)
             self._record_verdict(request, now)
             self._close(request)
             if request.may_have_run:
@@ -417,10 +446,13 @@
             else:
                 self._send(Refused(request.request_id, 0.0, Why.DECIDED))
             return
-        self.effects.append(over)
+        self.effects.append(ended)
 
     def _on_late_outcome(self, outcome: Outcome, request: Request | None) -> None:
-        """A report of an attempt that is not out: counted, and passed over. What stands must be released."""
+        """Count and ignore a report on an attempt that is not in flight.
+
+        A call that stands by such a report is withdrawn, so that the front releases it.
+        """
         if outcome.request > self.last_request:
             raise FrontError(f"outcome of request {outcome.request}, which was never asked")
         if request is not None and outcome.attempt > request.attempt:
@@ -436,7 +468,7 @@
         if request is None:
             if cancel.request > self.last_request:
                 raise FrontError(f"cancel of request {cancel.request}, which was never asked")
-            self.counts["late_cancels"] += 1  # it crossed the final, which stays the only one
+            self.counts["late_cancels"] += 1  # it crossed the final verdict, which remains the only one
             return
         if request.state is State.STANDS:
             self._end_standing(request, Ending.DELIVERED, None)
@@ -463,7 +495,7 @@
         self.counts["over"] += 1
         self.effects.append(Ended(request.ref, request.attempt, request.server, ending, False, 0.0, report))
 
-    # ---- withdrawals, time-outs, the list -----------------------------------------------------------------
+    # ---- withdrawals, timeouts, the server list -----------------------------------------------------------
 
     def _on_take_back(self, now: float, item: TakeBack) -> None:
         request = self.requests.get(item.key)
@@ -480,7 +512,7 @@
             self._send(Release(request.request_id, Why.DECIDED))
             self._end_standing(request, Ending.CANCELLED, None)
         elif request.state is State.ROUTED and (item.hang_up or not self.terms.single_attempt):
-            # (A front of one attempt could not make another: there the attempt goes on to its own end.)
+            # A front limited to one attempt could not make another, so there the attempt runs to its end.
             self._send(Withdrawn(request.request_id, request.attempt, False, Why.DECIDED))
             self._end_attempt(request, now, Ending.CANCELLED)
 
@@ -503,7 +535,7 @@
                 self._end_standing(request, Ending.CUT, None)
 
     def _on_cutoff(self, request: Request, now: float) -> None:
-        """The caller's time is nearly over: the final goes out, whatever the module still ponders."""
+        """Send the final verdict just before the caller's deadline, even if the module has not decided."""
         self.counts["refused_deadline"] += 1
         routed = request.state is State.ROUTED
         if routed:
@@ -515,7 +547,7 @@
             self._send(Refused(request.request_id, 0.0, Why.DEADLINE))
 
     def _abandon(self, request: Request, now: float, ending: Ending) -> None:
-        """Close a request that does not stand; the attempt that is out, if any, ends so."""
+        """Close a request that does not stand; an attempt in flight ends with ``ending``."""
         self.effects.append(CallClosed(request.key))
         if request.state is State.ROUTED:
             lag = now - request.routed_at
@@ -534,10 +566,10 @@
             self._cancel_timer(request, kind)
 
     def _on_list_changed(self, now: float, event: ListChanged) -> None:
-        """Withdraw what the list's word makes unusable, before the module routes anew."""
+        """Withdraw the attempts that the changed list makes unusable, before the module routes again."""
         gone, drains, restarted = set(), set(), {}
-        for place in event.servers:
-            name, entry = place.entry.name, place.entry
+        for listed in event.servers:
+            name, entry = listed.entry.name, listed.entry
             known = self.servers.get(name)
             if entry.state is ServerState.GONE:
                 self.servers.pop(name, None)
@@ -547,7 +579,7 @@
                 drains.add(name)
             elif known is not None and (entry.started or 0.0) > (known.entry.started or 0.0):
                 restarted[name] = entry.started or 0.0
-            self.servers[name] = place
+            self.servers[name] = listed
         if not (gone or drains or restarted):
             return
         for request in list(self.requests.values()):
@@ -559,7 +591,8 @@
                 self._send(Withdrawn(request.request_id, request.attempt, False, Why.SERVER_GONE))
                 self._end_attempt(request, now, Ending.CUT)
             elif request.state is State.ROUTED and request.server in drains:
-                # Used or not, only the front can tell; it answers "not sent" if not, and the rest goes on.
+                # Only the front knows whether the route was used: it reports "not sent" if it was not;
+                # attempts that have begun continue.
                 self.counts["withdrawn_drain"] += 1
                 self._send(Withdrawn(request.request_id, request.attempt, True, Why.DRAINING))
 
@@ -569,22 +602,28 @@
         match event:
             case Stream.BROKEN:
                 self.connected = False
-                for request in [request for request in self.requests.values() if request.state is State.PENDING]:
+                for request in [
+                    request for request in self.requests.values() if request.state is State.PENDING
+                ]:
                     self.counts["broken_pending"] += 1
                     self._abandon(request, now, Ending.CUT)
             case Stream.RESUMED:
                 self.connected = True
-                routed = sorted(request.request_id for request in self.requests.values() if request.state is State.ROUTED)
-                stand = sorted(request.request_id for request in self.requests.values() if request.state is State.STANDS)
+                routed = sorted(
+                    request.request_id for request in self.requests.values() if request.state is State.ROUTED
+                )
+                stand = sorted(
+                    request.request_id for request in self.requests.values() if request.state is State.STANDS
+                )
                 self._send(Welcomed(tuple(routed), tuple(stand)))
                 for request in self.requests.values():
-                    place = self.servers.get(request.server)
-                    if request.state is not State.ROUTED or place is None:
+                    listed = self.servers.get(request.server)
+                    if request.state is not State.ROUTED or listed is None:
                         continue
-                    if place.entry.state is ServerState.OPEN:
+                    if listed.entry.state is ServerState.OPEN:
                         self._send(
-                            self._build_route(request, place, now)
-                        )  # once more, as its first copy may be lost
+                            self._build_route(request, listed, now)
+                        )  # sent again, because the first copy may have been lost
                     else:
                         self._send(Withdrawn(request.request_id, request.attempt, True, Why.DRAINING))
             case Stream.EXPIRED:
@@ -597,8 +636,10 @@
                         self._abandon(request, now, Ending.CUT)
             case Stream.CLOSING:
                 self.closing = True
-                for request in [request for request in self.requests.values() if request.state is State.STANDS]:
-                    # They stand without this program, which follows them no longer.
+                for request in [
+                    request for request in self.requests.values() if request.state is State.STANDS
+                ]:
+                    # Standing calls do not depend on this process, which stops tracking them.
                     self._end_standing(request, Ending.DELIVERED, None)
 
     # ---- effects ------------------------------------------------------------------------------------------
--- a/martentide/extproc/messages.py
+++ b/martentide/extproc/messages.py
@@ -1,8 +1,9 @@
-"""What a front proxy says and is told, whatever service carries it: types only.
+"""Messages between a front proxy and the decision service, independent of the transport; types only.
 
-A *front* asks about requests. It is told a *route* (an attempt to carry out) or one of the four finals:
-refused, failed, cancelled, stands. Each request gets exactly one final while its front is in reach, and at
-most one of its attempts is out. Times and durations are milliseconds; ``now`` and ``at`` are Unix time.
+A *front* asks about requests. The answer is a *route* (an attempt to carry out) or one of the four final
+verdicts: refused, failed, cancelled, stands. Each request gets exactly one final while its front is
+connected, and at most one of its attempts is in flight. Times and durations are in milliseconds; ``now`` and
+``at`` are Unix times.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
     FRONT_RATE = "front-rate"  # over this front's rate
     FRONT_BUSY = "front-busy"  # over this front's open requests
     BUSY = "busy"  # over what all fronts together may have open
-    CLOSING = "closing"  # the proxy ends
-    DRAINING = "draining"  # the server drains: an unused route is taken back
+    CLOSING = "closing"  # the proxy shuts down
+    DRAINING = "draining"  # the server drains: an unused route is withdrawn
     SERVER_GONE = "server-gone"
-    PATIENCE = "patience"  # the attempt's time is over and no outcome came
-    LATE = "late"  # the report concerns an attempt that is over
+    PATIENCE = "patience"  # the attempt timed out without an outcome
+    LATE = "late"  # the report concerns an attempt that has ended
 
 
 # ---- from a front ---------------------------------------------------------------------------------------
@@ -35,20 +36,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """What to do about a request? ``time_left`` None: the class's give-up time; ``first_choice`` -1: none."""
+    """A question about a request. ``time_left`` None: the class's give-up time; ``first_choice`` -1: none."""
 
     request: int
     call_class: str
     number: str | None
     time_left: float | None
     first_choice: int
-    at: float  # the time left counts from then
-    received_at: float | None = None  # when it was read here; None: at ``at``
+    at: float  # time from which ``time_left`` counts
+    received_at: float | None = None  # None: the same as ``at``
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What came of an attempt. ``ending`` None: it stands. ``lag`` ms from its first byte."""
+    """The outcome of an attempt. ``ending`` None: the call stands. ``lag``: ms since its first byte."""
 
     request: int
     attempt: int
@@ -60,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """The front's caller has left; an attempt that is out has been given up by the front."""
+    """The front's caller has left; the front has given up the attempt in flight, if any."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Over:
-    """A request that stood is over; ``cut``: not by its own end."""
+    """A standing call has ended; ``cut``: it was cut off."""
 
     request: int
     cut: bool
@@ -82,7 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Set up at ``server`` now: first byte within ``valid_for``, given up ``patience`` after this came."""
+    """Attempt the set-up at ``server``: first byte within ``valid_for`` ms, give-up after ``patience`` ms.
+
+    Both times count from the receipt of this message.
+    """
 
     request: int
     attempt: int
@@ -91,13 +95,13 @@
     zone: str
     patience: float
     valid_for: float
-    held: bool = False  # the decision module had it wait on purpose
-    waited: float = 0.0  # ms from the question to this
+    held: bool = False  # the decision module delayed the verdict on purpose
+    waited: float = 0.0  # ms from the question to this verdict
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Final: nothing of it may have run. ``retry_after`` 0: no advice."""
+    """Final: no attempt can have been executed. ``retry_after`` in ms; 0: no advice."""
 
     request: int
     retry_after: float
@@ -108,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Final: it is not tried again, and an earlier attempt may have run."""
+    """Final: no further attempt is made, and an earlier attempt may have been executed."""
 
     request: int
     why: Why
@@ -118,22 +122,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """Final: the cancel was heard before any other final."""
+    """Final: the cancel was received before any other final was sent."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Standing:
-    """Final: the outcome 'stands' was heard in time."""
+    """Final: the outcome 'stands' was received in time."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """Give an attempt up. ``if_unused``: only if nothing of it was sent yet, and then report it as not sent;
-    otherwise nothing need be reported, and should it stand, it must be released."""
+    """Give up an attempt.
+
+    With ``if_unused``, only if nothing of it has been sent; the front then reports it as not sent. Without
+    it, nothing has to be reported, and a call that stands must be released.
+    """
 
     request: int
     attempt: int
@@ -143,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """A request that stood is over at its server."""
+    """A standing call has ended at its server."""
 
     request: int
     why: Why
@@ -151,7 +158,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Welcomed:
-    """First on each stream: the requests that are routed, and that stand; any other is closed."""
+    """First message on each stream: the routed and the standing requests; all others are closed."""
 
     routed: tuple[int, ...]
     standing: tuple[int, ...]
--- a/martentide/extproc/sessions.py
+++ b/martentide/extproc/sessions.py
@@ -1,9 +1,9 @@
-"""Sessions of fronts: who may go on where a broken stream left off, and for how long.
+"""Sessions of fronts: which front may resume after its stream broke, and for how long.
 
-A session outlives its stream by a lease. Within it the front may come back with the session's token and goes
-on with what is routed and what stands; a token that is unknown, expired or another front's is refused. One
-stream at a time: a newer one takes the place of the older, which may be a half-open connection that shows no
-end. Pure: the clock and the source of tokens are handed in.
+A session outlives its stream by a lease. Within the lease, the front may resume with the session's token and
+keeps its routed and standing requests; a token that is unknown, expired or another front's is refused. A
+session has one stream at a time: a newer stream replaces the older one, which may be a half-open connection
+whose end is not noticed. Without I/O: the caller passes the clock and the source of tokens.
 """
 
 from __future__ import annotations
@@ -17,15 +17,17 @@
 
 
 class Phase(Enum):
+    """Phase of a session."""
+
     CONNECTED = "connected"
-    BROKEN = "broken"  # within its lease
+    BROKEN = "broken"  # without a stream, within its lease
     EXPIRED = "expired"  # only its standing calls are still counted
 
 
 class Refusal(Enum):
-    """Why a hello gets no session."""
+    """Why a Hello is refused."""
 
-    UNKNOWN_SESSION = "unknown-session"  # also one whose lease is over
+    UNKNOWN_SESSION = "unknown-session"  # also a session whose lease has ended
     ANOTHER_FRONT = "another-front"
     TOO_MANY = "too-many-sessions"
     BAD_NAME = "bad-name"
@@ -34,25 +36,27 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionSettings:
-    """``lease`` ms that a session outlives its stream; ``most`` sessions that are not expired."""
+    """``lease``: ms by which a session outlives its stream; ``max_sessions``: limit of unexpired sessions."""
 
     lease: float = 2_000.0
     max_sessions: int = 64
-    max_sessions_per_front: int = 8  # of one front's name
+    max_sessions_per_front: int = 8  # unexpired sessions under one front's name
 
 
 @dataclass(slots=True)
 class Session:
+    """A front's session."""
+
     number: int
     front: str
     token: bytes
     phase: Phase = Phase.CONNECTED
-    stream: int = 0  # the stream that speaks for it: one with a lower number has been replaced
+    stream: int = 0  # number of the current stream; streams with lower numbers have been replaced
     broken_at: float = 0.0
 
 
 class Sessions:
-    """All sessions of the program."""
+    """All sessions of the process."""
 
     def __init__(self, terms: SessionSettings, tokens: Callable[[int], bytes]) -> None:
         self.terms, self.tokens = terms, tokens
@@ -60,10 +64,13 @@
         self.opened = 0
 
     def open(self, front: str) -> Session | Refusal:
+        """Open a session for a front."""
         if not 1 <= len(front) <= 64 or not front.isprintable() or " " in front:
             return Refusal.BAD_NAME
-        live = [one for one in self.by_token.values() if one.phase is not Phase.EXPIRED]
-        same = [one for one in live if one.front == front]
+        live = [
+            live_session for live_session in self.by_token.values() if live_session.phase is not Phase.EXPIRED
+        ]
+        same = [live_session for live_session in live if live_session.front == front]
         if len(live) >= self.terms.max_sessions or len(same) >= self.terms.max_sessions_per_front:
             return Refusal.TOO_MANY
         self.opened += 1
@@ -72,7 +79,7 @@
         return session
 
     def resume(self, front: str, token: bytes, now: float) -> Session | Refusal:
-        """The session that goes on, over a new stream; its number tells the old one that it is replaced."""
+        """Resume a session on a new stream; the incremented stream number marks the old one as replaced."""
         session = next((s for t, s in self.by_token.items() if hmac.compare_digest(t, token)), None)
         if session is None or session.phase is Phase.EXPIRED:
             return Refusal.UNKNOWN_SESSION
@@ -85,19 +92,19 @@
         return session
 
     def stream_ended(self, session: Session, stream: int, now: float) -> float | None:
-        """The stream ended: when the lease ends, or None where another stream speaks for the session."""
+        """Record the end of a stream; returns when the lease ends, or None if the stream was replaced."""
         if session.stream != stream or session.phase is not Phase.CONNECTED:
             return None
         session.phase, session.broken_at = Phase.BROKEN, now
         return now + self.terms.lease
 
     def expire(self, session: Session, stream: int) -> bool:
-        """The lease is over: whether the session is (not where it has been resumed since)."""
+        """Expire the session at the end of its lease; returns False if it has been resumed since."""
         if session.stream != stream or session.phase is not Phase.BROKEN:
             return False
         session.phase = Phase.EXPIRED
         return True
 
     def forget(self, session: Session) -> None:
-        """Nothing is counted for it any more."""
+        """Remove a session for which no request is open any more."""
         self.by_token.pop(session.token, None)
--- a/martentide/extproc/wire.py
+++ b/martentide/extproc/wire.py
@@ -1,4 +1,4 @@
-"""Between the frames of ``martentide.decisions.v1`` and the types of ``messages``; pure."""
+"""Conversion between the frames of ``martentide.decisions.v1`` and the types of ``messages``; no I/O."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 )
 from martentide.interface import Ending, Report, ServerEntry, ServerState
 
-MAX_TRANSIT_MS = 10_000.0  # ms
-MAX_TEXT_CHARS = 256  # characters of a class, number or report
+MAX_TRANSIT_MS = 10_000.0
+MAX_TEXT_CHARS = 256  # of a class, number or report
 ENDINGS: dict[int, Ending | None] = {
     pb.STANDS: None,
     pb.FULL: Ending.FULL,
@@ -43,7 +43,10 @@
 
 
 def decode_front_message(message: pb.FrontMessage, at: float) -> FromFront:
-    """One message of a front, but for Hello; raises CodecError for one that is none of these."""
+    """Decode a message of a front other than Hello; raises CodecError for any other kind.
+
+    ``at``: Unix time in ms at which the message was received.
+    """
     kind = message.WhichOneof("kind")
     if kind == "ask":
         ask = message.ask
@@ -57,16 +60,16 @@
             received_at=at,
         )
     if kind == "outcome":
-        said = message.outcome
-        if said.ending not in ENDINGS:
-            raise CodecError(f"outcome of request {said.request}: ending {said.ending}")
+        outcome = message.outcome
+        if outcome.ending not in ENDINGS:
+            raise CodecError(f"outcome of request {outcome.request}: ending {outcome.ending}")
         return Outcome(
-            request=said.request,
-            attempt=said.attempt,
-            ending=ENDINGS[said.ending],
-            lag=float(said.lag_ms),
-            lines_full=said.lines_full,
-            report=report_or_none(said.report),
+            request=outcome.request,
+            attempt=outcome.attempt,
+            ending=ENDINGS[outcome.ending],
+            lag=float(outcome.lag_ms),
+            lines_full=outcome.lines_full,
+            report=report_or_none(outcome.report),
         )
     if kind == "cancel":
         return Cancel(message.cancel.request)
@@ -75,11 +78,11 @@
     raise CodecError(f"a message of kind {kind}")
 
 
-def _sent_at(ask: pb.Ask, came: float) -> float:
-    """When the question was written, where the clocks agree so far that it can be believed."""
-    if ask.HasField("sent_unix_ms") and 0.0 <= came - ask.sent_unix_ms <= MAX_TRANSIT_MS:
+def _sent_at(ask: pb.Ask, received_at: float) -> float:
+    """Time at which the question was sent, or of receipt if the front's clock is too far off to be used."""
+    if ask.HasField("sent_unix_ms") and 0.0 <= received_at - ask.sent_unix_ms <= MAX_TRANSIT_MS:
         return float(ask.sent_unix_ms)
-    return came
+    return received_at
 
 
 def _bounded_text(text: str, what: str) -> str:
@@ -89,7 +92,7 @@
 
 
 def report_or_none(text: str) -> Report | None:
-    """A server's load report; one that can't be read tells nothing, and the rest of the message stands."""
+    """Parse a server's load report; an unreadable one is ignored, and the rest of the message stays valid."""
     if not text or len(text) > MAX_TEXT_CHARS:
         return None
     try:
@@ -99,7 +102,10 @@
 
 
 def encode_front_message(message: FromFront, report: str = "", sent: float | None = None) -> pb.FrontMessage:
-    """One message of a front; ``report``: the server's report as it came; ``sent``: Unix ms of a question."""
+    """Encode a message of a front.
+
+    ``report``: the server's load report, unparsed; ``sent``: Unix time in ms at which a question is sent.
+    """
     match message:
         case Ask():
             ask = pb.Ask(request=message.request, call_class=message.call_class, number=message.number or "")
@@ -128,6 +134,7 @@
 
 
 def encode_proxy_message(message: ToFront) -> pb.ProxyMessage:
+    """Encode a message to a front; raises TypeError for Welcomed, which needs the session's token."""
     match message:
         case Route():
             return pb.ProxyMessage(
@@ -176,13 +183,13 @@
                 )
             )
         case Welcomed():
-            raise TypeError("the session's token goes with a welcome")
+            raise TypeError("a welcome needs the session's token and is encoded by the session")
         case Release():
             return pb.ProxyMessage(release=pb.Release(request=message.request, why=message.why.value))
 
 
 def decode_proxy_message(message: pb.ProxyMessage) -> ToFront | None:
-    """One message to a front; None for a change of the list, a go-away, and kinds yet unknown."""
+    """Decode a message to a front; None for a server change, a go-away and unknown kinds."""
     kind = message.WhichOneof("kind")
     if kind == "route":
         route = message.route
@@ -199,9 +206,9 @@
         )
     if kind == "refused":
         refused = message.refused
-        after = float(refused.retry_after_ms)
+        retry_after = float(refused.retry_after_ms)
         waited = refused.waited_us / 1000.0
-        return Refused(refused.request, after, _reason(refused.why), refused.held, waited)
+        return Refused(refused.request, retry_after, _reason(refused.why), refused.held, waited)
     if kind == "failed":
         failed = message.failed
         return Failed(failed.request, _reason(failed.why), failed.held, failed.waited_us / 1000.0)
@@ -210,8 +217,8 @@
     if kind == "stands":
         return Standing(message.stands.request)
     if kind == "withdrawn":
-        back = message.withdrawn
-        return Withdrawn(back.request, back.attempt, back.if_unused, _reason(back.why))
+        withdrawn = message.withdrawn
+        return Withdrawn(withdrawn.request, withdrawn.attempt, withdrawn.if_unused, _reason(withdrawn.why))
     if kind == "release":
         return Release(message.release.request, _reason(message.release.why))
     if kind == "welcome":
@@ -220,7 +227,7 @@
 
 
 def _reason(text: str) -> Why:
-    """A reason; one that a newer proxy may have counts as the decision's."""
+    """Decode a reason code; an unknown one, as of a newer proxy, is treated as DECIDED."""
     try:
         return Why(text)
     except ValueError:
@@ -228,5 +235,6 @@
 
 
 def encode_server_change(entry: ServerEntry, address: str) -> pb.ProxyMessage:
+    """Encode an entry of the server list."""
     change = pb.ServerChange(server=entry.name, address=address, zone=entry.zone, state=STATES[entry.state])
     return pb.ProxyMessage(server=change)
