--- a/martentide/client/client.py
+++ b/martentide/client/client.py
@@ -179,7 +179,7 @@
         return self
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
     ) -> None:
         await self.close()
 
@@ -267,8 +267,8 @@
         routed = isinstance(call.verdict, Route)
         self.requests.cancel(call.request)
         call.revoked.set()
-        late = Failed(call.request, Why.DEADLINE) if routed else Refused(call.request, 0.0, Why.DEADLINE)
-        call._receive(late)
+        final = Failed(call.request, Why.DEADLINE) if routed else Refused(call.request, 0.0, Why.DEADLINE)
+        call._receive(final)
         self._flush()
 
     async def carry(
@@ -285,43 +285,45 @@
         proxy withdraws it, and must give the set-up up then; an exception from it counts as an error.
         """
         call = self.ask_nowait(call_class, number, time_left, first_choice)
-        made = 0
+        attempts = 0
         try:
             verdict = await call.next()
             while isinstance(verdict, Route):
                 if not call.begin():
                     verdict = await call.next()
                     continue
-                made += 1
-                done = await self._attempt(call, verdict, attempt)
-                if done is None:  # withdrawn: nothing is reported
+                attempts += 1
+                outcome = await self._attempt(call, verdict, attempt)
+                if outcome is None:  # withdrawn: nothing is reported
                     verdict = await call.next()
                 else:
-                    verdict = await call.report(done)
+                    verdict = await call.report(outcome)
         except asyncio.CancelledError:
             call.cancel()
             raise
-        return Carried(verdict, made, call)
+        return Carried(verdict, attempts, call)
 
     async def _attempt(
         self, call: Call, route: Route, attempt: Callable[[Route], Awaitable[Attempt]]
     ) -> Attempt | None:
-        work = asyncio.ensure_future(attempt(route))
+        attempt_task = asyncio.ensure_future(attempt(route))
         revoked = asyncio.ensure_future(call.revoked.wait())
-        left = route.patience / 1000.0 - (self.loop.time() - call.routed_at)
+        remaining = route.patience / 1000.0 - (self.loop.time() - call.routed_at)
         try:
-            await asyncio.wait((work, revoked), timeout=max(0.0, left), return_when=asyncio.FIRST_COMPLETED)
-            if work.done():
+            await asyncio.wait(
+                (attempt_task, revoked), timeout=max(0.0, remaining), return_when=asyncio.FIRST_COMPLETED
+            )
+            if attempt_task.done():
                 try:
-                    return work.result()
+                    return attempt_task.result()
                 except Exception:
                     return Attempt(Ending.ERROR)
             return None if revoked.done() else Attempt(Ending.TIMED_OUT)
         finally:
-            for task in (work, revoked):
+            for task in (attempt_task, revoked):
                 task.cancel()
             # The give-up is written before the outcome is said, and before any other attempt.
-            await asyncio.gather(work, revoked, return_exceptions=True)
+            await asyncio.gather(attempt_task, revoked, return_exceptions=True)
 
     # ---- the stream ---------------------------------------------------------------------------------------
 
@@ -332,9 +334,9 @@
             self.stream.cancel()  # what was said is settled by the next welcome
 
     async def _run(self) -> None:
-        pause, at = RECONNECT_DELAY_S[0], 0
+        delay, address_index = RECONNECT_DELAY_S[0], 0
         while True:
-            address = self.addresses[at % len(self.addresses)]
+            address = self.addresses[address_index % len(self.addresses)]
             try:
                 async with grpc.aio.insecure_channel(address) as channel:
                     welcomed = await self._run_stream(channel)
@@ -343,10 +345,10 @@
                 if error.code() in SESSION_LOST_CODES:
                     self.token = b""
                 elif not self.token:
-                    at += 1
+                    address_index += 1
             except TimeoutError:
                 welcomed = False
-                at += not self.token
+                address_index += not self.token
             except asyncio.CancelledError:
                 # gRPC raises it also where only the stream was cancelled.
                 task = asyncio.current_task()
@@ -361,9 +363,9 @@
                 return
             self.requests.stream_ended()
             if self.going_away and self.token:
-                self.token, self.going_away, at = b"", False, at + 1
-            pause = RECONNECT_DELAY_S[0] if welcomed else min(RECONNECT_DELAY_S[1], pause * 2.0)
-            await asyncio.sleep(pause * random.uniform(0.5, 1.0))
+                self.token, self.going_away, address_index = b"", False, address_index + 1
+            delay = RECONNECT_DELAY_S[0] if welcomed else min(RECONNECT_DELAY_S[1], delay * 2.0)
+            await asyncio.sleep(delay * random.uniform(0.5, 1.0))
 
     async def _run_stream(self, channel: Any) -> bool:
         """One stream, from Hello to its end."""
@@ -403,26 +405,26 @@
         while True:
             await self.wake.wait()
             self.wake.clear()
-            waiting, self.requests.to_send = self.requests.to_send, []
-            for start in range(0, len(waiting), MAX_MESSAGES_PER_FRAME):
-                part = waiting[start : start + MAX_MESSAGES_PER_FRAME]
-                asked = (
+            unsent, self.requests.to_send = self.requests.to_send, []
+            for start in range(0, len(unsent), MAX_MESSAGES_PER_FRAME):
+                batch = unsent[start : start + MAX_MESSAGES_PER_FRAME]
+                unix_offset = (
                     time.time() * 1000.0 - self.loop.time() * 1000.0
                 )  # from this loop's clock to Unix time
-                some = [
+                encoded = [
                     encode_front_message(
-                        message, report, message.at + asked if isinstance(message, Ask) else None
+                        message, report, message.at + unix_offset if isinstance(message, Ask) else None
                     )
-                    for message, report in part
+                    for message, report in batch
                 ]
                 if self.tap is not None:
-                    for message, _ in part:
+                    for message, _ in batch:
                         self.tap(message)
-                watch = self.loop.call_later(WRITE_TIMEOUT_S, stream.cancel)
+                write_timer = self.loop.call_later(WRITE_TIMEOUT_S, stream.cancel)
                 try:
-                    await stream.write(pb.FrontFrame(messages=some))
+                    await stream.write(pb.FrontFrame(messages=encoded))
                 finally:
-                    watch.cancel()
+                    write_timer.cancel()
             if self.closing:
                 leave = pb.FrontMessage(leave=pb.Leave())
                 await stream.write(pb.FrontFrame(messages=[leave]))
@@ -446,21 +448,21 @@
             if kind == "welcome":
                 self.token, self.lease = message.welcome.session, float(message.welcome.lease_ms)
                 self.servers.clear()
-            said = decode_proxy_message(message)
-            if said is None:
+            decoded = decode_proxy_message(message)
+            if decoded is None:
                 continue
             if self.tap is not None:
-                self.tap(said)
-            for result in self.requests.handle(said, now):
+                self.tap(decoded)
+            for result in self.requests.handle(decoded, now):
                 self._deliver(result)
         self._flush()
 
     def _deliver(self, result: Delivery | Renumbered) -> None:
         if isinstance(result, Renumbered):
-            call = self.calls.pop(result.old, None)
+            call = self.calls.pop(result.old_request, None)
             if call is not None:
-                call.request = result.new
-                self.calls[result.new] = call
+                call.request = result.new_request
+                self.calls[result.new_request] = call
             return
         call = self.calls.get(result.request)
         if call is not None:
--- a/martentide/client/state.py
+++ b/martentide/client/state.py
@@ -64,8 +64,8 @@
 class Renumbered:
     """A question that went down with its stream is asked anew, under another number."""
 
-    old: int
-    new: int
+    old_request: int
+    new_request: int
 
 
 Result = Delivery | Renumbered
@@ -95,10 +95,10 @@
 
     def begin(self, request: int) -> bool:
         """The first byte of the attempt is about to be sent: False where it must not be any more."""
-        one = self.open_requests.get(request)
-        if one is None or one.phase is not Phase.ROUTED:
+        entry = self.open_requests.get(request)
+        if entry is None or entry.phase is not Phase.ROUTED:
             return False
-        one.begun = True
+        entry.begun = True
         return True
 
     def report(
@@ -110,12 +110,12 @@
         report: str = "",
     ) -> Outcome | None:
         """Say what came of the attempt; None where nothing is to be said any more."""
-        one = self.open_requests.get(request)
-        if one is None or one.phase is not Phase.ROUTED:
+        entry = self.open_requests.get(request)
+        if entry is None or entry.phase is not Phase.ROUTED:
             return None
-        outcome = one.outcome = Outcome(request, one.attempt, ending, lag, lines_full)
-        one.phase, one.report = Phase.REPORTED, report
-        one.may_have_run = one.may_have_run or ending not in NOT_EXECUTED_ENDINGS
+        outcome = entry.outcome = Outcome(request, entry.attempt, ending, lag, lines_full)
+        entry.phase, entry.report = Phase.REPORTED, report
+        entry.may_have_run = entry.may_have_run or ending not in NOT_EXECUTED_ENDINGS
         if self.connected:
             self.to_send.append((outcome, report))
         return outcome
@@ -125,8 +125,8 @@
             self.to_send.append((Cancel(request), ""))
 
     def over(self, request: int, cut: bool, report: str = "") -> None:
-        one = self.open_requests.get(request)
-        if one is not None and one.phase is Phase.STANDS:
+        entry = self.open_requests.get(request)
+        if entry is not None and entry.phase is Phase.STANDS:
             del self.open_requests[request]
             if self.connected:
                 self.to_send.append((Over(request, cut), report))
@@ -137,22 +137,22 @@
         if isinstance(message, Welcomed):
             return self._welcomed(message, now)
         request = message.request
-        one = self.open_requests.get(request)
-        if one is None:
+        entry = self.open_requests.get(request)
+        if entry is None:
             self._on_unknown_request(message)
             return []
         match message:
             case Route():
-                return self._route(one, message)
+                return self._route(entry, message)
             case Withdrawn():
-                return self._withdrawn(one, message)
+                return self._withdrawn(entry, message)
             case Standing():
-                if one.phase is not Phase.REPORTED:
+                if entry.phase is not Phase.REPORTED:
                     self.counts["doubled"] += 1
                     return []
-                one.phase = Phase.STANDS
+                entry.phase = Phase.STANDS
             case Refused() | Failed() | Cancelled():
-                if one.phase is Phase.STANDS:
+                if entry.phase is Phase.STANDS:
                     self.counts["doubled"] += 1
                     return []
                 del self.open_requests[request]
@@ -160,34 +160,34 @@
                 del self.open_requests[request]
         return [Delivery(request, message)]
 
-    def _route(self, one: OpenRequest, route: Route) -> list[Result]:
-        if route.attempt == one.attempt:
-            if one.phase is Phase.REPORTED and one.outcome is not None:
-                self.to_send.append((one.outcome, one.report))  # it went down with the last stream
+    def _route(self, entry: OpenRequest, route: Route) -> list[Result]:
+        if route.attempt == entry.attempt:
+            if entry.phase is Phase.REPORTED and entry.outcome is not None:
+                self.to_send.append((entry.outcome, entry.report))  # it went down with the last stream
             self.counts["repeated_routes"] += 1
             return []
-        if one.phase in (Phase.ROUTED, Phase.STANDS):
+        if entry.phase in (Phase.ROUTED, Phase.STANDS):
             # Guards the rule of one attempt at a time against a proxy that forgets it.
             self.counts["two_out"] += 1
             return []
-        one.phase, one.attempt, one.begun, one.outcome = Phase.ROUTED, route.attempt, False, None
+        entry.phase, entry.attempt, entry.begun, entry.outcome = Phase.ROUTED, route.attempt, False, None
         return [Delivery(route.request, route)]
 
-    def _withdrawn(self, one: OpenRequest, back: Withdrawn) -> list[Result]:
-        if back.attempt != one.attempt:
+    def _withdrawn(self, entry: OpenRequest, withdrawn: Withdrawn) -> list[Result]:
+        if withdrawn.attempt != entry.attempt:
             return []
-        if back.if_unused:
-            if one.phase is Phase.ROUTED and not one.begun:
-                self.report(back.request, Ending.NOT_SENT, 0.0)
-                return [Delivery(back.request, back)]
+        if withdrawn.if_unused:
+            if entry.phase is Phase.ROUTED and not entry.begun:
+                self.report(withdrawn.request, Ending.NOT_SENT, 0.0)
+                return [Delivery(withdrawn.request, withdrawn)]
             return []
-        if one.phase in (Phase.ROUTED, Phase.REPORTED):
-            one.phase, one.outcome = Phase.REPORTED, None
-            one.may_have_run = True
-            return [Delivery(back.request, back)]
-        if one.phase is Phase.STANDS:
-            del self.open_requests[back.request]
-            return [Delivery(back.request, Release(back.request, back.why))]
+        if entry.phase in (Phase.ROUTED, Phase.REPORTED):
+            entry.phase, entry.outcome = Phase.REPORTED, None
+            entry.may_have_run = True
+            return [Delivery(withdrawn.request, withdrawn)]
+        if entry.phase is Phase.STANDS:
+            del self.open_requests[withdrawn.request]
+            return [Delivery(withdrawn.request, Release(withdrawn.request, withdrawn.why))]
         return []
 
     def _on_unknown_request(self, message: ToFront) -> None:
@@ -209,36 +209,36 @@
         """Go on with what the proxy holds, ask anew what had no verdict, and settle the rest."""
         self.connected = True
         standing, results = set(welcome.standing), list[Result]()
-        held = standing.union(welcome.routed)
-        for request in held - self.open_requests.keys():
+        known_to_proxy = standing.union(welcome.routed)
+        for request in known_to_proxy - self.open_requests.keys():
             self.to_send.append((Cancel(request), ""))
-        for request, one in list(self.open_requests.items()):
-            if request in held:
-                if one.phase is Phase.REPORTED and request in standing:
-                    one.phase = Phase.STANDS  # its final went down with the last stream
+        for request, entry in list(self.open_requests.items()):
+            if request in known_to_proxy:
+                if entry.phase is Phase.REPORTED and request in standing:
+                    entry.phase = Phase.STANDS  # its final went down with the last stream
                     results.append(Delivery(request, Standing(request)))
                 continue
-            if one.phase is Phase.STANDS or (one.outcome is not None and one.outcome.ending is None):
+            if entry.phase is Phase.STANDS or (entry.outcome is not None and entry.outcome.ending is None):
                 # It stands between its caller and the server; only the proxy's count of it is lost.
                 del self.open_requests[request]
-                if one.phase is not Phase.STANDS:
+                if entry.phase is not Phase.STANDS:
                     results.append(Delivery(request, Standing(request)))
                 self.counts["uncounted"] += 1
                 continue
             del self.open_requests[request]
-            if one.phase is Phase.ASKED:
-                left = one.ask.time_left
-                left = None if left is None else left - (now - one.ask.at)
-                if left is None or left > 0:
-                    ask = one.ask
-                    new = self.ask(ask.call_class, ask.number, left, ask.first_choice, now)
-                    results.append(Renumbered(request, new))
+            if entry.phase is Phase.ASKED:
+                time_left = entry.ask.time_left
+                time_left = None if time_left is None else time_left - (now - entry.ask.at)
+                if time_left is None or time_left > 0:
+                    ask = entry.ask
+                    new_request = self.ask(ask.call_class, ask.number, time_left, ask.first_choice, now)
+                    results.append(Renumbered(request, new_request))
                 else:
                     results.append(Delivery(request, Refused(request, 0.0, Why.DEADLINE)))
-            elif one.phase is Phase.ROUTED and one.begun:
-                results.append(Delivery(request, Withdrawn(request, one.attempt, False, Why.LATE)))
+            elif entry.phase is Phase.ROUTED and entry.begun:
+                results.append(Delivery(request, Withdrawn(request, entry.attempt, False, Why.LATE)))
                 results.append(Delivery(request, Failed(request, Why.LATE)))
-            elif one.may_have_run:
+            elif entry.may_have_run:
                 results.append(Delivery(request, Failed(request, Why.LATE)))
             else:
                 results.append(Delivery(request, Refused(request, 0.0, Why.LATE)))
--- a/martentide/extproc/ledger.py
+++ b/martentide/extproc/ledger.py
@@ -206,7 +206,7 @@
     key: int  # unique in the process
     request_id: int  # number given by the front
     class_settings: CallClass
-    terms: LifecycleSettings  # in force when the request was asked; kept until it is closed
+    settings: LifecycleSettings  # in force when the request was asked; kept until it is closed
     cutoff: float  # time at which the final verdict is sent at the latest
     asked_at: float
     state: State = State.PENDING
@@ -228,12 +228,12 @@
     def __init__(
         self,
         front: str,
-        terms: LifecycleSettings,
+        settings: LifecycleSettings,
         classes: Mapping[str, CallClass],
         admission: Admission,
         keys: Iterable[int],
     ) -> None:
-        self.front, self.terms, self.classes, self.admission = front, terms, classes, admission
+        self.front, self.settings, self.classes, self.admission = front, settings, classes, admission
         self.keys = iter(keys)
         self.requests: dict[int, Request] = {}  # by key
         self.by_request_id: dict[int, Request] = {}
@@ -290,7 +290,9 @@
             return
         if time_left > MAX_TIME_LEFT_MS:
             time_left = class_settings.deadline
-        cutoff = ask.at + time_left - min(self.terms.verdict_margin, self.terms.margin_share * time_left)
+        cutoff = (
+            ask.at + time_left - min(self.settings.verdict_margin, self.settings.margin_share * time_left)
+        )
         if now >= cutoff:
             self.counts["refused_deadline"] += 1
             self._send(Refused(ask.request, 0.0, Why.DEADLINE))
@@ -303,7 +305,7 @@
             self._send(Refused(ask.request, rejection.retry_after, rejection.why))
             return
         received_at = ask.at if ask.received_at is None else ask.received_at
-        request = Request(next(self.keys), ask.request, class_settings, self.terms, cutoff, received_at)
+        request = Request(next(self.keys), ask.request, class_settings, self.settings, cutoff, received_at)
         self.requests[request.key] = self.by_request_id[request.request_id] = request
         self._set_timer(request, "cutoff", cutoff)
         number = ask.number or ""
@@ -321,7 +323,7 @@
             return
         request.ref = order.ref
         if (
-            request.attempts >= (1 if request.terms.single_attempt else request.terms.max_attempts)
+            request.attempts >= (1 if request.settings.single_attempt else request.settings.max_attempts)
             or not self.connected
         ):
             self._end_not_sent(order)
@@ -331,7 +333,7 @@
             self._set_timer(request, "release", request.not_before)
             return
         # The attempt must end early enough for the final verdict to reach the caller in time.
-        patience = min(order.patience, request.cutoff - self.terms.report_margin - now)
+        patience = min(order.patience, request.cutoff - self.settings.report_margin - now)
         if patience < 1.0 or listed.entry.state is not ServerState.OPEN:
             self._end_not_sent(order)
             return
@@ -344,13 +346,13 @@
         request.attempts += 1
         request.lease = now + patience
         self._record_verdict(request, now)
-        self._set_timer(request, "lease", min(request.lease + self.terms.lease_grace, request.cutoff))
+        self._set_timer(request, "lease", min(request.lease + self.settings.lease_grace, request.cutoff))
         self.counts["routed"] += 1
         self._send(self._build_route(request, listed, now, order.held))
 
     def _build_route(self, request: Request, listed: ListedServer, now: float, held: bool = False) -> Route:
         patience = request.lease - now
-        valid = min(self.terms.valid_for, patience, request.routed_at + self.terms.valid_for - now)
+        valid = min(self.settings.valid_for, patience, request.routed_at + self.settings.valid_for - now)
         return Route(
             request=request.request_id,
             attempt=request.attempt,
@@ -421,7 +423,7 @@
         if ending is Ending.DELIVERED:  # the end came without a report that the call stands: count it as cut
             ending = Ending.CUT
         if ending in RELEASE_WAIT_ENDINGS:
-            request.not_before = now + request.terms.release_wait
+            request.not_before = now + request.settings.release_wait
         request.may_have_run = request.may_have_run or ending not in NOT_EXECUTED_ENDINGS
         request.state, request.asked_at = State.PENDING, now
         self._cancel_timer(request, "lease")
@@ -435,7 +437,7 @@
             now - request.routed_at if lag is None else lag,
             outcome.report if outcome is not None else None,
         )
-        if self.terms.single_attempt or not self.connected:
+        if self.settings.single_attempt or not self.connected:
             # No further attempt is possible; the call is closed first, so that the module does not order one.
             self.effects.append(CallClosed(request.key))
             self.effects.append(ended)
@@ -511,7 +513,7 @@
         if request.state is State.STANDS and item.hang_up:
             self._send(Release(request.request_id, Why.DECIDED))
             self._end_standing(request, Ending.CANCELLED, None)
-        elif request.state is State.ROUTED and (item.hang_up or not self.terms.single_attempt):
+        elif request.state is State.ROUTED and (item.hang_up or not self.settings.single_attempt):
             # A front limited to one attempt could not make another, so there the attempt runs to its end.
             self._send(Withdrawn(request.request_id, request.attempt, False, Why.DECIDED))
             self._end_attempt(request, now, Ending.CANCELLED)
@@ -630,7 +632,7 @@
                 self.connected = False
                 for request in list(self.requests.values()):
                     if request.state is State.STANDS:
-                        self._set_timer(request, "standing", now + self.terms.standing_expiry)
+                        self._set_timer(request, "standing", now + self.settings.standing_expiry)
                     else:
                         self.counts["expired_routes"] += request.state is State.ROUTED
                         self._abandon(request, now, Ending.CUT)
--- a/martentide/extproc/sessions.py
+++ b/martentide/extproc/sessions.py
@@ -58,8 +58,8 @@
 class Sessions:
     """All sessions of the process."""
 
-    def __init__(self, terms: SessionSettings, tokens: Callable[[int], bytes]) -> None:
-        self.terms, self.tokens = terms, tokens
+    def __init__(self, settings: SessionSettings, tokens: Callable[[int], bytes]) -> None:
+        self.settings, self.tokens = settings, tokens
         self.by_token: dict[bytes, Session] = {}
         self.opened = 0
 
@@ -71,7 +71,7 @@
             live_session for live_session in self.by_token.values() if live_session.phase is not Phase.EXPIRED
         ]
         same = [live_session for live_session in live if live_session.front == front]
-        if len(live) >= self.terms.max_sessions or len(same) >= self.terms.max_sessions_per_front:
+        if len(live) >= self.settings.max_sessions or len(same) >= self.settings.max_sessions_per_front:
             return Refusal.TOO_MANY
         self.opened += 1
         session = Session(self.opened, front, self.tokens(TOKEN_BYTES))
@@ -85,7 +85,7 @@
             return Refusal.UNKNOWN_SESSION
         if session.front != front:
             return Refusal.ANOTHER_FRONT
-        if session.phase is Phase.BROKEN and now >= session.broken_at + self.terms.lease:
+        if session.phase is Phase.BROKEN and now >= session.broken_at + self.settings.lease:
             return Refusal.UNKNOWN_SESSION
         session.stream += 1
         session.phase = Phase.CONNECTED
@@ -96,7 +96,7 @@
         if session.stream != stream or session.phase is not Phase.CONNECTED:
             return None
         session.phase, session.broken_at = Phase.BROKEN, now
-        return now + self.terms.lease
+        return now + self.settings.lease
 
     def expire(self, session: Session, stream: int) -> bool:
         """Expire the session at the end of its lease; returns False if it has been resumed since."""
--- a/martentide/extras.py
+++ b/martentide/extras.py
@@ -121,7 +121,7 @@
             max_retry_after=one.max_retry_after_ms,
         )
 
-    def lifecycle_settings(self, settings: Settings, single: bool) -> LifecycleSettings:
+    def lifecycle_settings(self, settings: Settings, single_attempt: bool) -> LifecycleSettings:
         times = self.times
         return LifecycleSettings(
             verdict_margin=times.verdict_margin_ms,
@@ -131,7 +131,7 @@
             standing_expiry=times.standing_end_ms,
             release_wait=settings.release,
             max_attempts=settings.max_attempts,
-            single_attempt=single,
+            single_attempt=single_attempt,
         )
 
     def session_settings(self) -> SessionSettings:
--- a/martentide/net/extproc/decisions.py
+++ b/martentide/net/extproc/decisions.py
@@ -92,14 +92,14 @@
         self.session, self.host = session, host
         self.writer: StreamWriter | None = None
         self.next_writer: StreamWriter | None = None  # the stream that the next welcome goes out on
-        terms = host.lifecycle_settings(single=False)
-        ledger = Ledger(session.front, terms, host.classes, host.admission, host.keys)
+        settings = host.lifecycle_settings(single_attempt=False)
+        ledger = Ledger(session.front, settings, host.classes, host.admission, host.keys)
         self.front = FrontActor(ledger, host.dispatcher, self._deliver, self._on_protocol_error)
         self.protocol_broken = self.left = False  # the front broke the protocol; it took its leave
 
-    def _deliver(self, said: list[ToFront]) -> None:
+    def _deliver(self, messages: list[ToFront]) -> None:
         some: list[pb.ProxyMessage] = []
-        for message in said:
+        for message in messages:
             if isinstance(message, Welcomed):
                 # What was said before belongs to the old stream, which is over.
                 self.writer, self.next_writer = self.next_writer, None
@@ -110,7 +110,7 @@
             self.writer.put(some)
 
     def _welcome(self, message: Welcomed) -> list[pb.ProxyMessage]:
-        lease = int(self.host.sessions.terms.lease)
+        lease = int(self.host.sessions.settings.lease)
         welcome = pb.Welcome(
             session=self.session.token, lease_ms=lease, routed=message.routed, standing=message.standing
         )
@@ -121,9 +121,9 @@
     def _on_protocol_error(self, detail: str) -> None:
         """The front broke the protocol: its stream ends, and with it the session."""
         self.protocol_broken = True
-        for wire in (self.writer, self.next_writer):
-            if wire is not None:
-                wire.close(CloseReason.MALFORMED, detail)
+        for writer in (self.writer, self.next_writer):
+            if writer is not None:
+                writer.close(CloseReason.MALFORMED, detail)
 
 
 class Decisions:
@@ -138,69 +138,69 @@
 
     async def decide(self, _: Any, context: Any) -> None:
         peer = str(context.peer())
-        wire = StreamWriter(self.host.streams.most_unsent)
-        member: FrontSession | None = None
+        writer = StreamWriter(self.host.streams.most_unsent)
+        front_session: FrontSession | None = None
         stream = 0
         tasks: list[asyncio.Task[Any]] = []
         code = grpc.StatusCode.OK
         try:
-            hello = await self._hello(context, wire)
+            hello = await self._hello(context, writer)
             if hello is not None:
-                found = self._open_session(hello, wire)
+                found = self._open_session(hello, writer)
                 if isinstance(found, Refusal):
-                    wire.close(CloseReason.NO_SESSION, found.value)
+                    writer.close(CloseReason.NO_SESSION, found.value)
                     code = REFUSAL_STATUS[found]
                 else:
-                    member = found
-                    peer = f"{member.session.front}/{member.session.number}"
+                    front_session = found
+                    peer = f"{front_session.session.front}/{front_session.session.number}"
                     limit = self.host.streams.blocked_ms / 1000.0
                     tasks = [
-                        asyncio.create_task(wire.pump(context, limit)),
-                        asyncio.create_task(self._read(context, wire, member)),
-                        asyncio.create_task(wire.closed.wait()),
+                        asyncio.create_task(writer.pump(context, limit)),
+                        asyncio.create_task(self._read(context, writer, front_session)),
+                        asyncio.create_task(writer.closed.wait()),
                     ]
-                    stream = member.session.stream
+                    stream = front_session.session.stream
                     done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
                     for task in done:
                         if task.exception() is not None:  # the stream can't be read or written any more
-                            wire.close(CloseReason.PEER_RESET)
+                            writer.close(CloseReason.PEER_RESET)
             if code is grpc.StatusCode.OK:
-                code = CLOSE_STATUS.get(wire.reason, grpc.StatusCode.OK)
+                code = CLOSE_STATUS.get(writer.reason, grpc.StatusCode.OK)
         except asyncio.CancelledError:
-            wire.close(CloseReason.PEER_RESET)
+            writer.close(CloseReason.PEER_RESET)
             raise
         finally:
-            for task in tasks[1 if wire.writing else 0 :]:
+            for task in tasks[1 if writer.writing else 0 :]:
                 task.cancel()
-            wire.close(wire.reason)
-            log_connection_closed("front", peer, wire.reason, wire.detail)
-            if member is not None:
-                self._stream_ended(member, stream)
-        if tasks and wire.writing:
+            writer.close(writer.reason)
+            log_connection_closed("front", peer, writer.reason, writer.detail)
+            if front_session is not None:
+                self._stream_ended(front_session, stream)
+        if tasks and writer.writing:
             self.blocked_streams += 1
             try:
                 await asyncio.wait(tasks[:1])
             finally:
                 self.blocked_streams -= 1
         if code is not grpc.StatusCode.OK:
-            await context.abort(code, wire.detail or wire.reason.value)
+            await context.abort(code, writer.detail or writer.reason.value)
 
-    async def _hello(self, context: Any, wire: StreamWriter) -> pb.Hello | None:
+    async def _hello(self, context: Any, writer: StreamWriter) -> pb.Hello | None:
         try:
             async with asyncio.timeout(HELLO_TIMEOUT_S):
                 frame = await context.read()
         except TimeoutError:
-            wire.close(CloseReason.MUTE)
+            writer.close(CloseReason.MUTE)
             return None
         if frame is grpc.aio.EOF:
             return None
         if len(frame.messages) != 1 or frame.messages[0].WhichOneof("kind") != "hello":
-            wire.close(CloseReason.MALFORMED, "the first message must be Hello, alone in its frame")
+            writer.close(CloseReason.MALFORMED, "the first message must be Hello, alone in its frame")
             return None
         hello: pb.Hello = frame.messages[0].hello
         return hello
 
-    async def _read(self, context: Any, wire: StreamWriter, member: FrontSession) -> None:
+    async def _read(self, context: Any, writer: StreamWriter, front_session: FrontSession) -> None:
         while True:
             frame = await context.read()
             if frame is grpc.aio.EOF:
@@ -208,92 +208,94 @@
             at = unix_ms()
             try:
                 messages = [one for one in frame.messages if one.WhichOneof("kind") != "leave"]
-                member.left = len(messages) < len(frame.messages)
+                front_session.left = len(messages) < len(frame.messages)
                 events: list[FromFront] = [decode_front_message(message, at) for message in messages]
             except CodecError as error:
-                wire.close(CloseReason.MALFORMED, str(error))
+                writer.close(CloseReason.MALFORMED, str(error))
                 return
             if events:
-                await member.front.unread_credit.acquire()
-                member.front.enqueue(events)
-            if member.left:
+                await front_session.front.unread_credit.acquire()
+                front_session.front.enqueue(events)
+            if front_session.left:
                 return
 
     # ---- sessions -----------------------------------------------------------------------------------------
 
-    def _open_session(self, hello: pb.Hello, wire: StreamWriter) -> FrontSession | Refusal:
+    def _open_session(self, hello: pb.Hello, writer: StreamWriter) -> FrontSession | Refusal:
         sessions = self.host.sessions
         if self.host.closing:
             return Refusal.CLOSING
-        if self.blocked_streams >= sessions.terms.max_sessions:
+        if self.blocked_streams >= sessions.settings.max_sessions:
             return Refusal.TOO_MANY
         if not hello.session:
             opened = sessions.open(hello.front)
             if isinstance(opened, Refusal):
                 return opened
-            member = self.sessions[opened.number] = FrontSession(opened, self.host)
-            member.next_writer = wire
-            member.front.stream_changed(Stream.RESUMED)
-            return member
+            front_session = self.sessions[opened.number] = FrontSession(opened, self.host)
+            front_session.next_writer = writer
+            front_session.front.stream_changed(Stream.RESUMED)
+            return front_session
         resumed = sessions.resume(hello.front, hello.session, unix_ms())
         if isinstance(resumed, Refusal):
             return resumed
-        member = self.sessions[resumed.number]
-        if member.writer is not None:
-            member.writer.close(CloseReason.TAKEN_OVER)
-            member.front.stream_changed(Stream.BROKEN)  # what was pending on the old stream is asked anew
-        if member.next_writer is not None:
-            member.next_writer.close(CloseReason.TAKEN_OVER)
-        member.next_writer = wire
-        member.front.stream_changed(Stream.RESUMED)
-        return member
-
-    def _stream_ended(self, member: FrontSession, stream: int) -> None:
-        lease = self.host.sessions.stream_ended(member.session, stream, unix_ms())
+        front_session = self.sessions[resumed.number]
+        if front_session.writer is not None:
+            front_session.writer.close(CloseReason.TAKEN_OVER)
+            front_session.front.stream_changed(
+                Stream.BROKEN
+            )  # what was pending on the old stream is asked anew
+        if front_session.next_writer is not None:
+            front_session.next_writer.close(CloseReason.TAKEN_OVER)
+        front_session.next_writer = writer
+        front_session.front.stream_changed(Stream.RESUMED)
+        return front_session
+
+    def _stream_ended(self, front_session: FrontSession, stream: int) -> None:
+        lease = self.host.sessions.stream_ended(front_session.session, stream, unix_ms())
         if lease is None:
             return  # another stream speaks for the session
-        member.front.stream_changed(Stream.BROKEN)
-        if member.protocol_broken or member.left or self.host.closing:
-            self._expire(member, stream)
+        front_session.front.stream_changed(Stream.BROKEN)
+        if front_session.protocol_broken or front_session.left or self.host.closing:
+            self._expire(front_session, stream)
         else:
             delay = max(0.0, lease - unix_ms()) / 1000.0
-            self.host.loop.call_later(delay, self._expire, member, stream)
+            self.host.loop.call_later(delay, self._expire, front_session, stream)
 
-    def _expire(self, member: FrontSession, stream: int) -> None:
-        if not self.host.sessions.expire(member.session, stream):
+    def _expire(self, front_session: FrontSession, stream: int) -> None:
+        if not self.host.sessions.expire(front_session.session, stream):
             return
-        member.front.stream_changed(Stream.EXPIRED)
-        member.front.stop_when_idle()
-        member.front.task.add_done_callback(lambda _: self._forget(member))
+        front_session.front.stream_changed(Stream.EXPIRED)
+        front_session.front.stop_when_idle()
+        front_session.front.task.add_done_callback(lambda _: self._forget(front_session))
 
-    def _forget(self, member: FrontSession) -> None:
-        counts = member.front.ledger.counts
+    def _forget(self, front_session: FrontSession) -> None:
+        counts = front_session.front.ledger.counts
         log_event(
             "session-ended",
-            front=member.session.front,
-            session=member.session.number,
+            front=front_session.session.front,
+            session=front_session.session.number,
             **dict(sorted(counts.items())),
         )
-        self.sessions.pop(member.session.number, None)
-        self.host.sessions.forget(member.session)
+        self.sessions.pop(front_session.session.number, None)
+        self.host.sessions.forget(front_session.session)
 
     # ---- the whole service --------------------------------------------------------------------------------
 
     def list_changed(self, listed: tuple[Listed, ...]) -> None:
-        said = [encode_server_change(one.entry, f"{one.host}:{one.port}") for one in listed]
-        for member in self.sessions.values():
-            if member.writer is not None:
-                member.writer.put(said)
+        messages = [encode_server_change(one.entry, f"{one.host}:{one.port}") for one in listed]
+        for front_session in self.sessions.values():
+            if front_session.writer is not None:
+                front_session.writer.put(messages)
 
     def fronts(self) -> list[FrontActor]:
-        return [member.front for member in self.sessions.values()]
+        return [front_session.front for front_session in self.sessions.values()]
 
     def go_away(self) -> None:
-        for member in self.sessions.values():
-            if member.writer is not None:
-                member.writer.put([pb.ProxyMessage(go_away=pb.GoAway(why="closing"))])
+        for front_session in self.sessions.values():
+            if front_session.writer is not None:
+                front_session.writer.put([pb.ProxyMessage(go_away=pb.GoAway(why="closing"))])
 
     def close(self) -> None:
-        for member in self.sessions.values():
-            if member.writer is not None:
-                member.writer.close(CloseReason.SHUTDOWN)
+        for front_session in self.sessions.values():
+            if front_session.writer is not None:
+                front_session.writer.close(CloseReason.SHUTDOWN)
--- a/martentide/net/extproc/envoy.py
+++ b/martentide/net/extproc/envoy.py
@@ -46,15 +46,17 @@
     def __init__(self, name: str, host: Host) -> None:
         self.numbers = itertools.count(1)
         self.inboxes: dict[int, asyncio.Queue[ToFront]] = {}
-        ledger = Ledger(name, host.lifecycle_settings(single=True), host.classes, host.admission, host.keys)
+        ledger = Ledger(
+            name, host.lifecycle_settings(single_attempt=True), host.classes, host.admission, host.keys
+        )
         self.front = FrontActor(ledger, host.dispatcher, self._deliver, self._on_protocol_error)
 
     def _on_protocol_error(self, detail: str) -> None:
         """The numbers are given here, so it is no fault of the peer's."""
         LOG.error("internal-error", front=self.front.ledger.front, detail=repr(detail))
 
-    def _deliver(self, said: list[ToFront]) -> None:
-        for message in said:
+    def _deliver(self, messages: list[ToFront]) -> None:
+        for message in messages:
             if not isinstance(message, Welcomed):
                 inbox = self.inboxes.get(message.request)
                 if inbox is not None:
@@ -103,10 +105,10 @@
                 self.over = True
                 raise AttemptRevoked(message.why.value)
 
-    async def _ask(self, asked_headers: Any) -> None:
-        part = self.host.config
+    async def _ask(self, request_headers: Any) -> None:
+        config = self.host.config
         try:
-            asked = headers.parse_question(asked_headers.headers, part.headers)
+            question = headers.parse_question(request_headers.headers, config.headers)
         except headers.HeaderError as error:
             await self._write(headers.bad_request_response(str(error)))
             raise StreamClosed from None
@@ -116,10 +118,10 @@
         self.notify(
             Ask(
                 self.request,
-                asked.call_class,
-                asked.number,
-                asked.time_left,
-                asked.first_choice,
+                question.call_class,
+                question.number,
+                question.time_left,
+                question.first_choice,
                 unix_ms(),
             )
         )
@@ -127,19 +129,19 @@
             message = await self._next()
             if isinstance(message, Route):
                 self.route, self.sent_at = message, self.host.loop.time()
-                await self._write(headers.route_response(message, part.headers))
+                await self._write(headers.route_response(message, config.headers))
                 return
             if isinstance(message, Refused | Failed):
                 self.over = True
-                await self._write(headers.final_response(message, part.statuses))
+                await self._write(headers.final_response(message, config.statuses))
                 raise StreamClosed
             if isinstance(message, ep.ProcessingRequest):
                 await self._pass_through(message)  # a body that comes before the verdict
 
     async def _outcome(self, response: Any) -> None:
         assert self.route is not None
-        part = self.host.config
-        ending, report = headers.parse_outcome(response.headers, part.headers, part.statuses)
+        config = self.host.config
+        ending, report = headers.parse_outcome(response.headers, config.headers, config.statuses)
         lag = (self.host.loop.time() - self.sent_at) * 1000.0
         self.notify(Outcome(self.request, self.route.attempt, ending, lag, report=report))
         final: Refused | Failed | None = None
@@ -238,11 +240,11 @@
         if task is not None:
             self.tasks.add(task)
         peer = self._acquire_peer(name)
-        exchange = RequestStream(peer, self.host, context)
+        stream = RequestStream(peer, self.host, context)
         reason, detail = CloseReason.PEER_CLOSED, ""
         abort: grpc.StatusCode | None = None
         try:
-            await exchange.run()
+            await stream.run()
         except StreamClosed:
             pass
         except headers.HeaderError as error:
@@ -255,7 +257,7 @@
             reason = CloseReason.PEER_RESET
             raise
         finally:
-            exchange.settle()
+            stream.settle()
             self._release_peer(name)
             if task is not None:
                 self.tasks.discard(task)
--- a/martentide/net/extproc/front.py
+++ b/martentide/net/extproc/front.py
@@ -43,7 +43,12 @@
 
 
 def list_changed_event(listed: Iterable[Listed]) -> ListChanged:
-    return ListChanged(tuple(ListedServer(one.entry, f"{one.host}:{one.port}") for one in listed))
+    return ListChanged(
+        tuple(
+            ListedServer(listed_server.entry, f"{listed_server.host}:{listed_server.port}")
+            for listed_server in listed
+        )
+    )
 
 
 def call_id(key: int) -> bytes:
@@ -55,13 +60,17 @@
     """``trouble`` is told when the front breaks the protocol; its stream has to end then."""
 
     def __init__(
-        self, ledger: Ledger, dispatcher: Dispatcher, deliver: Deliver, trouble: Callable[[str], None]
+        self,
+        ledger: Ledger,
+        dispatcher: Dispatcher,
+        deliver: Deliver,
+        on_protocol_error: Callable[[str], None],
     ) -> None:
         self.ledger, self.dispatcher, self.deliver, self.on_protocol_error = (
             ledger,
             dispatcher,
             deliver,
-            trouble,
+            on_protocol_error,
         )
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Event | Sequence[Event]] = asyncio.Queue()
@@ -85,21 +94,21 @@
 
     async def _run(self) -> None:
         while not (self.ended and self.mailbox.empty() and not self.ledger.requests):
-            said: list[ToFront] = []
+            outgoing: list[ToFront] = []
             item = await self.mailbox.get()
             for _ in range(MAX_EVENTS_PER_TURN):
                 if isinstance(item, tuple | list):
                     for event in item:
-                        self._handle(event, said)
+                        self._handle(event, outgoing)
                     if item:
                         self.unread_credit.release()
                 else:
-                    self._handle(item, said)  # type: ignore[arg-type]
+                    self._handle(item, outgoing)  # type: ignore[arg-type]
                 if self.mailbox.empty():
                     break
                 item = self.mailbox.get_nowait()
-            if said:
-                self.deliver(said)
+            if outgoing:
+                self.deliver(outgoing)
             if self.ledger.requests:
                 self.idle.clear()
             else:
@@ -109,7 +118,7 @@
         for timer in self.timers.values():
             timer.cancel()
 
-    def _handle(self, event: Event, said: list[ToFront]) -> None:
+    def _handle(self, event: Event, outgoing: list[ToFront]) -> None:
         self.now = max(self.now, unix_ms())
         try:
             effects: Sequence[Effect] = self.ledger.handle(self.now, event)
@@ -121,12 +130,12 @@
             LOG.exception("internal-error", front=self.ledger.front, item=type(event).__name__)
             effects = self.ledger.effects
         for effect in effects:
-            self._apply(effect, said)
+            self._apply(effect, outgoing)
 
-    def _apply(self, effect: Effect, said: list[ToFront]) -> None:
+    def _apply(self, effect: Effect, outgoing: list[ToFront]) -> None:
         match effect:
             case Send(message):
-                said.append(message)
+                outgoing.append(message)
             case SetTimer(key, kind, at):
                 old = self.timers.get((key, kind))
                 if old is not None:
--- a/martentide/net/extproc/host.py
+++ b/martentide/net/extproc/host.py
@@ -18,14 +18,14 @@
     """One for the program."""
 
     def __init__(
-        self, part: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
+        self, config: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
     ) -> None:
-        self.config, self.settings, self.dispatcher = part, settings, dispatcher
+        self.config, self.settings, self.dispatcher = config, settings, dispatcher
         self.loop = asyncio.get_running_loop()
-        self.classes = {kind.name: kind for kind in settings.classes}
-        top = max((kind.worth for kind in settings.classes), default=1.0)
-        self.admission = Admission(part.admission_limits(), top, seed)
-        self.sessions = Sessions(part.session_settings(), os.urandom)
+        self.classes = {call_class.name: call_class for call_class in settings.classes}
+        top_worth = max((call_class.worth for call_class in settings.classes), default=1.0)
+        self.admission = Admission(config.admission_limits(), top_worth, seed)
+        self.sessions = Sessions(config.session_settings(), os.urandom)
         self.keys = itertools.count(1)
         self.closing = False
 
@@ -33,19 +33,19 @@
     def streams(self) -> StreamsNode:
         return self.config.streams
 
-    def lifecycle_settings(self, single: bool) -> LifecycleSettings:
-        return self.config.lifecycle_settings(self.settings, single)
+    def lifecycle_settings(self, single_attempt: bool) -> LifecycleSettings:
+        return self.config.lifecycle_settings(self.settings, single_attempt)
 
     def apply_settings(self, settings: Settings) -> None:
         """Other settings hold for what is asked from now on. The table of classes stays the same object:
         each front's ledger looks into it."""
         self.settings = settings
         self.classes.clear()
-        self.classes.update({kind.name: kind for kind in settings.classes})
-        self.admission.top_worth = max((kind.worth for kind in settings.classes), default=1.0)
+        self.classes.update({call_class.name: call_class for call_class in settings.classes})
+        self.admission.top_worth = max((call_class.worth for call_class in settings.classes), default=1.0)
 
-    def apply_config(self, part: ExternalProcessor) -> None:
+    def apply_config(self, config: ExternalProcessor) -> None:
         """New figures hold for what comes from now on."""
-        self.config = part
-        self.admission.set_limits(part.admission_limits())
-        self.sessions.terms = part.session_settings()
+        self.config = config
+        self.admission.set_limits(config.admission_limits())
+        self.sessions.settings = config.session_settings()
--- a/martentide/net/extproc/server.py
+++ b/martentide/net/extproc/server.py
@@ -36,16 +36,16 @@
     """Built where the extras file turns the mode on; nothing of it is imported otherwise."""
 
     def __init__(
-        self, part: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
+        self, config: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
     ) -> None:
-        self.part = part
-        self.host = Host(part, settings, dispatcher, seed)
+        self.config = config
+        self.host = Host(config, settings, dispatcher, seed)
         self.decisions, self.envoy = Decisions(self.host), Envoy(self.host)
         self.port = 0
         dispatcher.list_observers.append(self._list_changed)
         options = (
-            ("grpc.max_receive_message_length", part.streams.most_message_bytes),
-            ("grpc.max_concurrent_streams", part.streams.most_streams),
+            ("grpc.max_receive_message_length", config.streams.most_message_bytes),
+            ("grpc.max_concurrent_streams", config.streams.most_streams),
             ("grpc.keepalive_time_ms", KEEPALIVE_MS),
             ("grpc.keepalive_timeout_ms", KEEPALIVE_TIMEOUT_MS),
             ("grpc.http2.min_recv_ping_interval_without_data_ms", 1_000),
@@ -53,14 +53,14 @@
         )
         self.server = grpc.aio.server(options=options)
         handlers: list[Any] = []
-        if "decisions" in part.services:
+        if "decisions" in config.services:
             decide = grpc.stream_stream_rpc_method_handler(
                 self.decisions.decide,
                 request_deserializer=pb.FrontFrame.FromString,
                 response_serializer=pb.ProxyFrame.SerializeToString,
             )
             handlers.append(grpc.method_handlers_generic_handler(DECISIONS, {"Decide": decide}))
-        if "ext-proc" in part.services:
+        if "ext-proc" in config.services:
             process = grpc.stream_stream_rpc_method_handler(
                 self.envoy.process,
                 request_deserializer=ep.ProcessingRequest.FromString,
@@ -72,9 +72,9 @@
     async def start(self) -> None:
         """Listen; raises OSError where the address can't be used."""
         try:
-            self.port = self.server.add_insecure_port(self.part.listen)
+            self.port = self.server.add_insecure_port(self.config.listen)
         except RuntimeError as error:
-            raise OSError(f"external processor on {self.part.listen}: {error}") from None
+            raise OSError(f"external processor on {self.config.listen}: {error}") from None
         await self.server.start()
         # What is loaded by now stays: looked through again and again by the collector, it costs pauses of
         # some milliseconds each, which decisions would wait for.
@@ -82,8 +82,10 @@
         gc.freeze()
         # gRPC hears of its sockets in a thread of its own, which waits this long for its turn.
         sys.setswitchinterval(SWITCH_INTERVAL_S)
-        host = self.part.listen.rpartition(":")[0]
-        log_event("external-processor", address=f"{host}:{self.port}", services=",".join(self.part.services))
+        host = self.config.listen.rpartition(":")[0]
+        log_event(
+            "external-processor", address=f"{host}:{self.port}", services=",".join(self.config.services)
+        )
 
     def fronts(self) -> list[FrontActor]:
         return [*self.decisions.fronts(), *self.envoy.fronts()]
@@ -99,18 +101,20 @@
         self.host.apply_settings(settings)
         self._update_lifecycle_settings()
 
-    def change(self, part: ExternalProcessor) -> list[str]:
+    def change(self, config: ExternalProcessor) -> list[str]:
         """New figures from the extras file; returns what waits for a restart."""
-        kept = [name for name in RESTART_ONLY if getattr(part, name) != getattr(self.part, name)]
-        self.host.apply_config(part)
+        restart_needed = [
+            name for name in RESTART_ONLY if getattr(config, name) != getattr(self.config, name)
+        ]
+        self.host.apply_config(config)
         self._update_lifecycle_settings()
-        return kept
+        return restart_needed
 
     def _update_lifecycle_settings(self) -> None:
-        for member in self.decisions.sessions.values():
-            member.front.ledger.terms = self.host.lifecycle_settings(single=False)
+        for session in self.decisions.sessions.values():
+            session.front.ledger.settings = self.host.lifecycle_settings(single_attempt=False)
         for peer in self.envoy.peers.values():
-            peer.front.ledger.terms = self.host.lifecycle_settings(single=True)
+            peer.front.ledger.settings = self.host.lifecycle_settings(single_attempt=True)
 
     def closing(self) -> None:
         """New questions are refused from now on; open ones get their verdicts."""
@@ -125,7 +129,10 @@
             async with asyncio.timeout(FLUSH_TIMEOUT_S):
                 for front in self.fronts():
                     await front.idle.wait()
-                while any(m.writer is not None and m.writer.unsent for m in self.decisions.sessions.values()):
+                while any(
+                    session.writer is not None and session.writer.unsent
+                    for session in self.decisions.sessions.values()
+                ):
                     await asyncio.sleep(0.005)
         except TimeoutError:
             log_event("external-processor-unflushed", fronts=len(self.fronts()))
--- a/tests/extproc/support.py
+++ b/tests/extproc/support.py
@@ -58,11 +58,11 @@
 class LedgerHarness:
     """Feeds one ledger, keeps its timers, and checks on every effect what must hold whatever happens."""
 
-    def __init__(self, terms: LifecycleSettings | None = None, limits: Limits | None = None) -> None:
+    def __init__(self, settings: LifecycleSettings | None = None, limits: Limits | None = None) -> None:
         self.now = START
         self.admission = Admission(limits or Limits(), 6.0, 1)
-        self.terms = terms or LifecycleSettings()
-        self.ledger = Ledger("f", self.terms, CLASSES, self.admission, itertools.count(1))
+        self.settings = settings or LifecycleSettings()
+        self.ledger = Ledger("f", self.settings, CLASSES, self.admission, itertools.count(1))
         self.timers: dict[tuple[int, str], float] = {}
         self.sent: list[ToFront] = []
         self.effects: list[Effect] = []
@@ -70,7 +70,7 @@
         self.deadlines: dict[int, float] = {}  # when the caller's time is over
         self.finals: Counter[int] = Counter()
         self.routes: Counter[tuple[int, int]] = Counter()
-        self.out: dict[int, int] = {}  # attempt that is out at the front, by request
+        self.in_flight: dict[int, int] = {}  # attempt that is out at the front, by request
         self.owed_ends: dict[tuple[int, int], int] = {}  # ends owed for an order, by ref and attempt
         self.closed: set[int] = set()
         self.ended: dict[int, set[int]] = {}  # attempts that are over, by request
@@ -100,7 +100,7 @@
             case Ended(ref=ref, attempt=attempt):
                 request = self.requests_by_key[ref]
                 if effect.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
-                    self.release_over_at[request] = self.now + self.terms.release_wait
+                    self.release_over_at[request] = self.now + self.settings.release_wait
                 if effect.ending is not Ending.NOT_SENT:
                     self.ended.setdefault(request, set()).add(attempt)
                 self.owed_ends[ref, attempt] -= 1
@@ -118,7 +118,9 @@
             return
         request = message.request
         if isinstance(message, Route):
-            assert request not in self.out or self.out[request] == message.attempt, "two attempts out"
+            assert request not in self.in_flight or self.in_flight[request] == message.attempt, (
+                "two attempts out"
+            )
             assert not self.finals[request], "a route behind the final"
             assert message.attempt not in self.ended.get(request, set()), "a route of an attempt that is over"
             free = self.release_over_at.get(request, 0.0)
@@ -128,18 +130,18 @@
             )
             state = self.ledger.servers[message.server].entry.state
             assert state is ServerState.OPEN, "a route to a server that drains"
-            assert 0 <= message.valid_for <= self.terms.valid_for and message.patience > 0
-            self.out[request] = message.attempt
+            assert 0 <= message.valid_for <= self.settings.valid_for and message.patience > 0
+            self.in_flight[request] = message.attempt
             self.routes[request, message.attempt] += 1
         elif isinstance(message, Withdrawn):
-            if not message.if_unused and self.out.get(request) == message.attempt:
-                del self.out[request]
+            if not message.if_unused and self.in_flight.get(request) == message.attempt:
+                del self.in_flight[request]
         elif not isinstance(message, Release):
             self.finals[request] += 1
             assert self.finals[request] == 1, "two finals"
             assert self.now <= self.deadlines[request], "a final after the caller's time"
             if not isinstance(message, Standing):
-                assert request not in self.out, "a final while an attempt is out"
+                assert request not in self.in_flight, "a final while an attempt is out"
 
     def ask(
         self, request: int, left: float | None = 3000.0, name: str = "plain", **more: Any
@@ -159,8 +161,8 @@
         return self.feed(Carry(key, key, attempt, server, patience))
 
     def outcome(self, request: int, ending: Ending | None, attempt: int = 0, **more: Any) -> list[Effect]:
-        if self.out.get(request) == attempt:
-            del self.out[request]
+        if self.in_flight.get(request) == attempt:
+            del self.in_flight[request]
         return self.feed(Outcome(request, attempt, ending, 12.0, **more))
 
     def decide(self, request: int, hold_off: float | None) -> list[Effect]:
--- a/tests/extproc/test_extras.py
+++ b/tests/extproc/test_extras.py
@@ -23,7 +23,7 @@
     plain = read_extras(BASE.format(""), "f", KNOWN).external_processor
     assert part == plain and part is not None
     assert part.admission_limits() == Limits() and part.session_settings() == SessionSettings()
-    terms = part.lifecycle_settings(KNOWN, single=True)
+    terms = part.lifecycle_settings(KNOWN, single_attempt=True)
     assert (terms.release_wait, terms.max_attempts, terms.single_attempt) == (200.0, 5, True)
 
 
--- a/tests/extproc/test_ledger.py
+++ b/tests/extproc/test_ledger.py
@@ -36,7 +36,7 @@
 from tests.extproc.support import START, LedgerHarness, kinds, listed_server
 
 
-def said(play: LedgerHarness) -> list[tuple[str, Why | None]]:
+def sent_summary(play: LedgerHarness) -> list[tuple[str, Why | None]]:
     return [(type(message).__name__, getattr(message, "why", None)) for message in play.sent]
 
 
@@ -91,7 +91,7 @@
     play.advance(cutoff - 0.5)
     assert not play.sent
     play.advance(0.5)
-    assert said(play) == [("Refused", Why.DEADLINE)] and play.ledger.counts["refused_deadline"] == 1
+    assert sent_summary(play) == [("Refused", Why.DEADLINE)] and play.ledger.counts["refused_deadline"] == 1
     assert kinds(play.carry(1)) == ["Ended"], "an order that was on its way still has its end"
     assert play.decide(1, 0.0) == []
     play.assert_settled()
@@ -103,7 +103,7 @@
     play.now += 980.0  # the cut-off is due, but its timer has not been heard yet
     play.decide(1, 50.0)
     play.advance(100.0)
-    assert said(play) == [("Refused", Why.DECIDED)]
+    assert sent_summary(play) == [("Refused", Why.DECIDED)]
     play.assert_settled()
 
 
@@ -113,7 +113,7 @@
     play.carry(1, patience=1000.0)
     assert isinstance(play.sent[-1], Route) and play.sent[-1].patience == 940.0
     play.advance(1000.0)
-    assert said(play)[1:] == [("Withdrawn", Why.DEADLINE), ("Failed", Why.DEADLINE)]
+    assert sent_summary(play)[1:] == [("Withdrawn", Why.DEADLINE), ("Failed", Why.DEADLINE)]
     play.assert_settled()
 
 
@@ -122,9 +122,9 @@
     play.ask(1)
     play.carry(1, patience=500.0)
     play.advance(749.0)
-    assert said(play)[1:] == []
+    assert sent_summary(play)[1:] == []
     play.advance(1.0)
-    assert said(play)[1:] == [("Withdrawn", Why.PATIENCE)]
+    assert sent_summary(play)[1:] == [("Withdrawn", Why.PATIENCE)]
     over = [effect for effect in play.effects if type(effect).__name__ == "Ended"]
     assert [one.ending for one in over] == [Ending.TIMED_OUT]  # type: ignore[union-attr]
     assert kinds(play.outcome(1, Ending.FULL)) == []
@@ -164,24 +164,24 @@
     play.assert_settled()
 
 
-def cancel(play: LedgerHarness) -> None:
-    play.out.pop(1, None)  # the front gives up what is out before it says so
+def cancel_request(play: LedgerHarness) -> None:
+    play.in_flight.pop(1, None)  # the front gives up what is out before it says so
     play.feed(Cancel(1))
 
 
 @pytest.mark.parametrize(
     ("before", "finals"),
     [
-        ([lambda p: p.ask(1), cancel], ["Cancelled"]),
-        ([lambda p: p.ask(1), cancel, lambda p: p.carry(1)], ["Cancelled"]),
-        ([lambda p: p.ask(1), cancel, lambda p: p.decide(1, 0.0)], ["Cancelled"]),
-        ([lambda p: p.ask(1), lambda p: p.carry(1), cancel], ["Route", "Cancelled"]),
-        ([lambda p: p.ask(1), lambda p: p.decide(1, 0.0), cancel], ["Refused"]),
+        ([lambda p: p.ask(1), cancel_request], ["Cancelled"]),
+        ([lambda p: p.ask(1), cancel_request, lambda p: p.carry(1)], ["Cancelled"]),
+        ([lambda p: p.ask(1), cancel_request, lambda p: p.decide(1, 0.0)], ["Cancelled"]),
+        ([lambda p: p.ask(1), lambda p: p.carry(1), cancel_request], ["Route", "Cancelled"]),
+        ([lambda p: p.ask(1), lambda p: p.decide(1, 0.0), cancel_request], ["Refused"]),
         (
-            [lambda p: p.ask(1), lambda p: p.carry(1), lambda p: p.outcome(1, None), cancel],
+            [lambda p: p.ask(1), lambda p: p.carry(1), lambda p: p.outcome(1, None), cancel_request],
             ["Route", "Standing"],
         ),
-        ([lambda p: p.ask(1), cancel, cancel], ["Cancelled"]),
+        ([lambda p: p.ask(1), cancel_request, cancel_request], ["Cancelled"]),
     ],
 )
 def test_a_cancel_before_with_and_after_the_verdict(
@@ -190,7 +190,7 @@
     play = LedgerHarness()
     for step in before:
         step(play)
-    assert [name for name, _ in said(play)] == finals
+    assert [name for name, _ in sent_summary(play)] == finals
     play.assert_settled()
 
 
@@ -238,7 +238,7 @@
     play.outcome(2, None)
     play.advance(20.0)
     play.feed(ListChanged((change,)))
-    assert said(play)[3:] == [("Withdrawn", Why.SERVER_GONE), ("Release", Why.SERVER_GONE)]
+    assert sent_summary(play)[3:] == [("Withdrawn", Why.SERVER_GONE), ("Release", Why.SERVER_GONE)]
     play.decide(1, None)
     play.assert_settled()
 
@@ -287,7 +287,7 @@
     play.feed(Stream.CLOSING)
     play.ask(3)
     play.decide(2, 10.0)
-    assert said(play)[2:] == [("Refused", Why.CLOSING), ("Refused", Why.DECIDED)]
+    assert sent_summary(play)[2:] == [("Refused", Why.CLOSING), ("Refused", Why.DECIDED)]
     play.assert_settled()
 
 
@@ -297,7 +297,7 @@
         play.ask(request)
         play.carry(request)
         assert kinds(play.outcome(request, ending))[:2] == ["CallClosed", "Ended"]
-    assert [name for name, _ in said(play)] == ["Route", "Refused", "Route", "Failed"]
+    assert [name for name, _ in sent_summary(play)] == ["Route", "Refused", "Route", "Failed"]
     play.assert_settled()
 
 
@@ -309,31 +309,33 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.play = LedgerHarness(
+        self.harness = LedgerHarness(
             LifecycleSettings(max_attempts=3), Limits(pending_each=4, open_each=6, rate_each=50.0)
         )
         self.request = 0
         self.broken = False
-        self.module: dict[int, int] = {}  # the last attempt of calls that the module has, by key
-        self.settled: set[int] = set()  # keys that the module gave up
+        self.last_attempt: dict[int, int] = {}  # the last attempt of calls that the module has, by key
+        self.decided: set[int] = set()  # keys that the module gave up
 
-    def owed(self) -> dict[int, int]:
+    def owed_attempts(self) -> dict[int, int]:
         """Orders of the module whose end it has not heard: attempts by key."""
-        return {ref: attempt for (ref, attempt), count in self.play.owed_ends.items() if count}
+        return {ref: attempt for (ref, attempt), count in self.harness.owed_ends.items() if count}
 
-    def free(self) -> list[int]:
+    def actionable_keys(self) -> list[int]:
         """Keys that the module may act on: also late on what is closed, as on a real mailbox."""
-        busy = self.owed()
-        keys = [key for key in self.play.requests_by_key if key not in self.settled and key not in busy]
-        return [key for key in keys if key not in self.play.closed or self.module.get(key, -1) < 1][-4:]
+        busy = self.owed_attempts()
+        keys = [key for key in self.harness.requests_by_key if key not in self.decided and key not in busy]
+        return [key for key in keys if key not in self.harness.closed or self.last_attempt.get(key, -1) < 1][
+            -4:
+        ]
 
     def ask(self, left: float | None, name: str) -> None:
         self.request += 1
-        self.play.ask(self.request, left, name)
+        self.harness.ask(self.request, left, name)
 
     def carry(self, key: int, server: str, patience: float) -> None:
-        self.module[key] = attempt = self.module.get(key, -1) + 1
-        self.play.feed(Carry(key, key, attempt, server, patience))
+        self.last_attempt[key] = attempt = self.last_attempt.get(key, -1) + 1
+        self.harness.feed(Carry(key, key, attempt, server, patience))
 
     @precondition(lambda self: not self.broken)
     @rule(
@@ -343,69 +345,69 @@
         patience=st.sampled_from([1.0, 200.0, 4000.0]),
     )
     def asks(self, left: float | None, name: str, routed: bool, patience: float) -> None:
-        before = len(self.play.requests_by_key)
+        before = len(self.harness.requests_by_key)
         self.ask(left, name)
-        if routed and len(self.play.requests_by_key) > before:
-            self.carry(max(self.play.requests_by_key), "s0", patience)
+        if routed and len(self.harness.requests_by_key) > before:
+            self.carry(max(self.harness.requests_by_key), "s0", patience)
 
     @precondition(lambda self: self.free())
     @rule(data=st.data(), server=st.sampled_from(["s0", "s1"]), patience=st.sampled_from([200.0, 4000.0]))
     def orders(self, data: st.DataObject, server: str, patience: float) -> None:
-        self.carry(data.draw(st.sampled_from(self.free())), server, patience)
+        self.carry(data.draw(st.sampled_from(self.actionable_keys())), server, patience)
 
     @precondition(lambda self: self.free())
     @rule(data=st.data(), hold_off=st.sampled_from([None, 0.0, 80.0]))
     def decides(self, data: st.DataObject, hold_off: float | None) -> None:
-        key = data.draw(st.sampled_from(self.free()))
-        self.settled.add(key)
-        self.play.decide(self.play.requests_by_key[key], hold_off)
+        key = data.draw(st.sampled_from(self.actionable_keys()))
+        self.decided.add(key)
+        self.harness.decide(self.harness.requests_by_key[key], hold_off)
 
     @precondition(lambda self: self.play.out and not self.broken)
     @rule(data=st.data(), ending=st.sampled_from([None, *Ending]), late=st.booleans())
     def reports(self, data: st.DataObject, ending: Ending | None, late: bool) -> None:
-        request = data.draw(st.sampled_from(sorted(self.play.out)))
-        attempt = self.play.out[request]
-        self.play.outcome(request, ending, attempt)
+        request = data.draw(st.sampled_from(sorted(self.harness.in_flight)))
+        attempt = self.harness.in_flight[request]
+        self.harness.outcome(request, ending, attempt)
         if late:
-            self.play.outcome(request, ending, attempt)
+            self.harness.outcome(request, ending, attempt)
 
     @precondition(lambda self: self.request and not self.broken)
     @rule(data=st.data())
     def cancels(self, data: st.DataObject) -> None:
         request = data.draw(st.integers(max(1, self.request - 3), self.request))
-        self.play.out.pop(request, None)
-        self.play.feed(Cancel(request))
+        self.harness.in_flight.pop(request, None)
+        self.harness.feed(Cancel(request))
 
     @precondition(lambda self: self.owed())
     @rule(data=st.data(), hang_up=st.booleans())
     def takes_back(self, data: st.DataObject, hang_up: bool) -> None:
-        ref, attempt = data.draw(st.sampled_from(sorted(self.owed().items())))
-        self.play.feed(TakeBack(ref, ref, attempt, hang_up))
+        ref, attempt = data.draw(st.sampled_from(sorted(self.owed_attempts().items())))
+        self.harness.feed(TakeBack(ref, ref, attempt, hang_up))
 
     @rule(span=st.sampled_from([1.0, 60.0, 210.0, 460.0, 1500.0]))
     def advance(self, span: float) -> None:
-        self.play.advance(span)
+        self.harness.advance(span)
 
     @rule(
         name=st.sampled_from(["s0", "s1"]), state=st.sampled_from([ServerState.OPEN] * 3 + list(ServerState))
     )
     def change(self, name: str, state: ServerState) -> None:
-        self.play.feed(ListChanged((listed_server(name, state),)))
+        self.harness.feed(ListChanged((listed_server(name, state),)))
 
     @rule(breaks=st.sampled_from([True, False, False, False]))
     def stream(self, breaks: bool) -> None:
         if breaks and not self.broken:
-            self.play.feed(Stream.BROKEN)
+            self.harness.feed(Stream.BROKEN)
             self.broken = True
         elif self.broken:
-            self.play.feed(Stream.RESUMED)
+            self.harness.feed(Stream.RESUMED)
             self.broken = False
 
     def teardown(self) -> None:
-        self.play.feed(Stream.BROKEN)
-        self.play.feed(Stream.EXPIRED)
-        self.play.advance(20_000.0)
-        self.play.assert_settled()
+        self.harness.feed(Stream.BROKEN)
+        self.harness.feed(Stream.EXPIRED)
+        self.harness.advance(20_000.0)
+        self.harness.assert_settled()
 
 
 Lifecycle.TestCase.settings = settings(
