--- a/martentide/net/extproc/__init__.py
+++ b/martentide/net/extproc/__init__.py
@@ -1,1 +1,1 @@
-"""The external processor's services on gRPC, and the actor of each front. Imported only where turned on."""
+"""gRPC services of the external processor and the actor of each front; imported only if enabled."""
--- a/martentide/net/extproc/decisions.py
+++ b/martentide/net/extproc/decisions.py
@@ -1,4 +1,4 @@
-"""The service ``martentide.decisions.v1``: a stream carries many requests, and a session outlives it."""
+"""The service ``martentide.decisions.v1``: a stream carries many requests, and its session outlives it."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from martentide.net.extproc.host import Host
 from martentide.net.links import unix_ms
 
-HELLO_TIMEOUT_S = 2.0  # s in which a new stream must have said Hello
-MAX_MESSAGES_PER_FRAME = 256  # messages at most: a frame stays within what one read may bring
+HELLO_TIMEOUT_S = 2.0  # for a new stream to send Hello
+MAX_MESSAGES_PER_FRAME = 256  # keeps a frame within the peer's message size limit
 REFUSAL_STATUS = {
     Refusal.UNKNOWN_SESSION: grpc.StatusCode.NOT_FOUND,
     Refusal.ANOTHER_FRONT: grpc.StatusCode.PERMISSION_DENIED,
@@ -40,7 +40,7 @@
 
 
 class StreamWriter:
-    """The writing side of one stream: bounded, in order, never waited for by an actor."""
+    """Bounded, ordered send queue of one stream; actors never block on it."""
 
     def __init__(self, most: int) -> None:
         self.max_unsent = most
@@ -51,6 +51,7 @@
         self.writing = False
 
     def put(self, messages: list[pb.ProxyMessage]) -> None:
+        """Queue messages; closes the stream if the queue exceeds ``max_unsent``."""
         if self.closed.is_set():
             return
         if len(self.unsent) + len(messages) > self.max_unsent:
@@ -60,15 +61,15 @@
         self.wake.set()
 
     def close(self, reason: CloseReason, detail: str = "") -> None:
-        """The first reason counts."""
+        """Close the stream; only the first call's reason is kept."""
         if not self.closed.is_set():
             self.reason, self.detail = reason, detail
             self.closed.set()
 
     async def pump(self, context: Any, limit: float) -> None:
-        """Write until the stream ends; a write that takes longer than ``limit`` s closes it.
+        """Write queued messages until the stream ends; a write that takes longer than ``limit`` s closes it.
 
-        That write itself is waited for: gRPC can't take it back, nor end the stream meanwhile.
+        That write is still awaited, because gRPC can neither cancel it nor end the stream in the meantime.
         """
         loop = asyncio.get_running_loop()
         while not self.closed.is_set():
@@ -76,7 +77,7 @@
             self.wake.clear()
             while self.unsent and not self.closed.is_set():
                 some = [self.unsent.popleft() for _ in range(min(MAX_MESSAGES_PER_FRAME, len(self.unsent)))]
-                watch = loop.call_later(limit, self.close, CloseReason.BLOCKED, "a write was not taken")
+                watch = loop.call_later(limit, self.close, CloseReason.BLOCKED, "a write timed out")
                 self.writing = True
                 try:
                     await context.write(pb.ProxyFrame(messages=some))
@@ -86,22 +87,22 @@
 
 
 class FrontSession:
-    """A session with its actor and, while there is one, its stream."""
+    """A session with its actor and, while connected, its stream."""
 
     def __init__(self, session: Session, host: Host) -> None:
         self.session, self.host = session, host
         self.writer: StreamWriter | None = None
-        self.next_writer: StreamWriter | None = None  # the stream that the next welcome goes out on
+        self.next_writer: StreamWriter | None = None  # stream for the next welcome
         settings = host.lifecycle_settings(single_attempt=False)
         ledger = Ledger(session.front, settings, host.classes, host.admission, host.keys)
         self.front = FrontActor(ledger, host.dispatcher, self._deliver, self._on_protocol_error)
-        self.protocol_broken = self.left = False  # the front broke the protocol; it took its leave
+        self.protocol_broken = self.left = False  # front violated the protocol; front sent Leave
 
     def _deliver(self, messages: list[ToFront]) -> None:
         some: list[pb.ProxyMessage] = []
         for message in messages:
             if isinstance(message, Welcomed):
-                # What was said before belongs to the old stream, which is over.
+                # Earlier messages belong to the old stream, which has ended.
                 self.writer, self.next_writer = self.next_writer, None
                 some = self._welcome(message)
             else:
@@ -119,7 +120,7 @@
         return [pb.ProxyMessage(welcome=welcome), *servers]
 
     def _on_protocol_error(self, detail: str) -> None:
-        """The front broke the protocol: its stream ends, and with it the session."""
+        """Close the stream of a front that violated the protocol; the session ends with it."""
         self.protocol_broken = True
         for writer in (self.writer, self.next_writer):
             if writer is not None:
@@ -127,16 +128,17 @@
 
 
 class Decisions:
-    """The service; ``members`` are the sessions whose calls are counted."""
+    """The gRPC service; ``sessions`` holds the sessions whose calls are counted, by session number."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
         self.sessions: dict[int, FrontSession] = {}
-        self.blocked_streams = 0  # streams that wait for a last write, which gRPC can't end
+        self.blocked_streams = 0  # streams waiting for a last write, which gRPC can't cancel
 
     # ---- one stream ---------------------------------------------------------------------------------------
 
     async def decide(self, _: Any, context: Any) -> None:
+        """Handle one stream of the RPC ``Decide``."""
         peer = str(context.peer())
         writer = StreamWriter(self.host.streams.most_unsent)
         front_session: FrontSession | None = None
@@ -162,7 +164,7 @@
                     stream = front_session.session.stream
                     done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
                     for task in done:
-                        if task.exception() is not None:  # the stream can't be read or written any more
+                        if task.exception() is not None:  # the stream broke
                             writer.close(CloseReason.PEER_RESET)
             if code is grpc.StatusCode.OK:
                 code = CLOSE_STATUS.get(writer.reason, grpc.StatusCode.OK)
@@ -204,7 +206,7 @@
         while True:
             frame = await context.read()
             if frame is grpc.aio.EOF:
-                return  # also what a reset connection looks like: only Leave is a leave
+                return  # also seen on a reset connection: only a Leave message ends the session
             at = unix_ms()
             try:
                 messages = [one for one in frame.messages if one.WhichOneof("kind") != "leave"]
@@ -243,7 +245,7 @@
             front_session.writer.close(CloseReason.TAKEN_OVER)
             front_session.front.stream_changed(
                 Stream.BROKEN
-            )  # what was pending on the old stream is asked anew
+            )  # the front asks again what was pending on the old stream
         if front_session.next_writer is not None:
             front_session.next_writer.close(CloseReason.TAKEN_OVER)
         front_session.next_writer = writer
@@ -253,7 +255,7 @@
     def _stream_ended(self, front_session: FrontSession, stream: int) -> None:
         lease = self.host.sessions.stream_ended(front_session.session, stream, unix_ms())
         if lease is None:
-            return  # another stream speaks for the session
+            return  # another stream has replaced this one
         front_session.front.stream_changed(Stream.BROKEN)
         if front_session.protocol_broken or front_session.left or self.host.closing:
             self._expire(front_session, stream)
@@ -282,20 +284,24 @@
     # ---- the whole service --------------------------------------------------------------------------------
 
     def list_changed(self, listed: tuple[Listed, ...]) -> None:
+        """Send changed entries of the server list to all connected fronts."""
         messages = [encode_server_change(one.entry, f"{one.host}:{one.port}") for one in listed]
         for front_session in self.sessions.values():
             if front_session.writer is not None:
                 front_session.writer.put(messages)
 
     def fronts(self) -> list[FrontActor]:
+        """The actors of all sessions."""
         return [front_session.front for front_session in self.sessions.values()]
 
     def go_away(self) -> None:
+        """Announce the shutdown to all connected fronts."""
         for front_session in self.sessions.values():
             if front_session.writer is not None:
                 front_session.writer.put([pb.ProxyMessage(go_away=pb.GoAway(why="closing"))])
 
     def close(self) -> None:
+        """Close all streams."""
         for front_session in self.sessions.values():
             if front_session.writer is not None:
                 front_session.writer.close(CloseReason.SHUTDOWN)
--- a/martentide/net/extproc/envoy.py
+++ b/martentide/net/extproc/envoy.py
@@ -1,7 +1,7 @@
 """Envoy's ``envoy.service.ext_proc.v3.ExternalProcessor``: one stream carries one request.
 
-The request headers are the question, the response headers the outcome, and the end of the stream the end of
-the call. Envoy makes one attempt; what fails goes back to its caller with why, and when to come back.
+The request headers are the question, the response headers the outcome, and the end of the stream is the end of
+the call. Envoy makes one attempt; on failure its caller gets the reason and a retry time.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 from martentide.net.extproc.host import Host
 from martentide.net.links import unix_ms
 
-REQUEST_HEADERS_TIMEOUT_S = 2.0  # s in which a stream must bring its request headers
-OUTCOME_TIMEOUT_S = 1.0  # s for the ledger to take an outcome in; it does so at once
+REQUEST_HEADERS_TIMEOUT_S = 2.0  # for a new stream to send its request headers
+OUTCOME_TIMEOUT_S = 1.0  # for the ledger to process an outcome, which it normally does immediately
 MAX_PASSTHROUGH_MESSAGES = 4096  # messages of one stream that concern no decision (bodies, trailers)
 
 
 class Peer:
-    """One machine that Envoy's streams come from: an actor, and the streams' inboxes."""
+    """One host that Envoy's streams come from: its actor and the inboxes of its streams."""
 
     def __init__(self, name: str, host: Host) -> None:
         self.numbers = itertools.count(1)
@@ -52,7 +52,7 @@
         self.front = FrontActor(ledger, host.dispatcher, self._deliver, self._on_protocol_error)
 
     def _on_protocol_error(self, detail: str) -> None:
-        """The numbers are given here, so it is no fault of the peer's."""
+        """Log a protocol violation; request numbers are assigned here, so it is an internal error."""
         LOG.error("internal-error", front=self.front.ledger.front, detail=repr(detail))
 
     def _deliver(self, messages: list[ToFront]) -> None:
@@ -64,15 +64,15 @@
 
 
 class StreamClosed(Exception):
-    """The stream is over, in good order or not."""
+    """The stream has ended, normally or not."""
 
 
 class AttemptRevoked(Exception):
-    """The attempt was taken back, or its server is gone: Envoy must reset the request."""
+    """The attempt was withdrawn or its server is gone; Envoy must reset the request."""
 
 
 class RequestStream:
-    """One stream, from the request headers to its end."""
+    """One stream and its request, from the request headers to the end of the stream."""
 
     def __init__(self, peer: Peer, host: Host, context: Any) -> None:
         self.peer, self.host, self.context = peer, host, context
@@ -86,9 +86,11 @@
         self.passthrough_count = 0
 
     def notify(self, event: Ask | Outcome | Cancel | Over) -> None:
+        """Pass an event to the front's actor."""
         self.peer.front.enqueue(event)
 
     async def run(self) -> None:
+        """Process the stream's messages; raises StreamClosed, AttemptRevoked, HeaderError or TimeoutError."""
         async with asyncio.timeout(REQUEST_HEADERS_TIMEOUT_S):
             first = await self._read()
         if first.WhichOneof("request") != "request_headers":
@@ -169,8 +171,10 @@
             await self._write(answer)
 
     async def _write(self, answer: ep.ProcessingResponse) -> None:
-        """gRPC can't take a write back: one that is not taken in time settles the request, and is waited for
-        by this stream alone."""
+        """Write a response; if the peer does not accept it in time, settle the request.
+
+        gRPC can't cancel a write, so this stream waits until the write ends; no other stream is delayed.
+        """
         limit = self.host.streams.blocked_ms / 1000.0
         watch = self.host.loop.call_later(limit, self.settle)
         try:
@@ -193,7 +197,7 @@
         return message
 
     async def _next(self) -> ep.ProcessingRequest | ToFront:
-        """Whatever comes first, of the stream or of the front's actor; the actor's word goes before."""
+        """Next message of the stream or of the front's actor; the actor's message is returned first."""
         if self.receiving is None and not self.inbox.empty():
             return self.inbox.get_nowait()
         if self.reading is None:
@@ -207,7 +211,7 @@
         return read.result()
 
     def settle(self) -> None:
-        """The stream is over, whatever the reason: what it had open is settled, once."""
+        """Settle what the stream has open, once, for whatever reason it ends."""
         if self.settled:
             return
         self.settled = True
@@ -220,12 +224,12 @@
         if self.stands:
             self.notify(Over(self.request, cut=False))
         else:
-            # Envoy ends the stream when its caller leaves or the upstream is reset: no outcome came.
+            # Envoy ends the stream without an outcome when its caller leaves or the upstream is reset.
             self.notify(Cancel(self.request))
 
 
 class ExternalProcessor:
-    """The service; a peer's actor stays as long as it has streams or calls."""
+    """The gRPC service; a peer's actor runs as long as the peer has streams or open calls."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
@@ -234,6 +238,7 @@
         self.tasks: set[asyncio.Task[Any]] = set()
 
     async def process(self, _: Any, context: Any) -> None:
+        """Handle one stream of the RPC ``Process``."""
         address = str(context.peer())
         name = "envoy:" + address.split(":", 1)[-1].rsplit(":", 1)[0]
         task = asyncio.current_task()
@@ -279,13 +284,15 @@
 
     def _release_peer(self, name: str) -> None:
         self.streams[name] -= 1
-        if not self.streams[name]:  # the next stream from there finds a new actor
+        if not self.streams[name]:  # the peer's next stream starts a new actor
             del self.streams[name]
             self.peers.pop(name).front.stop_when_idle()
 
     def fronts(self) -> list[FrontActor]:
+        """The actors of all connected peers."""
         return [peer.front for peer in self.peers.values()]
 
     def close(self) -> None:
+        """Cancel all streams."""
         for task in tuple(self.tasks):
             task.cancel()
--- a/martentide/net/extproc/front.py
+++ b/martentide/net/extproc/front.py
@@ -1,7 +1,7 @@
-"""The actor of one front: its ledger, its timers, and its side of the dispatcher's mailbox.
+"""The actor of one front: its ledger, its timers and its connection to the dispatcher.
 
-The dispatcher sees a Caller and a Carrier in one. What the ledger wants said goes to ``deliver`` in batches,
-in its order; whoever carries the stream passes it on.
+For the dispatcher it is both a Caller and a Carrier. Messages of the ledger go to ``deliver`` in batches and in
+order; the owner of the stream sends them.
 """
 
 from __future__ import annotations
@@ -34,15 +34,14 @@
 from martentide.net.close_reason import LOG
 from martentide.net.links import unix_ms
 
-MAX_UNREAD_FRAMES = (
-    16  # frames of one stream that wait in the mailbox at most; then the stream is read no further
-)
-MAX_EVENTS_PER_TURN = 256  # events taken before the rest of the program has its turn
+MAX_UNREAD_FRAMES = 16  # frames of one stream in the mailbox; at the limit, the stream is not read
+MAX_EVENTS_PER_TURN = 256  # events processed before yielding to the event loop
 
 Deliver = Callable[[list[ToFront]], None]
 
 
 def list_changed_event(listed: Iterable[Listed]) -> ListChanged:
+    """Convert entries of the server list to the ledger's event."""
     return ListChanged(
         tuple(
             ListedServer(listed_server.entry, f"{listed_server.host}:{listed_server.port}")
@@ -52,12 +51,15 @@
 
 
 def call_id(key: int) -> bytes:
-    """Nine bytes, so that it is no id of the platform's callers, who have eight."""
+    """Call id of a request: nine bytes, so that it can't equal the eight-byte id of a caller's call."""
     return b"x" + key.to_bytes(8, "big")
 
 
 class FrontActor:
-    """``trouble`` is told when the front breaks the protocol; its stream has to end then."""
+    """Actor of one front.
+
+    ``on_protocol_error`` is called when the front violates the protocol; it has to close the stream.
+    """
 
     def __init__(
         self,
@@ -84,11 +86,11 @@
         self.task = self.loop.create_task(self._run(), name=f"front {ledger.front}")
 
     def enqueue(self, item: Event | Sequence[Event]) -> None:
-        """Into the mailbox; a sequence is one frame of a stream, whose reader holds a credit for it."""
+        """Add to the mailbox; a sequence is one frame of a stream, for which its reader holds a credit."""
         self.mailbox.put_nowait(item)
 
     def stop_when_idle(self) -> None:
-        """The actor ends once its ledger is empty."""
+        """End the actor as soon as its ledger has no open request."""
         self.ended = True
         self.enqueue(())
 
@@ -114,7 +116,7 @@
             else:
                 self.idle.set()
             if not self.mailbox.empty():
-                await asyncio.sleep(0)  # a flood here must leave the rest of the program its turn
+                await asyncio.sleep(0)  # a busy front must not starve the other tasks
         for timer in self.timers.values():
             timer.cancel()
 
@@ -126,7 +128,7 @@
             effects = self.ledger.effects
             self.on_protocol_error(str(error))
         except Exception:
-            # Guards against a fault here: what the ledger had asked for is done, and timers end the rest.
+            # On an internal fault, apply the effects produced so far; timers end the remaining requests.
             LOG.exception("internal-error", front=self.ledger.front, item=type(event).__name__)
             effects = self.ledger.effects
         for effect in effects:
@@ -169,21 +171,24 @@
         self.timers.pop((key, kind), None)
         self.enqueue(Due(key, kind))
 
-    # ---- what the dispatcher says: Caller and Carrier -----------------------------------------------------
+    # ---- calls of the dispatcher: Caller and Carrier ------------------------------------------------------
 
     def answer(self, call: bytes, description: bytes) -> None:
-        """The front has said itself that the call stands."""
+        """Do nothing: the front itself reported that the call stands."""
 
     def refuse(self, call: bytes, hold_off: float) -> None:
+        """Refuse the call; ``hold_off`` in ms."""
         self.enqueue(Decided(int.from_bytes(call[1:], "big"), hold_off, self._held(call)))
 
     def fail(self, call: bytes) -> None:
+        """Fail the call."""
         self.enqueue(Decided(int.from_bytes(call[1:], "big"), None, self._held(call)))
 
     def release(self, call: bytes, cut: bool) -> None:
-        """The ledger has ended it itself."""
+        """Do nothing: the ledger itself ended the call."""
 
     def post(self, item: Order | Withdraw) -> None:
+        """Accept an order for an attempt, or its withdrawal."""
         key = int.from_bytes(item.call[1:], "big")
         if isinstance(item, Order):
             held = self._held(item.call)
@@ -192,8 +197,9 @@
             self.enqueue(TakeBack(key, item.ref, item.attempt, item.hang_up))
 
     def _held(self, call: bytes) -> bool:
-        """Whether the dispatcher answers later than in the event that put the question."""
+        """Whether the dispatcher answers later than in the event that brought the question."""
         return self.dispatcher.asking != call
 
     def stream_changed(self, event: Stream) -> None:
+        """Notify the ledger of a change of the stream."""
         self.enqueue(event)
--- a/martentide/net/extproc/host.py
+++ b/martentide/net/extproc/host.py
@@ -1,4 +1,4 @@
-"""What the services share: the dispatcher, the limits, the sessions and the operator's terms in force."""
+"""State that both services share: dispatcher, admission limits, sessions and the configuration in force."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Host:
-    """One for the program."""
+    """Shared state of the external processor's services; one per process."""
 
     def __init__(
         self, config: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
@@ -31,21 +31,25 @@
 
     @property
     def streams(self) -> StreamsNode:
+        """Limits of the streams."""
         return self.config.streams
 
     def lifecycle_settings(self, single_attempt: bool) -> LifecycleSettings:
+        """Lifecycle settings for a ledger, as configured now."""
         return self.config.lifecycle_settings(self.settings, single_attempt)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Other settings hold for what is asked from now on. The table of classes stays the same object:
-        each front's ledger looks into it."""
+        """Apply new settings to requests asked from now on.
+
+        The table of classes is updated in place, because each front's ledger refers to it.
+        """
         self.settings = settings
         self.classes.clear()
         self.classes.update({call_class.name: call_class for call_class in settings.classes})
         self.admission.top_worth = max((call_class.worth for call_class in settings.classes), default=1.0)
 
     def apply_config(self, config: ExternalProcessor) -> None:
-        """New figures hold for what comes from now on."""
+        """Apply a changed extras file to requests and sessions from now on."""
         self.config = config
         self.admission.set_limits(config.admission_limits())
         self.sessions.settings = config.session_settings()
--- a/martentide/net/extproc/server.py
+++ b/martentide/net/extproc/server.py
@@ -1,4 +1,4 @@
-"""The gRPC server of the external processor: both services on one listener, from its start to its end."""
+"""The gRPC server of the external processor: both services on one listener, from start to shutdown."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 DECISIONS = "martentide.decisions.v1.Decisions"
 EXT_PROC = "envoy.service.ext_proc.v3.ExternalProcessor"
-KEEPALIVE_MS = 10_000  # ms without a word on a connection until it is tested
-KEEPALIVE_TIMEOUT_MS = 5_000  # ms for that test
-SWITCH_INTERVAL_S = 0.0002  # s, in place of 5 ms
-FLUSH_TIMEOUT_S = 0.5  # s for last verdicts to leave
-RESTART_ONLY = ("listen", "services", "own_links", "streams")  # these wait for a restart
+KEEPALIVE_MS = 10_000  # idle time of a connection before a keepalive ping
+KEEPALIVE_TIMEOUT_MS = 5_000  # for the ping's answer
+SWITCH_INTERVAL_S = 0.0002  # the default is 5 ms
+FLUSH_TIMEOUT_S = 0.5  # for the last verdicts to be sent at shutdown
+RESTART_ONLY = ("listen", "services", "own_links", "streams")  # changes take effect after a restart
 
 
 class ExternalProcessorServer:
-    """Built where the extras file turns the mode on; nothing of it is imported otherwise."""
+    """The external processor's server; imported and created only if the extras file enables the mode."""
 
     def __init__(
         self, config: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
     ) -> None:
-        self.config = config
+        self.part = config
         self.host = Host(config, settings, dispatcher, seed)
         self.decisions, self.envoy = Decisions(self.host), Envoy(self.host)
         self.port = 0
@@ -70,24 +70,23 @@
         self.server.add_generic_rpc_handlers(tuple(handlers))
 
     async def start(self) -> None:
-        """Listen; raises OSError where the address can't be used."""
+        """Start listening; raises OSError if the address can't be used."""
         try:
-            self.port = self.server.add_insecure_port(self.config.listen)
+            self.port = self.server.add_insecure_port(self.part.listen)
         except RuntimeError as error:
-            raise OSError(f"external processor on {self.config.listen}: {error}") from None
+            raise OSError(f"external processor on {self.part.listen}: {error}") from None
         await self.server.start()
-        # What is loaded by now stays: looked through again and again by the collector, it costs pauses of
-        # some milliseconds each, which decisions would wait for.
+        # Objects loaded so far live until the process ends; scanning them in each garbage collection would
+        # delay decisions by pauses of some milliseconds.
         gc.collect()
         gc.freeze()
-        # gRPC hears of its sockets in a thread of its own, which waits this long for its turn.
+        # gRPC polls its sockets in a thread of its own, which waits up to this interval for the GIL.
         sys.setswitchinterval(SWITCH_INTERVAL_S)
-        host = self.config.listen.rpartition(":")[0]
-        log_event(
-            "external-processor", address=f"{host}:{self.port}", services=",".join(self.config.services)
-        )
+        host = self.part.listen.rpartition(":")[0]
+        log_event("external-processor", address=f"{host}:{self.port}", services=",".join(self.part.services))
 
     def fronts(self) -> list[FrontActor]:
+        """The actors of both services."""
         return [*self.decisions.fronts(), *self.envoy.fronts()]
 
     def _list_changed(self, listed: tuple[Listed, ...]) -> None:
@@ -97,15 +96,13 @@
         self.decisions.list_changed(listed)
 
     def settle(self, settings: Settings) -> None:
-        """Other settings hold for what is asked from now on; what is open keeps its class and attempts."""
+        """Apply new settings to requests asked from now on; open ones keep their class and attempts."""
         self.host.apply_settings(settings)
         self._update_lifecycle_settings()
 
     def change(self, config: ExternalProcessor) -> list[str]:
-        """New figures from the extras file; returns what waits for a restart."""
-        restart_needed = [
-            name for name in RESTART_ONLY if getattr(config, name) != getattr(self.config, name)
-        ]
+        """Apply a changed extras file; returns the keys whose change takes effect after a restart."""
+        restart_needed = [name for name in RESTART_ONLY if getattr(config, name) != getattr(self.part, name)]
         self.host.apply_config(config)
         self._update_lifecycle_settings()
         return restart_needed
@@ -117,14 +114,14 @@
             peer.front.ledger.settings = self.host.lifecycle_settings(single_attempt=True)
 
     def closing(self) -> None:
-        """New questions are refused from now on; open ones get their verdicts."""
+        """Refuse new questions from now on; open ones still get their verdicts."""
         self.host.closing = True
         self.decisions.go_away()
         for front in self.fronts():
             front.stream_changed(Stream.CLOSING)
 
     async def stop(self) -> None:
-        """All is answered: let the last words leave, then end the streams."""
+        """Flush the last messages, then close the streams; call it after the last verdict."""
         try:
             async with asyncio.timeout(FLUSH_TIMEOUT_S):
                 for front in self.fronts():
--- a/martentide/net/service.py
+++ b/martentide/net/service.py
@@ -106,7 +106,7 @@
     changed = terms != (config.settings, config.max_open, config.connect_timeout)
     if changed:
         settings = dataclasses.replace(settings, revision=settings.revision + 1)
-        told = for_decisions(settings, processor is None or processor.config.own_links)
+        told = for_decisions(settings, processor is None or processor.part.own_links)
         dispatcher.post(Settle(told, new.max_open, new.connect_timeout))
         if processor is not None:
             processor.settle(told)
