--- a/martentide/client/client.py
+++ b/martentide/client/client.py
@@ -1,4 +1,4 @@
-"""The client on gRPC: one stream to one proxy, many requests; it comes back after a break by itself."""
+"""The gRPC client: one stream to one proxy for many requests, with automatic reconnection."""
 
 from __future__ import annotations
 
@@ -32,18 +32,15 @@
 from martentide.interface import Ending
 
 METHOD = "/martentide.decisions.v1.Decisions/Decide"
-RECONNECT_DELAY_S = (
-    0.02,
-    1.0,
-)  # s before the next stream, the first time and at most; doubles with each that fails
-WELCOME_TIMEOUT_S = 2.0  # s in which a stream must be welcomed
-MAX_OPEN_CALLS = 50_000  # open at once; beyond, a question is refused here
-MAX_UNSENT_MESSAGES = 100_000  # messages that wait for a proxy that takes none, before its stream is given up
-WRITE_TIMEOUT_S = 2.0  # s that one write may take
-MAX_WAIT_MS = 600_000.0  # ms: the bound of a question that names no time left
-LEAVE_TIMEOUT_S = 0.5  # s for the last words of a client that is closed
-MAX_MESSAGES_PER_FRAME = 256  # messages written in one frame at most
-SESSION_LOST_CODES = (grpc.StatusCode.NOT_FOUND, grpc.StatusCode.INVALID_ARGUMENT)  # the session is no more
+RECONNECT_DELAY_S = (0.02, 1.0)  # first and longest delay; doubles after each failed stream
+WELCOME_TIMEOUT_S = 2.0  # for the proxy to send the welcome on a new stream
+MAX_OPEN_CALLS = 50_000  # further questions are refused by the client
+MAX_UNSENT_MESSAGES = 100_000  # the stream is cancelled if more messages wait for a proxy that reads none
+WRITE_TIMEOUT_S = 2.0
+MAX_WAIT_MS = 600_000.0  # for a question without a time left
+LEAVE_TIMEOUT_S = 0.5  # for a closing client to send its last messages
+MAX_MESSAGES_PER_FRAME = 256
+SESSION_LOST_CODES = (grpc.StatusCode.NOT_FOUND, grpc.StatusCode.INVALID_ARGUMENT)  # open a new session
 
 Verdict = Route | Refused | Failed | Standing | Cancelled
 
@@ -54,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """What came of one attempt. ``ending`` None: it stands; ``report``: the server's report as it came."""
+    """Outcome of one attempt. ``ending`` None: the call stands; ``report``: the server's load report, unparsed."""
 
     ending: Ending | None
     lines_full: bool = False
@@ -63,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """How ``Client.carry`` ended: the one final, the attempts made, and the call, which may stand."""
+    """Result of ``Client.carry``: the final verdict, the number of attempts, and the call, which may stand."""
 
     final: Refused | Failed | Standing | Cancelled
     attempts: int
@@ -71,7 +68,7 @@
 
 
 class Call:
-    """One request. ``verdict`` is the last one; a call that stands ends by ``over``."""
+    """One request. ``verdict`` is the last one received; a standing call is ended by ``over``."""
 
     def __init__(self, client: Client, request: int) -> None:
         self.client, self.request = client, request
@@ -86,17 +83,18 @@
 
     @property
     def final(self) -> bool:
+        """Whether the last verdict is a final one."""
         return self.verdict is not None and not isinstance(self.verdict, Route)
 
     async def next(self) -> Verdict:
-        """The next verdict: the answer to the question, or to the outcome reported last."""
+        """Wait for the next verdict, on the question or on the last reported outcome; raises ClientClosed."""
         verdict = await self.verdicts.get()
         if verdict is None:
             raise ClientClosed("the client was closed")
         return verdict
 
     def begin(self) -> bool:
-        """Say that the attempt's first byte goes out now. False: it must not; await ``next`` then."""
+        """Call immediately before sending the attempt's first byte. False: don't send it; await ``next``."""
         route = self.verdict
         if not isinstance(route, Route):
             return False
@@ -106,16 +104,16 @@
         return self.client.requests.begin(self.request)
 
     async def report(self, attempt: Attempt) -> Verdict:
-        """Say what came of the attempt; returns what follows from it."""
+        """Report the outcome of the attempt and wait for the next verdict."""
         self.client.report(self, attempt)
         return await self.next()
 
     def cancel(self) -> None:
-        """The caller has left. What was out has been given up; nothing more comes."""
+        """Cancel the request: the caller has left and any attempt was given up. No further verdict follows."""
         self.client.cancel(self)
 
     def over(self, cut: bool = False, report: str = "") -> None:
-        """A call that stood is over."""
+        """Report that the standing call has ended; ``cut``: it was cut off."""
         self.client.over(self, cut, report)
 
     def _receive(self, message: ToFront) -> None:
@@ -150,9 +148,9 @@
 
 
 class Client:
-    """Connects to the first of ``addresses`` that welcomes it, and stays with it until it breaks for good.
+    """Connects to the first of ``addresses`` that accepts it, and moves on only when its session is lost.
 
-    ``tap`` sees each message as it goes on the wire or came from it, for logs and tests.
+    ``tap`` is called with each message sent or received, for logs and tests.
     """
 
     def __init__(
@@ -184,8 +182,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Take leave: say what is still to be said and end the stream. Calls that wait for a verdict raise
-        ClientClosed."""
+        """Send outstanding messages and close the session. Calls that wait for a verdict raise ClientClosed."""
         if self.task is not None:
             await self._send_leave()
             self.task.cancel()
@@ -204,7 +201,7 @@
                 while self.connected.is_set():
                     await asyncio.sleep(0.005)
         except TimeoutError:
-            return  # the proxy does not hear; the cancel that follows ends the stream
+            return  # the proxy does not respond; cancelling the task then ends the stream
 
     # ---- calls --------------------------------------------------------------------------------------------
 
@@ -215,8 +212,11 @@
         time_left: float | None = None,
         first_choice: int = -1,
     ) -> Call:
-        """Ask about a request; returns with its first verdict. ``time_left`` ms: there is a verdict by then,
-        from the proxy or, should it be out of reach, a refusal made here."""
+        """Ask about a request and wait for its first verdict.
+
+        A verdict arrives within ``time_left`` ms: the proxy's, or a refusal by the client if the proxy is
+        unreachable.
+        """
         call = self.ask_nowait(call_class, number, time_left, first_choice)
         try:
             await call.next()
@@ -232,7 +232,7 @@
         time_left: float | None = None,
         first_choice: int = -1,
     ) -> Call:
-        """The same without waiting: ``await call.next()`` brings the verdict."""
+        """Like ``ask``, without waiting: ``await call.next()`` returns the verdict."""
         now = self.loop.time() * 1000.0
         call = Call(self, self.requests.ask(call_class, number, time_left, first_choice, now))
         self.calls[call.request] = call
@@ -245,23 +245,26 @@
         return call
 
     def report(self, call: Call, attempt: Attempt) -> None:
+        """Send the outcome of an attempt."""
         lag = (self.loop.time() - call.routed_at) * 1000.0
         self.requests.report(call.request, attempt.ending, lag, attempt.lines_full, attempt.report)
         self._flush()
 
     def cancel(self, call: Call) -> None:
+        """Cancel a request."""
         self.requests.cancel(call.request)
         call._receive(Cancelled(call.request))
         call._finish()
         self._flush()
 
     def over(self, call: Call, cut: bool = False, report: str = "") -> None:
+        """Report the end of a standing call."""
         self.requests.over(call.request, cut, report)
         call._finish()
         self._flush()
 
     def _on_deadline(self, call: Call) -> None:
-        """No final in time: the caller gets one made here, and the proxy is told that nobody waits."""
+        """Without a final verdict in time, make one here and cancel the request at the proxy."""
         if call.final:
             return
         routed = isinstance(call.verdict, Route)
@@ -279,10 +282,10 @@
         time_left: float | None = None,
         first_choice: int = -1,
     ) -> Carried:
-        """Ask, make the attempts, report them, until the final.
+        """Ask about a request, make and report the attempts, and return the final verdict.
 
-        ``attempt`` sets the call up at the route's address. It is cancelled when its patience is over or the
-        proxy withdraws it, and must give the set-up up then; an exception from it counts as an error.
+        ``attempt`` sets the call up at the route's address. It is cancelled when its patience ends or the proxy
+        withdraws it, and must then give up the set-up; an exception raised by it counts as an error.
         """
         call = self.ask_nowait(call_class, number, time_left, first_choice)
         attempts = 0
@@ -322,7 +325,7 @@
         finally:
             for task in (attempt_task, revoked):
                 task.cancel()
-            # The give-up is written before the outcome is said, and before any other attempt.
+            # Wait until the attempt has given up before reporting it and before any other attempt.
             await asyncio.gather(attempt_task, revoked, return_exceptions=True)
 
     # ---- the stream ---------------------------------------------------------------------------------------
@@ -331,7 +334,7 @@
         if self.requests.to_send:
             self.wake.set()
         if len(self.requests.to_send) > MAX_UNSENT_MESSAGES and self.stream is not None:
-            self.stream.cancel()  # what was said is settled by the next welcome
+            self.stream.cancel()  # unsent messages are settled by the next welcome
 
     async def _run(self) -> None:
         delay, address_index = RECONNECT_DELAY_S[0], 0
@@ -350,7 +353,7 @@
                 welcomed = False
                 address_index += not self.token
             except asyncio.CancelledError:
-                # gRPC raises it also where only the stream was cancelled.
+                # gRPC also raises it if only the stream was cancelled.
                 task = asyncio.current_task()
                 if task is not None and task.cancelling():
                     raise
@@ -368,7 +371,7 @@
             await asyncio.sleep(delay * random.uniform(0.5, 1.0))
 
     async def _run_stream(self, channel: Any) -> bool:
-        """One stream, from Hello to its end."""
+        """Run one stream from Hello to its end; returns whether the proxy sent a welcome."""
         method = channel.stream_stream(
             METHOD,
             request_serializer=pb.FrontFrame.SerializeToString,
@@ -410,7 +413,7 @@
                 batch = unsent[start : start + MAX_MESSAGES_PER_FRAME]
                 unix_offset = (
                     time.time() * 1000.0 - self.loop.time() * 1000.0
-                )  # from this loop's clock to Unix time
+                )  # offset of Unix time from the loop's clock
                 encoded = [
                     encode_front_message(
                         message, report, message.at + unix_offset if isinstance(message, Ask) else None
--- a/martentide/client/state.py
+++ b/martentide/client/state.py
@@ -1,7 +1,8 @@
-"""What a front knows of its own requests: the client's half of ``martentide.decisions.v1``, without I/O.
+"""State of a front's own requests: the client side of ``martentide.decisions.v1``, without I/O.
 
-It passes on each route and each final once, whatever is repeated or crosses on the wire, answers for what
-nobody waits for any more, and says after a break what is lost and what may be asked anew.
+It delivers each route and each final verdict once, even if messages are repeated or cross on the wire, answers
+messages for requests that are already closed, and decides after a broken stream what is lost and what is asked
+again.
 """
 
 from __future__ import annotations
@@ -33,15 +34,17 @@
 
 
 class Phase(Enum):
+    """Phase of an open request."""
+
     ASKED = "asked"  # no verdict yet
-    ROUTED = "routed"  # an attempt may be out
-    REPORTED = "reported"  # its outcome is said, the next verdict is to come
+    ROUTED = "routed"  # an attempt may be in flight
+    REPORTED = "reported"  # its outcome is reported, the next verdict is pending
     STANDS = "stands"
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """One request of this front that is not closed."""
+    """One open request of this front."""
 
     ask: Ask
     phase: Phase = Phase.ASKED
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """For the front's own code: a route, a final, a withdrawal or a release, each once."""
+    """A route, final verdict, withdrawal or release to deliver to the front's code, once each."""
 
     request: int
     message: ToFront
@@ -62,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renumbered:
-    """A question that went down with its stream is asked anew, under another number."""
+    """A question lost with its stream is asked again under a new number."""
 
     old_request: int
     new_request: int
@@ -72,12 +75,12 @@
 
 
 class RequestTable:
-    """All requests of one front. ``to_send`` fills with what is to be written, in order."""
+    """All requests of one front. ``to_send`` collects the messages to write, in order."""
 
     def __init__(self) -> None:
         self.open_requests: dict[int, OpenRequest] = {}
         self.last_request = 0
-        self.to_send: list[tuple[FromFront, str]] = []  # and the server's report as it came
+        self.to_send: list[tuple[FromFront, str]] = []  # with the server's report, unparsed
         self.counts: Counter[str] = Counter()
         self.connected = False
 
@@ -94,7 +97,7 @@
         return self.last_request
 
     def begin(self, request: int) -> bool:
-        """The first byte of the attempt is about to be sent: False where it must not be any more."""
+        """Mark the attempt as begun, before its first byte is sent; False if it must no longer be sent."""
         entry = self.open_requests.get(request)
         if entry is None or entry.phase is not Phase.ROUTED:
             return False
@@ -109,7 +112,7 @@
         lines_full: bool = False,
         report: str = "",
     ) -> Outcome | None:
-        """Say what came of the attempt; None where nothing is to be said any more."""
+        """Report the outcome of the attempt; None if there is nothing left to report."""
         entry = self.open_requests.get(request)
         if entry is None or entry.phase is not Phase.ROUTED:
             return None
@@ -121,10 +124,12 @@
         return outcome
 
     def cancel(self, request: int) -> None:
+        """Close a request whose caller has left."""
         if self.open_requests.pop(request, None) is not None and self.connected:
             self.to_send.append((Cancel(request), ""))
 
     def over(self, request: int, cut: bool, report: str = "") -> None:
+        """Report the end of a standing call."""
         entry = self.open_requests.get(request)
         if entry is not None and entry.phase is Phase.STANDS:
             del self.open_requests[request]
@@ -134,6 +139,7 @@
     # ---- the proxy ----------------------------------------------------------------------------------------
 
     def handle(self, message: ToFront, now: float) -> list[Result]:
+        """Process a message of the proxy; ``now`` in ms."""
         if isinstance(message, Welcomed):
             return self._welcomed(message, now)
         request = message.request
@@ -163,11 +169,11 @@
     def _route(self, entry: OpenRequest, route: Route) -> list[Result]:
         if route.attempt == entry.attempt:
             if entry.phase is Phase.REPORTED and entry.outcome is not None:
-                self.to_send.append((entry.outcome, entry.report))  # it went down with the last stream
+                self.to_send.append((entry.outcome, entry.report))  # it was lost with the last stream
             self.counts["repeated_routes"] += 1
             return []
         if entry.phase in (Phase.ROUTED, Phase.STANDS):
-            # Guards the rule of one attempt at a time against a proxy that forgets it.
+            # Enforces one attempt at a time even if the proxy routes a second one.
             self.counts["two_out"] += 1
             return []
         entry.phase, entry.attempt, entry.begun, entry.outcome = Phase.ROUTED, route.attempt, False, None
@@ -191,22 +197,22 @@
         return []
 
     def _on_unknown_request(self, message: ToFront) -> None:
-        """Nobody waits for it: it was cancelled, or had its final."""
+        """Handle a message for a request that was cancelled or has its final verdict."""
         if isinstance(message, Route):
             unused = Outcome(message.request, message.attempt, Ending.NOT_SENT, 0.0)
             self.to_send.append((unused, ""))
         elif not isinstance(message, Cancelled | Withdrawn):
             self.counts["unwanted"] += 1
 
-    # ---- breaks -------------------------------------------------------------------------------------------
+    # ---- broken streams -----------------------------------------------------------------------------------
 
     def stream_ended(self) -> None:
-        """The stream ended: nothing is sent until the next welcome."""
+        """Discard unsent messages; nothing is sent until the next welcome."""
         self.connected = False
         self.to_send.clear()
 
     def _welcomed(self, welcome: Welcomed, now: float) -> list[Result]:
-        """Go on with what the proxy holds, ask anew what had no verdict, and settle the rest."""
+        """Resume the requests the proxy still has, ask again those without a verdict, and settle the rest."""
         self.connected = True
         standing, results = set(welcome.standing), list[Result]()
         known_to_proxy = standing.union(welcome.routed)
@@ -215,11 +221,11 @@
         for request, entry in list(self.open_requests.items()):
             if request in known_to_proxy:
                 if entry.phase is Phase.REPORTED and request in standing:
-                    entry.phase = Phase.STANDS  # its final went down with the last stream
+                    entry.phase = Phase.STANDS  # its final was lost with the last stream
                     results.append(Delivery(request, Standing(request)))
                 continue
             if entry.phase is Phase.STANDS or (entry.outcome is not None and entry.outcome.ending is None):
-                # It stands between its caller and the server; only the proxy's count of it is lost.
+                # The call stands between caller and server; only the proxy's count of it is lost.
                 del self.open_requests[request]
                 if entry.phase is not Phase.STANDS:
                     results.append(Delivery(request, Standing(request)))
--- a/martentide/grpc_engine.py
+++ b/martentide/grpc_engine.py
@@ -1,9 +1,9 @@
-"""Imported before ``grpc``: which of its engines drives the sockets.
+"""Selects gRPC's polling engine; must be imported before ``grpc``.
 
-gRPC's event engine hands each read and write over to a pool of threads, which wakes another processor each
-time. With asyncio beside it that cost, on an echo of 500 messages a second, half of the processor time and
-most of the delay (p99 0.8 ms without the pool, 5 to 20 ms with it; docs/design/external-processor.md). An
-operator's own GRPC_EXPERIMENTS goes before.
+gRPC's event engine hands each read and write to a thread pool, which wakes another CPU each time. Together with
+asyncio, on an echo of 500 messages per second, it took half of the CPU time and most of the latency (p99 0.8 ms
+without the pool, 5 to 20 ms with it; docs/design/external-processor.md). A GRPC_EXPERIMENTS set by the operator
+takes precedence.
 """
 
 import os
--- a/martentide/net/extproc/envoy.py
+++ b/martentide/net/extproc/envoy.py
@@ -1,6 +1,6 @@
 """Envoy's ``envoy.service.ext_proc.v3.ExternalProcessor``: one stream carries one request.
 
-The request headers are the question, the response headers the outcome, and the end of the stream is the end of
+The request headers are the question, the response headers the outcome; the end of the stream is the end of
 the call. Envoy makes one attempt; on failure its caller gets the reason and a retry time.
 """
 
--- a/martentide/net/extproc/front.py
+++ b/martentide/net/extproc/front.py
@@ -1,7 +1,7 @@
 """The actor of one front: its ledger, its timers and its connection to the dispatcher.
 
-For the dispatcher it is both a Caller and a Carrier. Messages of the ledger go to ``deliver`` in batches and in
-order; the owner of the stream sends them.
+For the dispatcher it is both a Caller and a Carrier. Messages of the ledger go to ``deliver`` in batches and
+in order; the owner of the stream sends them.
 """
 
 from __future__ import annotations
