--- a/martentide/client/__init__.py
+++ b/martentide/client/__init__.py
@@ -4,8 +4,8 @@
         call = await client.ask("qualified-sign", number="7f3a", time_left=3000)
         if isinstance(call.verdict, Route): ...
 
-``Client.carry`` handles a whole request: it asks, runs the ordered attempts, reports their outcomes, and returns
-the final verdict. ``examples/`` has a program for each of the two ways.
+``Client.carry`` handles a whole request: it asks, runs the ordered attempts, reports their outcomes, and
+returns the final verdict. ``examples/`` has a program for each of the two ways.
 """
 
 from martentide.client.client import Attempt, Call, Carried, Client, ClientClosed
--- a/martentide/client/client.py
+++ b/martentide/client/client.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """Outcome of one attempt. ``ending`` None: the call stands; ``report``: the server's load report, unparsed."""
+    """Outcome of one attempt. ``ending`` None: the call stands; ``report``: the server's raw load report."""
 
     ending: Ending | None
     lines_full: bool = False
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """Result of ``Client.carry``: the final verdict, the number of attempts, and the call, which may stand."""
+    """Result of ``Client.carry``: the final verdict, the number of attempts and the call, which may stand."""
 
     final: Refused | Failed | Standing | Cancelled
     attempts: int
@@ -77,7 +77,7 @@
         self.verdict: Verdict | None = None
         self.routed_at = 0.0
         self.revoked = asyncio.Event()  # the attempt must be given up, and released if it stands
-        self.released = asyncio.Event()  # the call stood and is over at its server
+        self.released = asyncio.Event()  # the standing call has ended at its server
         self.timer: asyncio.TimerHandle | None = None
         self.asked_at = self.loop.time()
 
@@ -94,7 +94,10 @@
         return verdict
 
     def begin(self) -> bool:
-        """Call immediately before sending the attempt's first byte. False: don't send it; await ``next``."""
+        """Mark the attempt as begun, before its first byte is sent.
+
+        False: the byte must not be sent; await ``next``.
+        """
         route = self.verdict
         if not isinstance(route, Route):
             return False
@@ -104,12 +107,12 @@
         return self.client.requests.begin(self.request)
 
     async def report(self, attempt: Attempt) -> Verdict:
-        """Report the outcome of the attempt and wait for the next verdict."""
+        """Report the outcome of the attempt and wait for the next verdict; raises ClientClosed."""
         self.client.report(self, attempt)
         return await self.next()
 
     def cancel(self) -> None:
-        """Cancel the request: the caller has left and any attempt was given up. No further verdict follows."""
+        """Cancel the request: the caller has left and any attempt was given up. No verdict follows."""
         self.client.cancel(self)
 
     def over(self, cut: bool = False, report: str = "") -> None:
@@ -182,7 +185,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Send outstanding messages and close the session. Calls that wait for a verdict raise ClientClosed."""
+        """Send the outstanding messages and leave. Calls that wait for a verdict raise ClientClosed."""
         if self.task is not None:
             await self._send_leave()
             self.task.cancel()
@@ -284,8 +287,8 @@
     ) -> Carried:
         """Ask about a request, make and report the attempts, and return the final verdict.
 
-        ``attempt`` sets the call up at the route's address. It is cancelled when its patience ends or the proxy
-        withdraws it, and must then give up the set-up; an exception raised by it counts as an error.
+        ``attempt`` sets the call up at the route's address. It is cancelled when its patience ends or the
+        proxy withdraws it, and must then give up the set-up; an exception raised by it counts as an error.
         """
         call = self.ask_nowait(call_class, number, time_left, first_choice)
         attempts = 0
--- a/martentide/client/state.py
+++ b/martentide/client/state.py
@@ -1,8 +1,8 @@
 """State of a front's own requests: the client side of ``martentide.decisions.v1``, without I/O.
 
-It delivers each route and each final verdict once, even if messages are repeated or cross on the wire, answers
-messages for requests that are already closed, and decides after a broken stream what is lost and what is asked
-again.
+It delivers each route and each final verdict once, even if messages are repeated or cross on the wire,
+answers messages for requests that are already closed, and decides after a broken stream what is lost and what
+is asked again.
 """
 
 from __future__ import annotations
@@ -89,6 +89,7 @@
     def ask(
         self, call_class: str, number: str | None, time_left: float | None, first_choice: int, now: float
     ) -> int:
+        """Open a request and return its number; ``time_left`` and ``now`` in ms."""
         self.last_request += 1
         ask = Ask(self.last_request, call_class, number, time_left, first_choice, now)
         self.open_requests[self.last_request] = OpenRequest(ask)
--- a/martentide/extras.py
+++ b/martentide/extras.py
@@ -1,7 +1,7 @@
-"""The extras file (KDL): what is turned on beside the platform's protocol, and its figures.
+"""The extras file (KDL): enables and configures the subsystems beside the platform's protocol.
 
-Every fault names the file, the node and the property, what was found and what was expected. A subsystem that
-the file does not name is off. ``deploy/extras.example.kdl`` shows all there is.
+Each error names the file, the node and the property, the value found and the value expected. A subsystem that
+the file does not name is disabled. ``deploy/extras.example.kdl`` shows all nodes.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from martentide.interface import Settings
 from martentide.learned.pacing import Pace
 
-MAX_FILE_BYTES = 1024 * 1024  # bytes
-MAX_SERVICES = 63  # services of a proxy beside its own
+MAX_FILE_BYTES = 1024 * 1024
+MAX_SERVICES = 63  # services that a proxy calls, beside its own
 
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000_000)]
 Millis = Annotated[float, msgspec.Meta(ge=0, le=600_000)]
@@ -35,14 +35,16 @@
 
 
 class ExtrasError(Exception):
-    """The extras file can't be used; the text is one line."""
+    """The extras file is invalid or can't be read; the text is one line."""
 
 
 class Node(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """One node's properties."""
+    """Base of the structs that hold the properties of one node."""
 
 
 class LimitsNode(Node, frozen=True):
+    """Admission limits of fronts."""
+
     pending_each: Count = 500
     pending_all: Count = 2_000
     open_each: Count = 5_000
@@ -54,6 +56,8 @@
 
 
 class TimesNode(Node, frozen=True):
+    """Times of the request lifecycle, in ms."""
+
     verdict_margin_ms: Millis = 20.0
     report_margin_ms: Millis = 40.0
     valid_for_ms: Annotated[float, msgspec.Meta(ge=10, le=1_800)] = 1_000.0  # the drain rule allows 2 s
@@ -62,20 +66,24 @@
 
 
 class SessionsNode(Node, frozen=True):
+    """Lease and limits of sessions."""
+
     lease_ms: Annotated[float, msgspec.Meta(ge=0, le=60_000)] = 2_000.0
     most: Count = 64
     most_each: Count = 8
 
 
 class StreamsNode(Node, frozen=True):
+    """Limits of streams."""
+
     most_message_bytes: Annotated[int, msgspec.Meta(ge=1_024, le=4_194_304)] = 65_536
     most_streams: Count = 2_000  # of one connection
-    most_unsent: Count = 10_000  # messages that wait for a front that does not read
-    blocked_ms: Millis = 2_000.0  # so long may one write take
+    most_unsent: Count = 10_000  # messages queued for a front that does not read
+    blocked_ms: Millis = 2_000.0  # timeout of one write
 
 
 class HeadersNode(Node, frozen=True):
-    """Names of the HTTP headers that carry what the decisions need, and what they decide."""
+    """Names of the HTTP headers that carry questions and decisions."""
 
     call_class: Header = "x-call-class"
     deadline_ms: Header = "x-call-deadline-ms"
@@ -88,19 +96,23 @@
 
 
 class StatusNode(Node, frozen=True):
-    """What HTTP statuses of a server mean as the end of an attempt; others of 400 and more are errors."""
+    """HTTP status codes of attempt outcomes (other codes from 400 are errors) and of final verdicts."""
 
     full: Status = 503
     timed_out: Status = 504
     unreachable: Status = 502
-    refusal: Status = 503  # what the caller gets for a refusal
-    failure: Status = 502  # and for a failure
+    refusal: Status = 503  # sent to the caller for a refusal
+    failure: Status = 502  # sent to the caller for a failure
 
 
 class ExternalProcessor(msgspec.Struct, frozen=True):
+    """The node ``external-processor``."""
+
     listen: str
     services: tuple[str, ...] = ("decisions", "ext-proc")
-    own_links: bool = True  # the program also dials the servers itself, to test them and hear their state
+    own_links: bool = (
+        True  # the process also connects to the servers itself, for health checks and their state
+    )
     limits: LimitsNode = LimitsNode()
     times: TimesNode = TimesNode()
     sessions: SessionsNode = SessionsNode()
@@ -109,6 +121,7 @@
     statuses: StatusNode = StatusNode()
 
     def admission_limits(self) -> Limits:
+        """Convert the limits for the admission control."""
         one = self.limits
         return Limits(
             pending_each=one.pending_each,
@@ -122,6 +135,7 @@
         )
 
     def lifecycle_settings(self, settings: Settings, single_attempt: bool) -> LifecycleSettings:
+        """Combine the node's times with the settings for a ledger."""
         times = self.times
         return LifecycleSettings(
             verdict_margin=times.verdict_margin_ms,
@@ -135,23 +149,31 @@
         )
 
     def session_settings(self) -> SessionSettings:
+        """Convert the session limits."""
         return SessionSettings(self.sessions.lease_ms, self.sessions.most, self.sessions.most_each)
 
 
 class TimesOfState(Node, frozen=True):
+    """Period of saves of learned state and minimum gap between them, in ms."""
+
     period_ms: Annotated[float, msgspec.Meta(ge=50, le=600_000)] = 1_000.0
     gap_ms: Annotated[float, msgspec.Meta(ge=10, le=600_000)] = 200.0
 
 
 class LearnedState(msgspec.Struct, frozen=True):
+    """The node ``learned-state``."""
+
     folder: str
     times: TimesOfState = TimesOfState()
 
     def pace(self) -> Pace:
+        """Convert the times."""
         return Pace(period=self.times.period_ms, gap=self.times.gap_ms)
 
 
 class TimesOfFleet(Node, frozen=True):
+    """Times of the fleet's membership protocol, in ms."""
+
     period_ms: Annotated[float, msgspec.Meta(ge=50, le=10_000)] = 200.0
     probe_timeout_ms: Annotated[float, msgspec.Meta(ge=10, le=5_000)] = 90.0
     suspicion_ms: Annotated[float, msgspec.Meta(ge=200, le=60_000)] = 1_200.0
@@ -159,22 +181,26 @@
 
 
 class LimitsOfFleet(Node, frozen=True):
+    """Limits of the fleet: gossip bandwidth in bytes per second, and number of members."""
+
     bytes_s: Annotated[float, msgspec.Meta(ge=1_000, le=10_000_000)] = 5_000.0
     most_members: Annotated[int, msgspec.Meta(ge=2, le=8_192)] = 2_048
 
 
 class AgreementPart(msgspec.Struct, frozen=True):
-    """Versions of rules that the fleet agrees on; ``voters`` by the proxies' names. Without a folder a voter
-    that ends has lost its books."""
+    """The fleet's agreement on rule versions; ``voters`` are names of proxies.
+
+    Without a folder, a voter loses its persistent state when it ends.
+    """
 
     voters: tuple[str, ...]
     bound_ms: float = 2_000.0
     folder: str = ""
-    rules: str = ""  # a file that is proposed at SIGHUP where it differs from what is in force
+    rules: str = ""  # file proposed at SIGHUP if it differs from the rules in force
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """Proxies that know each other; ``advertise``: the address that others are told, where it is another."""
+    """Membership in a fleet of proxies; ``advertise``: the address announced to others, if not ``listen``."""
 
     name: str
     listen: tuple[str, int]
@@ -182,12 +208,13 @@
     advertise: tuple[str, int] | None = None
     seeds: tuple[tuple[str, int], ...] = ()
     secret: str = ""
-    overload: bool = False  # handled together with the other members
+    overload: bool = False  # share overload control with the other members
     agreement: AgreementPart | None = None
     times: TimesOfFleet = TimesOfFleet()
     limits: LimitsOfFleet = LimitsOfFleet()
 
     def terms(self) -> FleetTerms:
+        """Convert the times and limits for the membership protocol."""
         times = self.times
         return FleetTerms(
             period=times.period_ms,
@@ -201,7 +228,7 @@
 
 
 class ControlAddress(msgspec.Struct, frozen=True):
-    """A control node as others are configured with it; ``gossip``: where other nodes reach it."""
+    """Addresses of a control node; ``gossip``: its address for other control nodes."""
 
     name: str
     region: str
@@ -209,11 +236,12 @@
     gossip: tuple[str, int] = ("", 0)
 
     def info(self) -> NodeInfo:
+        """Name and region of the node."""
         return NodeInfo(self.name, self.region)
 
 
 class ControlTierPart(msgspec.Struct, frozen=True):
-    """A proxy that takes a lease of a control node. ``server``: its own session server, by name."""
+    """A proxy that takes a lease from a control node. ``server``: name of its own session server."""
 
     fleet: str
     region: str
@@ -225,11 +253,12 @@
     secret: str = ""
 
     def infos(self) -> tuple[NodeInfo, ...]:
+        """Names and regions of all control nodes."""
         return tuple(one.info() for one in self.nodes)
 
 
 class ControlNodePart(msgspec.Struct, frozen=True):
-    """What ``martentide control`` runs: the node ``name`` of ``nodes``."""
+    """The control node run by ``martentide control``: the node ``name`` of ``nodes``."""
 
     fleet: str
     name: str
@@ -237,14 +266,16 @@
     secret: str = ""
 
     def infos(self) -> tuple[NodeInfo, ...]:
+        """Names and regions of all control nodes."""
         return tuple(one.info() for one in self.nodes)
 
     def own(self) -> ControlAddress:
+        """Addresses of this node."""
         return next(one for one in self.nodes if one.name == self.name)
 
 
 class Extras(msgspec.Struct, frozen=True):
-    """The whole file; what is None is off."""
+    """Contents of the file; a subsystem that is None is disabled."""
 
     path: str
     external_processor: ExternalProcessor | None = None
@@ -255,10 +286,11 @@
 
     @property
     def dials(self) -> bool:
-        """Whether the program dials session servers itself."""
+        """Whether the process itself connects to session servers."""
         return self.external_processor is None or self.external_processor.own_links
 
     def summary(self) -> str:
+        """One line that lists the enabled subsystems."""
         on = []
         if (front := self.external_processor) is not None:
             on.append(f"external processor ({', '.join(front.services)}) on {front.listen}")
@@ -286,7 +318,7 @@
 
 
 def load_extras(path: str, settings: Settings | None) -> Extras:
-    """Read and check the file; raises ExtrasError. ``settings``: None for a program without any."""
+    """Read and validate the file; raises ExtrasError. ``settings``: None for a process without settings."""
     try:
         with Path(path).open("rb") as file:
             raw = file.read(MAX_FILE_BYTES + 1)
@@ -302,6 +334,7 @@
 
 
 def read_extras(text: str, path: str, settings: Settings | None) -> Extras:
+    """Parse and validate the file's text; ``path`` is used in messages. Raises ExtrasError."""
     try:
         document = ckdl.parse(text)
     except ckdl.ParseError as error:
@@ -312,20 +345,20 @@
         if node.name not in TOP_LEVEL_NODES:
             raise ExtrasError(f"{where}: unknown node{_suggestion(node.name, list(TOP_LEVEL_NODES))}")
         if node.name in found:
-            raise ExtrasError(f"{where}: stands there twice")
+            raise ExtrasError(f"{where}: appears twice")
         if node.args or node.properties:
-            raise ExtrasError(f"{where}: takes no values of its own, its figures stand in nodes inside")
+            raise ExtrasError(f"{where}: takes no values of its own, its values belong in child nodes")
         found[node.name] = TOP_LEVEL_NODES[node.name](node, path)
     for name in ("fleet", "control-tier"):
         if name in found and settings is not None and not settings.may_tell_peers:
             raise ExtrasError(
-                f"{path}: {name}: the settings forbid talk between proxies (limits.peers is false)"
+                f"{path}: {name}: the settings forbid messages between proxies (limits.peers is false)"
             )
     return Extras(path, **{name.replace("-", "_"): part for name, part in found.items()})
 
 
 def _error_line(text: str) -> int:
-    """The first line up to which the text can't be the beginning of a document."""
+    """Number of the first line at which the text can no longer be the beginning of a document."""
     lines = text.splitlines()
     for count in range(1, len(lines) + 1):
         try:
@@ -387,7 +420,7 @@
 
 
 def _ipv4_address(text: Any, where: str) -> tuple[str, int]:
-    """An address of datagrams: members are told it as it is, so it is not looked up."""
+    """Parse a UDP address; it is announced to members unchanged, so it must not need name resolution."""
     host, port = _host_port(text, where)
     try:
         return str(ipaddress.IPv4Address(host)), port
@@ -398,7 +431,7 @@
 def _fleet(node: ckdl.Node, path: str) -> Fleet:
     where = f"{path}: {node.name}"
     values: dict[str, Any] = {}
-    texts = {"name": 64, "zone": 64, "secret": 256}  # and their longest
+    texts = {"name": 64, "zone": 64, "secret": 256}  # maximum length in bytes
     addresses = ("listen", "advertise")
     parts: dict[str, type[Node]] = {"times": TimesOfFleet, "limits": LimitsOfFleet}
     for child, here in _children(node, where):
@@ -460,7 +493,7 @@
 
 
 def _control_tier(node: ckdl.Node, path: str) -> ControlTierPart:
-    """``region``, ``zone``, ``service`` and ``calls`` say who asks for what; ``nodes`` whom it asks."""
+    """Parse ``control-tier``: the lease to ask for, and the ``nodes`` to ask."""
     where = f"{path}: {node.name}"
     texts = {"fleet": 64, "secret": 256, "region": 32, "zone": 32, "service": 32, "server": 64}
     values = _control_values(node, where, texts, gossip=False)
@@ -529,12 +562,12 @@
 
 
 def _children(node: ckdl.Node, where: str) -> Iterator[tuple[ckdl.Node, str]]:
-    """The nodes inside and where each stands; each name once."""
+    """Child nodes, each with its path for messages; raises ExtrasError for a repeated name."""
     seen: set[str] = set()
     for child in node.children:
         here = f"{where}/{child.name}"
         if child.name in seen:
-            raise ExtrasError(f"{here}: stands there twice")
+            raise ExtrasError(f"{here}: appears twice")
         seen.add(child.name)
         yield child, here
 
@@ -556,8 +589,10 @@
         try:
             msgspec.convert({name: value}, kind)
         except msgspec.ValidationError as error:
-            said = str(error).split(" - at ")[0]
-            raise ExtrasError(f"{where}: {name}: {said[0].lower()}{said[1:]}, found {value!r}") from None
+            message = str(error).split(" - at ")[0]
+            raise ExtrasError(
+                f"{where}: {name}: {message[0].lower()}{message[1:]}, found {value!r}"
+            ) from None
     return msgspec.convert(node.properties, kind)
 
 
