--- a/tests/extproc/support.py
+++ b/tests/extproc/support.py
@@ -1,4 +1,4 @@
-"""The one helper of the external processor's tests: a ledger between a model of the module and of a front."""
+"""Test harness of the external processor: a ledger between models of the decision module and of a front."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class LedgerHarness:
-    """Feeds one ledger, keeps its timers, and checks on every effect what must hold whatever happens."""
+    """Feeds events to one ledger, runs its timers, and checks the invariants on every effect."""
 
     def __init__(self, settings: LifecycleSettings | None = None, limits: Limits | None = None) -> None:
         self.now = START
@@ -67,14 +67,14 @@
         self.sent: list[ToFront] = []
         self.effects: list[Effect] = []
         self.requests_by_key: dict[int, int] = {}  # request by key
-        self.deadlines: dict[int, float] = {}  # when the caller's time is over
+        self.deadlines: dict[int, float] = {}  # caller's deadline by request
         self.finals: Counter[int] = Counter()
         self.routes: Counter[tuple[int, int]] = Counter()
-        self.in_flight: dict[int, int] = {}  # attempt that is out at the front, by request
-        self.owed_ends: dict[tuple[int, int], int] = {}  # ends owed for an order, by ref and attempt
+        self.in_flight: dict[int, int] = {}  # attempt in flight at the front, by request
+        self.owed_ends: dict[tuple[int, int], int] = {}  # outstanding ends of orders, by ref and attempt
         self.closed: set[int] = set()
-        self.ended: dict[int, set[int]] = {}  # attempts that are over, by request
-        self.release_over_at: dict[int, float] = {}  # when the release wait is over, by request
+        self.ended: dict[int, set[int]] = {}  # ended attempts by request
+        self.release_over_at: dict[int, float] = {}  # end of the release wait by request
         self.feed(ListChanged((listed_server("s0"), listed_server("s1"))))
 
     def feed(self, event: Event) -> list[Effect]:
@@ -95,7 +95,7 @@
             case NewCall(key=key):
                 self.requests_by_key[key] = max(self.deadlines)
             case CallClosed(key):
-                assert key not in self.closed, "left twice"
+                assert key not in self.closed, "closed twice"
                 self.closed.add(key)
             case Ended(ref=ref, attempt=attempt):
                 request = self.requests_by_key[ref]
@@ -106,7 +106,7 @@
                 self.owed_ends[ref, attempt] -= 1
                 assert self.owed_ends[ref, attempt] == 0, "two ends for one order"
             case Stood(ref=ref, attempt=attempt):
-                assert self.owed_ends[ref, attempt] == 1, "stands, but was over"
+                assert self.owed_ends[ref, attempt] == 1, "stands, but had ended"
             case Send(message):
                 self.sent.append(message)
                 self._check_message(message)
@@ -119,14 +119,16 @@
         request = message.request
         if isinstance(message, Route):
             assert request not in self.in_flight or self.in_flight[request] == message.attempt, (
-                "two attempts out"
+                "two attempts in flight"
+            )
+            assert not self.finals[request], "a route after the final"
+            assert message.attempt not in self.ended.get(request, set()), (
+                "a route of an attempt that has ended"
             )
-            assert not self.finals[request], "a route behind the final"
-            assert message.attempt not in self.ended.get(request, set()), "a route of an attempt that is over"
             free = self.release_over_at.get(request, 0.0)
             assert self.now >= free, "a route before the release wait is over"
             assert self.now + message.patience <= self.deadlines[request], (
-                "an attempt beyond the caller's time"
+                "an attempt beyond the caller's deadline"
             )
             state = self.ledger.servers[message.server].entry.state
             assert state is ServerState.OPEN, "a route to a server that drains"
@@ -139,9 +141,9 @@
         elif not isinstance(message, Release):
             self.finals[request] += 1
             assert self.finals[request] == 1, "two finals"
-            assert self.now <= self.deadlines[request], "a final after the caller's time"
+            assert self.now <= self.deadlines[request], "a final after the caller's deadline"
             if not isinstance(message, Standing):
-                assert request not in self.in_flight, "a final while an attempt is out"
+                assert request not in self.in_flight, "a final while an attempt is in flight"
 
     def ask(
         self, request: int, left: float | None = 3000.0, name: str = "plain", **more: Any
@@ -178,7 +180,7 @@
         self.now = end
 
     def assert_settled(self) -> None:
-        """Nothing is open: every booking was returned and every count is back."""
+        """Check that nothing is open: every order has its end and all counts are zero."""
         assert not self.ledger.requests and not self.ledger.by_request_id and not self.timers
         assert not any(self.owed_ends.values()), "an order without its end"
         assert self.admission.pending == self.admission.open == 0
@@ -187,6 +189,6 @@
 
 
 def kinds(effects: list[Effect]) -> list[str]:
-    """Effects by name, what is said by the message's name; timers left out."""
+    """Names of the effects, of messages for ``Send``; without timers."""
     shown = [effect for effect in effects if not isinstance(effect, SetTimer | CancelTimer)]
     return [type(e.message if isinstance(e, Send) else e).__name__ for e in shown]
--- a/tests/extproc/test_client_state.py
+++ b/tests/extproc/test_client_state.py
@@ -1,4 +1,4 @@
-"""The client's half: each route and final once, whatever is repeated, crosses or is lost on the wire."""
+"""Client state: each route and final once, even if messages are repeated, cross or are lost."""
 
 from __future__ import annotations
 
@@ -70,26 +70,26 @@
     state.cancel(1)
     assert sent(state)[1:] == [Cancel(1)]
     assert state.handle(ROUTE, NOW) == []
-    assert sent(state) == [Outcome(1, 0, Ending.NOT_SENT, 0.0)], "the proxy is not left to wait for it"
+    assert sent(state) == [Outcome(1, 0, Ending.NOT_SENT, 0.0)], "the proxy must not wait for an outcome"
     assert state.handle(Refused(1, 0.0, Why.DECIDED), NOW) == [] and state.counts["unwanted"] == 1
 
 
 def test_a_withdrawal_if_unused_is_for_what_was_not_begun() -> None:
-    back = Withdrawn(1, 0, True, Why.DRAINING)
+    withdrawal = Withdrawn(1, 0, True, Why.DRAINING)
     state = asked()
     state.handle(ROUTE, NOW)
     sent(state)
-    assert state.handle(back, NOW) == [Delivery(1, back)]
+    assert state.handle(withdrawal, NOW) == [Delivery(1, withdrawal)]
     assert sent(state) == [Outcome(1, 0, Ending.NOT_SENT, 0.0)] and not state.begin(1)
     begun = routed()
-    assert begun.handle(back, NOW) == []
+    assert begun.handle(withdrawal, NOW) == []
     assert begun.report(1, None, 5.0) is not None
 
 
 def test_a_withdrawal_for_good_ends_the_attempt_and_releases_what_stands() -> None:
-    back = Withdrawn(1, 0, False, Why.PATIENCE)
+    withdrawal = Withdrawn(1, 0, False, Why.PATIENCE)
     state = routed()
-    assert state.handle(back, NOW) == [Delivery(1, back)]
+    assert state.handle(withdrawal, NOW) == [Delivery(1, withdrawal)]
     assert state.report(1, None, 5.0) is None
     again = replace(ROUTE, attempt=1)
     assert state.handle(again, NOW) == [Delivery(1, again)]
@@ -110,24 +110,29 @@
 
 
 @pytest.mark.parametrize(
-    ("ending", "welcome", "expected", "says"),
+    ("ending", "welcome", "expected", "sent_messages"),
     [
-        (None, Welcomed((), (1,)), [Delivery(1, Standing(1))], []),  # heard, its final was lost
-        (None, Welcomed((1,), ()), [], []),  # not heard: it is said again with the route's copy
-        (None, Welcomed((), ()), [Delivery(1, Standing(1))], []),  # it stands, though it is not counted
+        (None, Welcomed((), (1,)), [Delivery(1, Standing(1))], []),  # received; its final was lost
+        (None, Welcomed((1,), ()), [], []),  # not received: reported again on the repeated route
+        (
+            None,
+            Welcomed((), ()),
+            [Delivery(1, Standing(1))],
+            [],
+        ),  # the call stands, though the proxy does not count it
         (Ending.ERROR, Welcomed((), ()), [Delivery(1, Failed(1, Why.LATE))], []),
         (Ending.FULL, Welcomed((), ()), [Delivery(1, Refused(1, 0.0, Why.LATE))], []),
-        (Ending.FULL, Welcomed((1, 9), ()), [], [Cancel(9)]),  # 9 is nobody's here
+        (Ending.FULL, Welcomed((1, 9), ()), [], [Cancel(9)]),  # 9 is unknown to the client
     ],
 )
 def test_after_a_break_an_outcome_that_was_said_is_settled_by_what_the_proxy_holds(
-    ending: Ending | None, welcome: Welcomed, expected: list[Delivery], says: list[object]
+    ending: Ending | None, welcome: Welcomed, expected: list[Delivery], sent_messages: list[object]
 ) -> None:
     state = routed()
     outcome = state.report(1, ending, 5.0)
     state.stream_ended()
     assert state.handle(welcome, NOW) == expected
-    assert sent(state) == says
+    assert sent(state) == sent_messages
     if 1 in welcome.routed:
         assert state.handle(ROUTE, NOW) == [] and sent(state) == [outcome]
 
--- a/tests/extproc/test_limits.py
+++ b/tests/extproc/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits and sessions: who is let in, who goes first, who comes back."""
+"""Admission limits and sessions: admission, priority of classes, resumption."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     return Admission(Limits(**limits), 6.0, 3)  # type: ignore[arg-type]
 
 
-def why(said: Rejection | None) -> Why | None:
-    return said.why if said is not None else None
+def why(rejection: Rejection | None) -> Why | None:
+    return rejection.why if rejection is not None else None
 
 
 @pytest.mark.parametrize(
@@ -40,8 +40,8 @@
     gate = admission(**limits)
     for _ in range(admitted):
         assert gate.admit("f", 6.0, NOW) is None
-    denied = gate.admit("f", 6.0, NOW)
-    assert denied is not None and denied.why is then and 20.0 <= denied.retry_after <= 2000.0
+    rejection = gate.admit("f", 6.0, NOW)
+    assert rejection is not None and rejection.why is then and 20.0 <= rejection.retry_after <= 2000.0
     assert gate.fronts["f"].refused == {then: 1}
 
 
@@ -56,15 +56,15 @@
     top = 0
     while gate.admit("f", 6.0, NOW) is None:
         top += 1
-    assert middle and top, "each worthier class finds room that the lesser left"
+    assert middle and top, "each class of higher worth is admitted after the lower one is refused"
     assert why(gate.admit("f", 1.0, NOW)) is not None
 
 
 def test_the_rate_comes_back_with_time() -> None:
     gate = admission(rate_each=10.0, burst_ms=100.0)
     assert gate.admit("f", 6.0, NOW) is None
-    denied = gate.admit("f", 6.0, NOW)
-    assert denied is not None
+    rejection = gate.admit("f", 6.0, NOW)
+    assert rejection is not None
     assert gate.admit("f", 6.0, NOW + 100.0) is None
 
 
@@ -74,7 +74,7 @@
     greedy = 0
     while gate.admit("greedy", 6.0, NOW) is None:
         greedy += 1
-    assert greedy == 7, "up to FAIR_FROM of the total it may use what the other leaves"
+    assert greedy == 7, "up to FAIR_SHARE_THRESHOLD of the total it may use what the other leaves"
     assert gate.admit("small", 6.0, NOW) is None and gate.admit("small", 6.0, NOW) is None
     assert why(gate.admit("greedy", 6.0, NOW)) is Why.BUSY
 
@@ -137,9 +137,9 @@
 # ---- sessions ---------------------------------------------------------------------------------------------
 
 
-def sessions(**terms: float) -> Sessions:
+def sessions(**session_settings: float) -> Sessions:
     numbers = itertools.count(1)
-    return Sessions(SessionSettings(**terms), lambda count: next(numbers).to_bytes(count, "big"))  # type: ignore[arg-type]
+    return Sessions(SessionSettings(**session_settings), lambda count: next(numbers).to_bytes(count, "big"))  # type: ignore[arg-type]
 
 
 def opened(registry: Sessions, front: str = "f") -> Session:
--- a/tests/extproc/test_wire.py
+++ b/tests/extproc/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames and headers: what is read from the wire, what is refused, and the way there and back."""
+"""Frames and headers: decoding, rejection of malformed input, and round trips."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 from martentide.extras import HeadersNode, StatusNode
 from martentide.interface import Ending, Report
 
-CAME = 50_000.0
+RECEIVED_AT = 50_000.0
 
 
 @pytest.mark.parametrize(
     "message",
     [
-        Ask(7, "plain", "n", 3000.0, 2, CAME),
-        Ask(7, "plain", None, None, -1, CAME),
+        Ask(7, "plain", "n", 3000.0, 2, RECEIVED_AT),
+        Ask(7, "plain", None, None, -1, RECEIVED_AT),
         *(Outcome(7, 3, ending, 12.0) for ending in (None, *Ending) if ending is not Ending.DELIVERED),
         Cancel(2**63),
         Over(7, cut=True),
@@ -49,7 +49,7 @@
 )
 def test_a_fronts_messages_come_through(message: Any) -> None:
     raw = pb.FrontMessage.FromString(encode_front_message(message).SerializeToString())
-    read = decode_front_message(raw, CAME)
+    read = decode_front_message(raw, RECEIVED_AT)
     assert (dataclasses.replace(read, received_at=None) if isinstance(read, Ask) else read) == message
 
 
@@ -71,12 +71,20 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "at"), [(CAME - 500.0, CAME - 500.0), (CAME + 1.0, CAME), (CAME - 10_001.0, CAME), (None, CAME)]
+    ("sent", "at"),
+    [
+        (RECEIVED_AT - 500.0, RECEIVED_AT - 500.0),
+        (RECEIVED_AT + 1.0, RECEIVED_AT),
+        (RECEIVED_AT - 10_001.0, RECEIVED_AT),
+        (None, RECEIVED_AT),
+    ],
 )
 def test_the_time_left_counts_from_the_writing_where_that_can_be_believed(
     sent: float | None, at: float
 ) -> None:
-    read = decode_front_message(encode_front_message(Ask(1, "plain", None, 10.0, -1, 0.0), sent=sent), CAME)
+    read = decode_front_message(
+        encode_front_message(Ask(1, "plain", None, 10.0, -1, 0.0), sent=sent), RECEIVED_AT
+    )
     assert isinstance(read, Ask) and read.at == at
 
 
@@ -91,13 +99,13 @@
 )
 def test_what_is_no_message_of_a_front_is_refused(raw: pb.FrontMessage) -> None:
     with pytest.raises(CodecError):
-        decode_front_message(raw, CAME)
+        decode_front_message(raw, RECEIVED_AT)
 
 
 @pytest.mark.parametrize("text", ["x0:", "x0:nan", "\x00", "y" * 300])
 def test_a_report_that_can_not_be_read_tells_nothing_and_the_outcome_stands(text: str) -> None:
     raw = pb.FrontMessage(outcome=pb.Outcome(request=1, ending="STANDS", report=text))
-    assert decode_front_message(raw, CAME) == Outcome(1, 0, None, 0.0, report=None)
+    assert decode_front_message(raw, RECEIVED_AT) == Outcome(1, 0, None, 0.0, report=None)
 
 
 @pytest.mark.parametrize(
