--- a/martentide/cli.py
+++ b/martentide/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check-config, version. The options are click's; exit codes are in the README."""
+"""Command line, built with click. The README lists the exit codes."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 
 
 class DefaultGroup(click.Group):
-    """A group whose ``serve`` is run where no command is named."""
+    """Command group that runs ``serve`` if no command is given."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
         return super().parse_args(ctx, args or ["serve"])
 
 
 def config_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Add the options --config and --extras to a command."""
     command = click.option(
         "--extras", metavar="FILE", help="what is on beside the platform (KDL); default: $MARTENTIDE_EXTRAS"
     )(command)
@@ -61,7 +62,7 @@
 def serve_command(
     config: str | None, extras: str | None, log_level: str, log_format: str, trace_calls: bool
 ) -> None:
-    # Guards against a reload that comes before the loop is up: the file is read after this, so it is new.
+    # Ignore a reload signal until the event loop runs: the file is read after this line, so it is current.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     read = load_or_exit(config, extras)
     log.configure(log_level, log_format)
@@ -112,7 +113,7 @@
 
 
 def read_state_file(path: str) -> Any:
-    """The state in a file; exits with 2 where it can't be read, with 3 where it is refused."""
+    """Read learned state from a file; exits with 2 if it can't be read, with 3 if it is invalid."""
     from martentide.learned.codec import MOST_FILE, StateError, read_state
 
     try:
@@ -147,13 +148,15 @@
         return
     click.echo(f"save {learned.sequence} at {learned.saved_at:.0f}, {len(learned.redials)} redials")
     click.echo(f"{'server':<20} {'wait':>8} {'lag':>8} {'faults':>7} {'held back':>10}  state")
-    for one in learned.servers:
-        held = f"{one.image.hold_back:.2f}" if one.image is not None else "-"
-        words = [
-            word for word, is_so in (("suspect", one.suspect), ("cold", one.cold_from is not None)) if is_so
+    for server in learned.servers:
+        held = f"{server.image.hold_back:.2f}" if server.image is not None else "-"
+        flags = [
+            flag
+            for flag, applies in (("suspect", server.suspect), ("cold", server.cold_from is not None))
+            if applies
         ]
-        line = f"{one.name:<20} {one.wait:>8.1f} {one.lag:>8.1f} {one.faults:>7.2f} {held:>10}"
-        click.echo(f"{line}  {' '.join(words) or 'open'}")
+        line = f"{server.name:<20} {server.wait:>8.1f} {server.lag:>8.1f} {server.faults:>7.2f} {held:>10}"
+        click.echo(f"{line}  {' '.join(flags) or 'open'}")
 
 
 @state.command("diff", help="Print what changed from one file to another: 0 nothing, 1 something.")
@@ -193,6 +196,7 @@
 
 
 def load_or_exit(config: str | None, extras: str | None) -> Config:
+    """Load the configuration; exits with 2 if it is invalid."""
     try:
         return load_config(os.environ, config, extras)
     except ConfigError as error:
@@ -201,6 +205,7 @@
 
 
 def summary(config: Config) -> str:
+    """One line that describes the configuration."""
     servers = sum(len(notice.servers) for notice in config.known)
     return (
         f"{config.name}: listens on {config.listen}, board {config.board}, "
@@ -210,5 +215,5 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """0 at a planned end, 2 for a configuration that can't be used (one line on standard error)."""
+    """Run the command line; exits with 2 and one line on standard error if the configuration is invalid."""
     top.main(args=None if arguments is None else list(arguments), prog_name="martentide")
--- a/tests/extproc/test_services.py
+++ b/tests/extproc/test_services.py
@@ -1,4 +1,4 @@
-"""Both services on real sockets: the program as a process, stand-in fronts, servers and board."""
+"""Both services on real sockets: the proxy as a process; test fronts, servers and discovery service."""
 
 from __future__ import annotations
 
@@ -21,35 +21,40 @@
 from martentide_lab.relay import Relay
 from martentide_lab.servers import DRAINING, Board, SessionServer
 
-LIMIT = 40.0  # s for a whole scene
+SCENARIO_TIMEOUT_S = 40.0
 EXTRAS = 'external-processor {{\n listen "127.0.0.1:0"\n {}\n}}\n'
 
 
-class Scene:
-    """One running program with its site; ``servers`` take calls, ``proxy`` is the program."""
+class Environment:
+    """A running proxy process with its session servers and its discovery service."""
 
     def __init__(self, proxy: Proxy, servers: list[SessionServer], board: Board) -> None:
         self.proxy, self.servers, self.board = proxy, servers, board
 
     @asynccontextmanager
     async def raw(self, front: str = "raw") -> AsyncIterator[RawFront]:
-        async with RawFront(self.proxy.address) as one:
-            await one.hello(front)
-            yield one
+        async with RawFront(self.proxy.address) as raw_front:
+            await raw_front.hello(front)
+            yield raw_front
 
     def server(self, address: str) -> SessionServer:
-        return next(one for one in self.servers if one.address == address)
+        return next(server for server in self.servers if server.address == address)
 
 
-def play(scene: Callable[[Scene], Awaitable[None]], more: str = "", servers: int = 2) -> None:
+def run_scenario(
+    scenario: Callable[[Environment], Awaitable[None]], more: str = "", servers: int = 2
+) -> None:
     async def run() -> None:
-        site, board = [SessionServer(number) for number in range(servers)], Board()
-        for server in site:
+        session_servers, board = [SessionServer(number) for number in range(servers)], Board()
+        for server in session_servers:
             await server.start()
         await board.start()
-        async with asyncio.timeout(LIMIT), Proxy(board, site, EXTRAS.format(more)) as proxy:
-            await scene(Scene(proxy, site, board))
-        for server in site:
+        async with (
+            asyncio.timeout(SCENARIO_TIMEOUT_S),
+            Proxy(board, session_servers, EXTRAS.format(more)) as proxy,
+        ):
+            await scenario(Environment(proxy, session_servers, board))
+        for server in session_servers:
             await server.stop()
         await board.stop()
 
@@ -61,54 +66,56 @@
 
 
 def test_the_client_carries_a_call_past_a_server_that_refuses_to_its_one_final() -> None:
-    async def scene(one: Scene) -> None:
+    async def scenario(env: Environment) -> None:
         lines = Lines()
-        one.servers[0].script.refuse = True
-        async with Client([one.proxy.address], "edge") as client:
+        env.servers[0].script.refuse = True
+        async with Client([env.proxy.address], "edge") as client:
 
             async def attempt(route: Route) -> Attempt:
                 return (await lines.set_up(route, "status-check"))[0]
 
             done = await client.carry("status-check", attempt, "7f3a", 3000, first_choice=0)
             assert isinstance(done.final, Standing) and done.attempts == 2
-            assert [len(server.arrivals) for server in one.servers] == [1, 1]
+            assert [len(server.arrivals) for server in env.servers] == [1, 1]
             done.call.over()
-        assert "reason=peer-closed" in await one.proxy.logged("role=front peer=edge/1")
-        assert " asked=1 " in await one.proxy.logged("session-ended front=edge")
+        assert "reason=peer-closed" in await env.proxy.logged("role=front peer=edge/1")
+        assert " asked=1 " in await env.proxy.logged("session-ended front=edge")
         lines.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_stream_that_says_nothing_is_closed() -> None:
-    async def scene(one: Scene) -> None:
-        async with RawFront(one.proxy.address) as front:
+    async def scenario(env: Environment) -> None:
+        async with RawFront(env.proxy.address) as front:
             await front.open()
             assert await front.code() is grpc.StatusCode.DEADLINE_EXCEEDED
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_cancel_crossing_the_verdict_leaves_one_final() -> None:
-    async def scene(one: Scene) -> None:
-        async with one.raw() as front:
+    async def scenario(env: Environment) -> None:
+        async with env.raw() as front:
             ask = pb.FrontMessage(ask=pb.Ask(request=1, call_class="status-check", time_left_ms=3000))
-            await front.send(ask, pb.FrontMessage(cancel=pb.Cancel(request=1)))  # in mid-decision
+            await front.send(
+                ask, pb.FrontMessage(cancel=pb.Cancel(request=1))
+            )  # while the decision is pending
             await front.ask(2)
             assert (await front.next("route")).route.request == 2
             await front.cancel(2)  # after the verdict
-            await front.cancel(2)  # and once more
+            await front.cancel(2)  # a second time
             await front.ask(3, left=0)
             finals = [await front.next("cancelled", "refused", "failed", "route") for _ in range(2)]
             assert [kind(m) for m in finals] == ["cancelled", "refused"]
             assert finals[0].cancelled.request == 2 and finals[1].refused.request == 3
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_what_breaks_the_protocol_ends_that_stream_only() -> None:
-    async def scene(one: Scene) -> None:
-        async with one.raw("good") as good:
+    async def scenario(env: Environment) -> None:
+        async with env.raw("good") as good:
             await good.ask(1)
             bad: list[Callable[[RawFront], Awaitable[None]]] = [
                 lambda front: front.outcome(7),
@@ -118,17 +125,17 @@
                 lambda front: front.send(pb.FrontMessage(hello=pb.Hello(front="again"))),
             ]
             for number, act in enumerate(bad):
-                async with one.raw(f"bad-{number}") as front:
+                async with env.raw(f"bad-{number}") as front:
                     await act(front)
                     assert await front.code() is grpc.StatusCode.INVALID_ARGUMENT
-            async with RawFront(one.proxy.address) as front:
+            async with RawFront(env.proxy.address) as front:
                 await front.open()
                 huge = pb.Ask(request=1, call_class="x" * 60_000_000)
                 await front.send(pb.FrontMessage(ask=huge))
                 assert await front.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
             assert (await good.next("route")).route.request == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -142,46 +149,48 @@
     ],
 )
 def test_odd_questions_have_defined_verdicts(ask: pb.Ask, expected: tuple[str, str]) -> None:
-    async def scene(one: Scene) -> None:
-        async with one.raw() as front:
+    async def scenario(env: Environment) -> None:
+        async with env.raw() as front:
             await front.send(pb.FrontMessage(ask=ask))
             message = await front.next()
-            said = getattr(message, kind(message))
-            assert (kind(message), getattr(said, "why", "")) == expected
+            verdict = getattr(message, kind(message))
+            assert (kind(message), getattr(verdict, "why", "")) == expected
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_front_that_never_reports_is_told_to_give_up_before_the_next_route() -> None:
-    async def scene(one: Scene) -> None:
-        async with one.raw() as front:
+    async def scenario(env: Environment) -> None:
+        async with env.raw() as front:
             await front.ask(1)
             first = (await front.next("route")).route
             back = (await front.next("withdrawn")).withdrawn
             assert (back.attempt, back.if_unused, back.why) == (0, False, "patience")
             second = (await front.next("route")).route
             assert second.attempt == 1 and second.server != first.server
-            await front.outcome(1, "STANDS", 0)  # late, of the first
+            await front.outcome(1, "STANDS", 0)  # late, of the first attempt
             assert (await front.next("withdrawn")).withdrawn.why == "late"
             await front.outcome(1, "STANDS", 1)
             assert (await front.next("stands")).stands.request == 1
-            await front.outcome(1, "STANDS", 1)  # twice
+            await front.outcome(1, "STANDS", 1)  # reported twice
             await front.over(1)
             await front.ask(2)
             assert (await front.next()).route.request == 2
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_broken_stream_is_gone_on_with_by_its_session_alone() -> None:
-    async def scene(one: Scene) -> None:
-        async with one.raw() as front, RawFront(one.proxy.address) as again:
+    async def scenario(env: Environment) -> None:
+        async with env.raw() as front, RawFront(env.proxy.address) as again:
             await front.ask(1, 2)
             routes = [(await front.next("route")).route for _ in range(2)]
             await front.outcome(2)
             await front.next("stands")
             front.break_off()
-            await one.proxy.logged("raw/1 reason=peer-")  # reset, or closed where its end was read first
+            await env.proxy.logged(
+                "raw/1 reason=peer-"
+            )  # peer-reset, or peer-closed if the end was read first
             await again.open()
             await again.send(pb.FrontMessage(hello=pb.Hello(front="thief", session=front.token)))
             assert await again.code() is grpc.StatusCode.PERMISSION_DENIED
@@ -197,12 +206,12 @@
             await front.send(pb.FrontMessage(hello=pb.Hello(front="raw", session=front.token)))
             assert await front.code() is grpc.StatusCode.NOT_FOUND
 
-    play(scene, "sessions lease-ms=300")
+    run_scenario(scenario, "sessions lease-ms=300")
 
 
 def test_a_newer_stream_of_a_session_replaces_the_older() -> None:
-    async def scene(one: Scene) -> None:
-        async with one.raw() as front, RawFront(one.proxy.address) as again:
+    async def scenario(env: Environment) -> None:
+        async with env.raw() as front, RawFront(env.proxy.address) as again:
             await front.ask(1)
             await front.next("route")
             assert list((await again.hello("raw", front.token)).routed) == [1]
@@ -210,12 +219,12 @@
             await again.outcome(1)
             await again.next("stands")
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_the_client_comes_back_after_a_cut_and_each_call_keeps_one_final() -> None:
-    async def scene(one: Scene) -> None:
-        relay = Relay(one.proxy.address)
+    async def scenario(env: Environment) -> None:
+        relay = Relay(env.proxy.address)
         await relay.start()
         async with Client([relay.address], "edge") as client:
             routed = await client.ask("status-check", "a", 4000)
@@ -228,12 +237,12 @@
             assert not client.requests.counts["doubled"] and asked.verdicts.empty()
         await relay.stop()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_frozen_network_leaves_the_caller_with_a_refusal_in_time() -> None:
-    async def scene(one: Scene) -> None:
-        relay = Relay(one.proxy.address)
+    async def scenario(env: Environment) -> None:
+        relay = Relay(env.proxy.address)
         await relay.start()
         async with Client([relay.address], "edge") as client:
             await client.connected.wait()
@@ -244,29 +253,29 @@
             relay.thaw()
         await relay.stop()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_route_to_a_server_that_drains_is_taken_back_and_made_anew() -> None:
-    async def scene(one: Scene) -> None:
-        async with one.raw() as front:
+    async def scenario(env: Environment) -> None:
+        async with env.raw() as front:
             await front.ask(1)
             route = (await front.next("route")).route
-            assert 0 < route.valid_for_ms <= 1000, "its first byte keeps the drain rule, come what may"
-            draining = one.server(route.address)
-            one.board.tell([(draining, DRAINING)])
+            assert 0 < route.valid_for_ms <= 1000, "the first byte must keep the drain rule in any case"
+            draining = env.server(route.address)
+            env.board.tell([(draining, DRAINING)])
             back = (await front.next("withdrawn")).withdrawn
             assert back.if_unused and back.why == "draining"
             await front.outcome(1, "NOT_SENT")
             anew = (await front.next("route")).route
             assert anew.server != route.server and anew.attempt == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_two_fronts_and_a_caller_share_one_controller_and_their_numbers_do_not_meet() -> None:
-    async def scene(one: Scene) -> None:
-        host, _, port = one.proxy.callers.rpartition(":")
+    async def scenario(env: Environment) -> None:
+        host, _, port = env.proxy.callers.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         call = bytes(7) + b"\x01"
         parameters: dict[int, bytes] = {
@@ -276,7 +285,7 @@
             Code.FIGURES: b"dest:0;width:1;via:-1",
             Code.DESCRIPTION: b"d",
         }
-        async with one.raw("a") as a, one.raw("b") as b:
+        async with env.raw("a") as a, env.raw("b") as b:
             await asyncio.gather(a.ask(1), b.ask(1))
             writer.write(write_message(Type.SET_UP, call, parameters))
             for front in (a, b):
@@ -288,14 +297,14 @@
             assert (answer.type, answer.call) == (Type.ANSWER, call)
         writer.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("pending", "why"), [(50, "front-busy"), (20_000, "decided")])
 def test_ten_thousand_questions_on_one_stream_have_one_verdict_each(pending: int, why: str) -> None:
-    async def scene(one: Scene) -> None:
+    async def scenario(env: Environment) -> None:
         count = 10_000
-        async with one.raw() as front:
+        async with env.raw() as front:
             routes: Counter[int] = Counter()
             finals: Counter[int] = Counter()
             whys: Counter[str] = Counter()
@@ -304,8 +313,8 @@
 
             async def ask() -> None:
                 for start in range(1, count + 1, 250):
-                    # More than all may wait at once only where that is the question: else a slow core would
-                    # answer most of them for want of time.
+                    # Only the case of the limit asks more than may be pending at once; in the other, a slow
+                    # CPU would refuse most questions at their deadline.
                     while pending > count and start - len(routes | finals) > 500:
                         heard.clear()
                         await heard.wait()
@@ -314,61 +323,61 @@
             async def hear() -> None:
                 while len(routes | finals) < count:
                     message = await front.next("route", "refused", "failed")
-                    said = getattr(message, kind(message))
+                    verdict = getattr(message, kind(message))
                     if kind(message) == "route":
-                        await front.cancel(said.request)
-                        routes[said.request] += 1
+                        await front.cancel(verdict.request)
+                        routes[verdict.request] += 1
                     else:
-                        # On a slow core also of one that is routed: its time ran out as the cancel came.
-                        finals[said.request] += 1
-                        whys[said.why] += said.request not in routes
+                        # On a slow CPU also for a routed request whose deadline passed before the cancel.
+                        finals[verdict.request] += 1
+                        whys[verdict.why] += verdict.request not in routes
                     heard.set()
 
             await asyncio.gather(ask(), hear())
             assert {*routes.values(), *finals.values()} == {1}
             assert len(routes) + sum(whys.values()) == count
             if pending > count:
-                # Counted, not timed: none is turned away for its front's sake, the decisions are asked;
-                # what they hold on a slow core ends with its own time.
+                # No question is refused by a limit of its front; on a slow CPU, those that the decision
+                # module holds end at their deadline.
                 assert set(whys) <= {why, "deadline"}
             else:
                 assert whys[why] > 5000
 
     more = f"limits pending-each={pending} pending-all=20000 open-each=50000 open-all=50000 rate-each=100000"
-    play(scene, more)
+    run_scenario(scenario, more)
 
 
 def test_a_front_that_reads_nothing_is_closed_and_delays_nobody() -> None:
-    async def scene(one: Scene) -> None:
-        async with one.raw("deaf") as deaf, one.raw("good") as good:
-            with pytest.raises(TimeoutError):  # what the network holds for it is full, and it reads no more
+    async def scenario(env: Environment) -> None:
+        async with env.raw("deaf") as deaf, env.raw("good") as good:
+            with pytest.raises(TimeoutError):  # network buffers are full and the proxy stops reading
                 for start in range(1, 10_000_000, 250):
                     async with asyncio.timeout(1):
                         await deaf.ask(*range(start, start + 250), name="nobody")
             await good.ask(1)
             assert (await good.next("route")).route.request == 1
-            await one.proxy.logged("peer=deaf/1 reason=blocked")
+            await env.proxy.logged("peer=deaf/1 reason=blocked")
 
-    play(scene, "streams blocked-ms=300 most-unsent=2000")
+    run_scenario(scenario, "streams blocked-ms=300 most-unsent=2000")
 
 
 def test_sigterm_answers_all_and_sighup_takes_new_limits_but_no_bad_file() -> None:
-    async def scene(one: Scene) -> None:
-        async with one.raw() as front:
-            one.proxy.write("external-processor {")
-            one.proxy.send(signal.SIGHUP)
-            assert "line 1" in await one.proxy.logged("reload-failed")
-            one.proxy.write(EXTRAS.format('limits pending-each=1\n services "decisions"'))
-            one.proxy.send(signal.SIGHUP)
-            line = await one.proxy.logged("reloaded")
+    async def scenario(env: Environment) -> None:
+        async with env.raw() as front:
+            env.proxy.write("external-processor {")
+            env.proxy.send(signal.SIGHUP)
+            assert "line 1" in await env.proxy.logged("reload-failed")
+            env.proxy.write(EXTRAS.format('limits pending-each=1\n services "decisions"'))
+            env.proxy.send(signal.SIGHUP)
+            line = await env.proxy.logged("reloaded")
             assert "restart_needed_for=external-processor.listen" not in line
             assert "external-processor.services" in line
-            for server in one.servers:
+            for server in env.servers:
                 server.script.mute = True
             await front.ask(1, 2, left=1200)
             first = [await front.next("route", "refused") for _ in range(2)]
             assert sorted(map(kind, first)) == ["refused", "route"]
-            one.proxy.send(signal.SIGTERM)
+            env.proxy.send(signal.SIGTERM)
             assert (await front.next("go_away")).go_away.why == "closing"
             await front.ask(3)
             final = await front.next("refused")
@@ -378,9 +387,9 @@
             assert (again.route if kind(again) == "route" else again.failed).request == 1
             await front.cancel(1)
             assert await front.code() is grpc.StatusCode.UNAVAILABLE
-            assert await one.proxy.ended() == 0
+            assert await env.proxy.ended() == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
 # ---- Envoy's service --------------------------------------------------------------------------------------
@@ -393,12 +402,12 @@
 
 
 def test_envoy_is_told_the_server_and_its_answer_ends_the_attempt() -> None:
-    async def scene(one: Scene) -> None:
-        async with grpc.aio.insecure_channel(one.proxy.address) as channel:
+    async def scenario(env: Environment) -> None:
+        async with grpc.aio.insecure_channel(env.proxy.address) as channel:
             stream = EnvoyStream(channel)
             asked = await stream.request(ASKED)
             told = set_headers(asked)
-            assert told["x-envoy-original-dst-host"] in [server.address for server in one.servers]
+            assert told["x-envoy-original-dst-host"] in [server.address for server in env.servers]
             assert told["x-martentide-attempt"] == "0" and int(told["x-envoy-upstream-rq-timeout-ms"]) > 0
             passed = await stream.response(200, x_load_report="x0:10;x1:20;eps:0.1")
             assert passed.WhichOneof("response") == "response_headers" and not set_headers(passed)
@@ -408,7 +417,7 @@
             answered = await full.response(503)
             assert set_headers(answered) == {"x-martentide-why": "decided"}
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -425,62 +434,64 @@
 def test_envoy_gets_a_clear_refusal_of_what_can_not_be_asked(
     headers: dict[str, str | bytes], status: int, detail: str
 ) -> None:
-    async def scene(one: Scene) -> None:
-        async with grpc.aio.insecure_channel(one.proxy.address) as channel:
+    async def scenario(env: Environment) -> None:
+        async with grpc.aio.insecure_channel(env.proxy.address) as channel:
             answer = (await EnvoyStream(channel).request(headers)).immediate_response
             assert answer.status.code == status and detail in answer.body.decode()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_envoys_resets_before_and_after_the_verdict_settle_what_was_open() -> None:
-    async def scene(one: Scene) -> None:
-        async with grpc.aio.insecure_channel(one.proxy.address) as channel:
+    async def scenario(env: Environment) -> None:
+        async with grpc.aio.insecure_channel(env.proxy.address) as channel:
             for _ in range(3):
                 stream = EnvoyStream(channel)
                 await stream.request(ASKED)
                 stream.reset()
             for _ in range(3):
-                await one.proxy.logged("reason=peer-reset")
-            one.proxy.send(signal.SIGTERM)
-            await one.proxy.logged("stopped")  # nothing is left open, or it would wait
-            assert await one.proxy.ended() == 0
+                await env.proxy.logged("reason=peer-reset")
+            env.proxy.send(signal.SIGTERM)
+            await env.proxy.logged("stopped")  # an open request would delay the stop
+            assert await env.proxy.ended() == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_an_answer_over_a_server_that_is_gone_is_reset() -> None:
-    async def scene(one: Scene) -> None:
-        async with grpc.aio.insecure_channel(one.proxy.address) as channel:
+    async def scenario(env: Environment) -> None:
+        async with grpc.aio.insecure_channel(env.proxy.address) as channel:
             stream = EnvoyStream(channel)
             address = set_headers(await stream.request(ASKED))["x-envoy-original-dst-host"]
             await stream.response(200)
-            one.board.tell([(one.server(address), 2)])
+            env.board.tell([(env.server(address), 2)])
             with pytest.raises(grpc.aio.AioRpcError) as caught:
                 await stream._read()
             assert caught.value.code() is grpc.StatusCode.UNAVAILABLE
 
-    play(scene)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize(("name", "said"), [("carry", "Standing after 1"), ("step_by_step", "stands\n")])
-def test_the_examples_run_as_printed(name: str, said: str) -> None:
-    async def scene(one: Scene) -> None:
+@pytest.mark.parametrize(
+    ("name", "expected_output"), [("carry", "Standing after 1"), ("step_by_step", "stands\n")]
+)
+def test_the_examples_run_as_printed(name: str, expected_output: str) -> None:
+    async def scenario(env: Environment) -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, f"examples/{name}.py", one.proxy.address, cwd=ROOT,
+            sys.executable, f"examples/{name}.py", env.proxy.address, cwd=ROOT,
             env={**os.environ, "PYTHONPATH": str(ROOT)}, stdout=asyncio.subprocess.PIPE,
         )  # fmt: skip
         out, _ = await process.communicate()
-        assert said in out.decode() and process.returncode == 0
+        assert expected_output in out.decode() and process.returncode == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_server_that_stalls_delays_no_decision_and_each_call_keeps_one_final() -> None:
-    async def scene(one: Scene) -> None:
+    async def scenario(env: Environment) -> None:
         lines = Lines()
-        one.servers[0].stall(500.0)
-        async with Client([one.proxy.address], "edge") as client:
+        env.servers[0].stall(500.0)
+        async with Client([env.proxy.address], "edge") as client:
             await client.connected.wait()
 
             async def attempt(route: Route) -> Attempt:
@@ -494,16 +505,16 @@
             assert not client.requests.counts["doubled"] and not client.requests.counts["two_out"]
         lines.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_call_of_a_closed_client_raises() -> None:
-    async def scene(one: Scene) -> None:
-        client = Client([one.proxy.address], "edge")
+    async def scenario(env: Environment) -> None:
+        client = Client([env.proxy.address], "edge")
         async with client:
             call: Call = await client.ask("status-check", "a", 3000)
             assert call.begin()
         with pytest.raises(ClientClosed):
             await call.report(Attempt(Ending.ERROR))
 
-    play(scene)
+    run_scenario(scenario)
