--- a/martentide/client/client.py
+++ b/martentide/client/client.py
@@ -414,9 +414,8 @@
             unsent, self.requests.to_send = self.requests.to_send, []
             for start in range(0, len(unsent), MAX_MESSAGES_PER_FRAME):
                 batch = unsent[start : start + MAX_MESSAGES_PER_FRAME]
-                unix_offset = (
-                    time.time() * 1000.0 - self.loop.time() * 1000.0
-                )  # offset of Unix time from the loop's clock
+                # Offset of Unix time from the loop's clock, in ms.
+                unix_offset = time.time() * 1000.0 - self.loop.time() * 1000.0
                 encoded = [
                     encode_front_message(
                         message, report, message.at + unix_offset if isinstance(message, Ask) else None
--- a/martentide/extproc/ledger.py
+++ b/martentide/extproc/ledger.py
@@ -317,9 +317,8 @@
         request = self.requests.get(order.key)
         listed = self.servers.get(order.server)
         if request is None or request.state is not State.PENDING or listed is None:
-            self._end_not_sent(
-                order
-            )  # the request was closed before the order arrived, or the server left the list
+            # The request was closed before the order arrived, or the server left the list.
+            self._end_not_sent(order)
             return
         request.ref = order.ref
         if (
@@ -623,9 +622,8 @@
                     if request.state is not State.ROUTED or listed is None:
                         continue
                     if listed.entry.state is ServerState.OPEN:
-                        self._send(
-                            self._build_route(request, listed, now)
-                        )  # sent again, because the first copy may have been lost
+                        # Sent again, because the first copy may have been lost.
+                        self._send(self._build_route(request, listed, now))
                     else:
                         self._send(Withdrawn(request.request_id, request.attempt, True, Why.DRAINING))
             case Stream.EXPIRED:
--- a/martentide/extproc/limits.py
+++ b/martentide/extproc/limits.py
@@ -145,7 +145,7 @@
         Prevents one front from exhausting the limit that all fronts share. A front may use what the others
         leave free, up to FAIR_SHARE_THRESHOLD of the total; above it, a front over an equal share is refused.
         """
-        asking = sum(1 for one in self.fronts.values() if one.open) + (front.open == 0)
+        asking = sum(1 for usage in self.fronts.values() if usage.open) + (front.open == 0)
         crowded = self.pending >= FAIR_SHARE_THRESHOLD * self.limits.pending_all
         return asking > 1 and crowded and front.pending >= self.limits.pending_all / asking
 
--- a/martentide/extras.py
+++ b/martentide/extras.py
@@ -122,16 +122,16 @@
 
     def admission_limits(self) -> Limits:
         """Convert the limits for the admission control."""
-        one = self.limits
+        limits = self.limits
         return Limits(
-            pending_each=one.pending_each,
-            pending_all=one.pending_all,
-            open_each=one.open_each,
-            open_all=one.open_all,
-            rate_each=one.rate_each,
-            burst_ms=one.burst_ms,
-            reserve=one.reserve,
-            max_retry_after=one.max_retry_after_ms,
+            pending_each=limits.pending_each,
+            pending_all=limits.pending_all,
+            open_each=limits.open_each,
+            open_all=limits.open_all,
+            rate_each=limits.rate_each,
+            burst_ms=limits.burst_ms,
+            reserve=limits.reserve,
+            max_retry_after=limits.max_retry_after_ms,
         )
 
     def lifecycle_settings(self, settings: Settings, single_attempt: bool) -> LifecycleSettings:
@@ -254,7 +254,7 @@
 
     def infos(self) -> tuple[NodeInfo, ...]:
         """Names and regions of all control nodes."""
-        return tuple(one.info() for one in self.nodes)
+        return tuple(node.info() for node in self.nodes)
 
 
 class ControlNodePart(msgspec.Struct, frozen=True):
@@ -267,11 +267,11 @@
 
     def infos(self) -> tuple[NodeInfo, ...]:
         """Names and regions of all control nodes."""
-        return tuple(one.info() for one in self.nodes)
+        return tuple(node.info() for node in self.nodes)
 
     def own(self) -> ControlAddress:
         """Addresses of this node."""
-        return next(one for one in self.nodes if one.name == self.name)
+        return next(node for node in self.nodes if node.name == self.name)
 
 
 class Extras(msgspec.Struct, frozen=True):
@@ -444,7 +444,7 @@
         elif child.name == "seeds":
             if not 1 <= len(child.args) <= 32 or child.properties or child.children:
                 raise ExtrasError(f"{here}: expected 1 to 32 addresses HOST:PORT, found {len(child.args)}")
-            values["seeds"] = tuple(_ipv4_address(one, here) for one in child.args)
+            values["seeds"] = tuple(_ipv4_address(address, here) for address in child.args)
         elif child.name == "overload":
             values["overload"] = _single_value(child, bool, "#true or #false", here)
         elif child.name == "agreement":
@@ -471,7 +471,7 @@
     for child, here in _children(node, where):
         if child.name == "voters":
             names = child.args
-            if child.properties or child.children or not all(type(one) is str and one for one in names):
+            if child.properties or child.children or not all(type(name) is str and name for name in names):
                 raise ExtrasError(f"{here}: expected names of proxies, found {list(names)!r}")
             if len(set(names)) != len(names) or len(names) not in (1, 3, 5):
                 raise ExtrasError(f"{here}: expected 1, 3 or 5 different names, found {list(names)!r}")
@@ -506,7 +506,7 @@
     values = _control_values(node, where, {"fleet": 64, "secret": 256, "name": 64}, gossip=True)
     _require(values, ("fleet", "name", "nodes"), where)
     part = ControlNodePart(**values)
-    if part.name not in (one.name for one in part.nodes):
+    if part.name not in (address.name for address in part.nodes):
         raise ExtrasError(f"{where}/name: expected one of the nodes, found {part.name!r}")
     return part
 
@@ -519,7 +519,7 @@
             if not 1 <= len(text.encode()) <= texts[child.name]:
                 raise ExtrasError(f"{here}: expected 1 to {texts[child.name]} bytes, found {text!r}")
         elif child.name == "calls" and not gossip:
-            if child.properties or child.children or not all(type(one) is str for one in child.args):
+            if child.properties or child.children or not all(type(name) is str for name in child.args):
                 raise ExtrasError(f"{here}: expected names of services, found {list(child.args)!r}")
             if len(child.args) > MAX_SERVICES:
                 raise ExtrasError(
@@ -528,7 +528,7 @@
             values["calls"] = tuple(child.args)
         elif child.name == "nodes":
             values["nodes"] = tuple(
-                _control_address(one, path, gossip) for one, path in _children(child, here)
+                _control_address(address, path, gossip) for address, path in _children(child, here)
             )
         else:
             raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, [*texts, 'calls', 'nodes'])}")
--- a/martentide/net/extproc/decisions.py
+++ b/martentide/net/extproc/decisions.py
@@ -76,11 +76,13 @@
             await self.wake.wait()
             self.wake.clear()
             while self.unsent and not self.closed.is_set():
-                some = [self.unsent.popleft() for _ in range(min(MAX_MESSAGES_PER_FRAME, len(self.unsent)))]
+                encoded = [
+                    self.unsent.popleft() for _ in range(min(MAX_MESSAGES_PER_FRAME, len(self.unsent)))
+                ]
                 watch = loop.call_later(limit, self.close, CloseReason.BLOCKED, "a write timed out")
                 self.writing = True
                 try:
-                    await context.write(pb.ProxyFrame(messages=some))
+                    await context.write(pb.ProxyFrame(messages=encoded))
                 finally:
                     self.writing = False
                     watch.cancel()
@@ -99,16 +101,16 @@
         self.protocol_broken = self.left = False  # front violated the protocol; front sent Leave
 
     def _deliver(self, messages: list[ToFront]) -> None:
-        some: list[pb.ProxyMessage] = []
+        encoded: list[pb.ProxyMessage] = []
         for message in messages:
             if isinstance(message, Welcomed):
                 # Earlier messages belong to the old stream, which has ended.
                 self.writer, self.next_writer = self.next_writer, None
-                some = self._welcome(message)
+                encoded = self._welcome(message)
             else:
-                some.append(encode_proxy_message(message))
-        if self.writer is not None and some:
-            self.writer.put(some)
+                encoded.append(encode_proxy_message(message))
+        if self.writer is not None and encoded:
+            self.writer.put(encoded)
 
     def _welcome(self, message: Welcomed) -> list[pb.ProxyMessage]:
         lease = int(self.host.sessions.settings.lease)
@@ -116,7 +118,7 @@
             session=self.session.token, lease_ms=lease, routed=message.routed, standing=message.standing
         )
         listed = self.host.dispatcher.listed.values()
-        servers = [encode_server_change(one.entry, f"{one.host}:{one.port}") for one in listed]
+        servers = [encode_server_change(server.entry, f"{server.host}:{server.port}") for server in listed]
         return [pb.ProxyMessage(welcome=welcome), *servers]
 
     def _on_protocol_error(self, detail: str) -> None:
@@ -209,7 +211,7 @@
                 return  # also seen on a reset connection: only a Leave message ends the session
             at = unix_ms()
             try:
-                messages = [one for one in frame.messages if one.WhichOneof("kind") != "leave"]
+                messages = [received for received in frame.messages if received.WhichOneof("kind") != "leave"]
                 front_session.left = len(messages) < len(frame.messages)
                 events: list[FromFront] = [decode_front_message(message, at) for message in messages]
             except CodecError as error:
@@ -285,7 +287,7 @@
 
     def list_changed(self, listed: tuple[Listed, ...]) -> None:
         """Send changed entries of the server list to all connected fronts."""
-        messages = [encode_server_change(one.entry, f"{one.host}:{one.port}") for one in listed]
+        messages = [encode_server_change(server.entry, f"{server.host}:{server.port}") for server in listed]
         for front_session in self.sessions.values():
             if front_session.writer is not None:
                 front_session.writer.put(messages)
--- a/martentide/net/extproc/envoy.py
+++ b/martentide/net/extproc/envoy.py
@@ -266,9 +266,8 @@
             self._release_peer(name)
             if task is not None:
                 self.tasks.discard(task)
-            if (
-                reason is not CloseReason.PEER_CLOSED
-            ):  # one line for each request in good order would be too many
+            # A log line per normally completed request would be too many.
+            if reason is not CloseReason.PEER_CLOSED:
                 log_connection_closed("front", address, reason, detail)
         if abort is not None:
             await context.abort(abort, detail or reason.value)
