--- a/martentide/cli.py
+++ b/martentide/cli.py
@@ -24,6 +24,7 @@
     """Command group that runs ``serve`` if no command is given."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
+        """Default to ``serve`` without arguments."""
         return super().parse_args(ctx, args or ["serve"])
 
 
@@ -37,17 +38,20 @@
 
 @click.group(cls=DefaultGroup, invoke_without_command=False, help="Signalling proxy with shared decisions.")
 def top() -> None:
+    """Root command group."""
     pass
 
 
 @top.command("version", help="Print the version and exit.")
 def version() -> None:
+    """Print the version."""
     click.echo(f"martentide {__version__}")
 
 
 @top.command("check-config", help="Read the configuration, say what it holds and exit.")
 @config_options
 def check_config(config: str | None, extras: str | None) -> None:
+    """Validate the configuration and print a summary."""
     read = load_or_exit(config, extras)
     click.echo(summary(read))
     if read.extras is not None:
@@ -62,6 +66,7 @@
 def serve_command(
     config: str | None, extras: str | None, log_level: str, log_format: str, trace_calls: bool
 ) -> None:
+    """Run the proxy until SIGTERM; exits with a non-zero code if it can't listen."""
     # Ignore a reload signal until the event loop runs: the file is read after this line, so it is current.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     read = load_or_exit(config, extras)
@@ -79,6 +84,7 @@
 @click.option("--log-level", type=click.Choice(list(log.LEVELS)), default="info", show_default=True)
 @click.option("--log-format", type=click.Choice(log.FORMATS), default="text", show_default=True)
 def control_command(extras: str, log_level: str, log_format: str) -> None:
+    """Run a control node until SIGTERM or SIGINT."""
     from martentide.extras import ControlNodePart, ExtrasError, load_extras
 
     try:
@@ -109,6 +115,7 @@
 
 @top.group("state", help="Look at files of learned state.")
 def state() -> None:
+    """Group of commands on learned-state files."""
     pass
 
 
@@ -132,6 +139,7 @@
 @state.command("check", help="Say whether the file is whole: 0 it is, 3 it is refused.")
 @click.argument("file")
 def state_check(file: str) -> None:
+    """Validate a learned-state file."""
     learned = read_state_file(file)
     click.echo(f"{file}: whole, save {learned.sequence}, {len(learned.servers)} servers")
 
@@ -140,6 +148,7 @@
 @click.argument("file")
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def state_show(file: str, as_json: bool) -> None:
+    """Print a learned-state file."""
     import msgspec
 
     learned = read_state_file(file)
@@ -164,6 +173,7 @@
 @click.argument("new")
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def state_diff(old: str, new: str, as_json: bool) -> None:
+    """Compare two learned-state files; exits with 1 if they differ."""
     import msgspec
 
     from martentide.learned.recovery import diff
@@ -175,6 +185,7 @@
 
 @top.group("fleet", help="Look at the fleet that a running proxy is a member of.")
 def fleet() -> None:
+    """Group of commands on the fleet."""
     pass
 
 
@@ -182,6 +193,7 @@
 @OPERATOR
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def fleet_show(operator: str, as_json: bool) -> None:
+    """Print the fleet's members as a running proxy knows them."""
     from martentide.net.fleet.show import QueryError, query, table
 
     try:
--- a/martentide/extproc/headers.py
+++ b/martentide/extproc/headers.py
@@ -30,36 +30,73 @@
     """The configured names of the headers."""
 
     @property
-    def call_class(self) -> str: ...
+    def call_class(self) -> str:
+        """Class of the call."""
+        ...
+
     @property
-    def deadline_ms(self) -> str: ...
+    def deadline_ms(self) -> str:
+        """Time left until the caller's deadline, in ms."""
+        ...
+
     @property
-    def number(self) -> str: ...
+    def number(self) -> str:
+        """Called number."""
+        ...
+
     @property
-    def first_choice(self) -> str: ...
+    def first_choice(self) -> str:
+        """Index of the first-choice server."""
+        ...
+
     @property
-    def report(self) -> str: ...
+    def report(self) -> str:
+        """Load report of the server, in the response."""
+        ...
+
     @property
-    def server(self) -> str: ...
+    def server(self) -> str:
+        """Address of the server to route to."""
+        ...
+
     @property
-    def patience_ms(self) -> str: ...
+    def patience_ms(self) -> str:
+        """Timeout of the attempt, in ms."""
+        ...
+
     @property
-    def attempt(self) -> str: ...
+    def attempt(self) -> str:
+        """Number of the attempt."""
+        ...
 
 
 class StatusCodes(Protocol):
     """The configured HTTP status codes of attempt outcomes and of final verdicts."""
 
     @property
-    def full(self) -> int: ...
+    def full(self) -> int:
+        """The server is full."""
+        ...
+
     @property
-    def timed_out(self) -> int: ...
+    def timed_out(self) -> int:
+        """The attempt timed out."""
+        ...
+
     @property
-    def unreachable(self) -> int: ...
+    def unreachable(self) -> int:
+        """The server is unreachable."""
+        ...
+
     @property
-    def refusal(self) -> int: ...
+    def refusal(self) -> int:
+        """Sent to the caller for a refusal."""
+        ...
+
     @property
-    def failure(self) -> int: ...
+    def failure(self) -> int:
+        """Sent to the caller for a failure."""
+        ...
 
 
 class HeaderError(ValueError):
--- a/martentide/net/extproc/decisions.py
+++ b/martentide/net/extproc/decisions.py
@@ -42,8 +42,8 @@
 class StreamWriter:
     """Bounded, ordered send queue of one stream; actors never block on it."""
 
-    def __init__(self, most: int) -> None:
-        self.max_unsent = most
+    def __init__(self, max_unsent: int) -> None:
+        self.max_unsent = max_unsent
         self.unsent: deque[pb.ProxyMessage] = deque()
         self.wake = asyncio.Event()
         self.closed = asyncio.Event()
