--- a/martentide/extproc/headers.py
+++ b/martentide/extproc/headers.py
@@ -46,7 +46,7 @@
 
     @property
     def first_choice(self) -> str:
-        """Index of the first-choice server."""
+        """Number of the first-choice server."""
         ...
 
     @property
