--- a/martentide/client/client.py
+++ b/martentide/client/client.py
@@ -160,7 +160,7 @@
         self, addresses: Sequence[str], front: str, tap: Callable[[FromFront | ToFront], None] | None = None
     ) -> None:
         if not addresses:
-            raise ValueError("addresses: expected one at least")
+            raise ValueError("addresses: expected at least one")
         self.addresses, self.front, self.tap = list(addresses), front, tap
         self.loop = asyncio.get_running_loop()
         self.requests = RequestTable()
--- a/tests/extproc/test_services.py
+++ b/tests/extproc/test_services.py
@@ -67,12 +67,12 @@
 
 def test_the_client_carries_a_call_past_a_server_that_refuses_to_its_one_final() -> None:
     async def scenario(env: Environment) -> None:
-        lines = Lines()
+        server_connections = Lines()
         env.servers[0].script.refuse = True
         async with Client([env.proxy.address], "edge") as client:
 
             async def attempt(route: Route) -> Attempt:
-                return (await lines.set_up(route, "status-check"))[0]
+                return (await server_connections.set_up(route, "status-check"))[0]
 
             done = await client.carry("status-check", attempt, "7f3a", 3000, first_choice=0)
             assert isinstance(done.final, Standing) and done.attempts == 2
@@ -80,7 +80,7 @@
             done.call.over()
         assert "reason=peer-closed" in await env.proxy.logged("role=front peer=edge/1")
         assert " asked=1 " in await env.proxy.logged("session-ended front=edge")
-        lines.close()
+        server_connections.close()
 
     run_scenario(scenario)
 
@@ -164,8 +164,8 @@
         async with env.raw() as front:
             await front.ask(1)
             first = (await front.next("route")).route
-            back = (await front.next("withdrawn")).withdrawn
-            assert (back.attempt, back.if_unused, back.why) == (0, False, "patience")
+            withdrawn = (await front.next("withdrawn")).withdrawn
+            assert (withdrawn.attempt, withdrawn.if_unused, withdrawn.why) == (0, False, "patience")
             second = (await front.next("route")).route
             assert second.attempt == 1 and second.server != first.server
             await front.outcome(1, "STANDS", 0)  # late, of the first attempt
@@ -264,11 +264,11 @@
             assert 0 < route.valid_for_ms <= 1000, "the first byte must keep the drain rule in any case"
             draining = env.server(route.address)
             env.board.tell([(draining, DRAINING)])
-            back = (await front.next("withdrawn")).withdrawn
-            assert back.if_unused and back.why == "draining"
+            withdrawn = (await front.next("withdrawn")).withdrawn
+            assert withdrawn.if_unused and withdrawn.why == "draining"
             await front.outcome(1, "NOT_SENT")
-            anew = (await front.next("route")).route
-            assert anew.server != route.server and anew.attempt == 1
+            second = (await front.next("route")).route
+            assert second.server != route.server and second.attempt == 1
 
     run_scenario(scenario)
 
@@ -309,18 +309,18 @@
             finals: Counter[int] = Counter()
             whys: Counter[str] = Counter()
 
-            heard = asyncio.Event()
+            received = asyncio.Event()
 
             async def ask() -> None:
                 for start in range(1, count + 1, 250):
                     # Only the case of the limit asks more than may be pending at once; in the other, a slow
                     # CPU would refuse most questions at their deadline.
                     while pending > count and start - len(routes | finals) > 500:
-                        heard.clear()
-                        await heard.wait()
+                        received.clear()
+                        await received.wait()
                     await front.ask(*range(start, start + 250), left=6000)
 
-            async def hear() -> None:
+            async def receive() -> None:
                 while len(routes | finals) < count:
                     message = await front.next("route", "refused", "failed")
                     verdict = getattr(message, kind(message))
@@ -331,9 +331,9 @@
                         # On a slow CPU also for a routed request whose deadline passed before the cancel.
                         finals[verdict.request] += 1
                         whys[verdict.why] += verdict.request not in routes
-                    heard.set()
+                    received.set()
 
-            await asyncio.gather(ask(), hear())
+            await asyncio.gather(ask(), receive())
             assert {*routes.values(), *finals.values()} == {1}
             assert len(routes) + sum(whys.values()) == count
             if pending > count:
@@ -406,9 +406,12 @@
         async with grpc.aio.insecure_channel(env.proxy.address) as channel:
             stream = EnvoyStream(channel)
             asked = await stream.request(ASKED)
-            told = set_headers(asked)
-            assert told["x-envoy-original-dst-host"] in [server.address for server in env.servers]
-            assert told["x-martentide-attempt"] == "0" and int(told["x-envoy-upstream-rq-timeout-ms"]) > 0
+            added_headers = set_headers(asked)
+            assert added_headers["x-envoy-original-dst-host"] in [server.address for server in env.servers]
+            assert (
+                added_headers["x-martentide-attempt"] == "0"
+                and int(added_headers["x-envoy-upstream-rq-timeout-ms"]) > 0
+            )
             passed = await stream.response(200, x_load_report="x0:10;x1:20;eps:0.1")
             assert passed.WhichOneof("response") == "response_headers" and not set_headers(passed)
             await stream.done()
@@ -489,13 +492,13 @@
 
 def test_a_server_that_stalls_delays_no_decision_and_each_call_keeps_one_final() -> None:
     async def scenario(env: Environment) -> None:
-        lines = Lines()
+        server_connections = Lines()
         env.servers[0].stall(500.0)
         async with Client([env.proxy.address], "edge") as client:
             await client.connected.wait()
 
             async def attempt(route: Route) -> Attempt:
-                return (await lines.set_up(route, "status-check"))[0]
+                return (await server_connections.set_up(route, "status-check"))[0]
 
             async def carry(number: int) -> object:
                 return (await client.carry("status-check", attempt, f"{number}", 3000, number % 2)).final
@@ -503,7 +506,7 @@
             finals = await asyncio.gather(*(carry(number) for number in range(40)))
             assert sum(isinstance(final, Standing) for final in finals) >= 20 and len(finals) == 40
             assert not client.requests.counts["doubled"] and not client.requests.counts["two_out"]
-        lines.close()
+        server_connections.close()
 
     run_scenario(scenario)
 
