--- a/martentide/cli.py
+++ b/martentide/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check-config, version. The options are click's; exit codes are in the README."""
+"""Command line, built with click. The README lists the exit codes."""
 
 from __future__ import annotations
 
@@ -20,33 +20,38 @@
 from martentide.versions import OPERATOR, REFUSED, add_to
 
 
-class Default(click.Group):
-    """A group whose ``serve`` is run where no command is named."""
+class DefaultGroup(click.Group):
+    """Command group that runs ``serve`` if no command is given."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
+        """Default to ``serve`` without arguments."""
         return super().parse_args(ctx, args or ["serve"])
 
 
 def config_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Add the options --config and --extras to a command."""
     command = click.option(
         "--extras", metavar="FILE", help="what is on beside the platform (KDL); default: $MARTENTIDE_EXTRAS"
     )(command)
     return click.option("--config", metavar="FILE", help="configuration; default: $PROXY_CONFIG")(command)
 
 
-@click.group(cls=Default, invoke_without_command=False, help="Signalling proxy with shared decisions.")
+@click.group(cls=DefaultGroup, invoke_without_command=False, help="Signalling proxy with shared decisions.")
 def top() -> None:
+    """Root command group."""
     pass
 
 
 @top.command("version", help="Print the version and exit.")
 def version() -> None:
+    """Print the version."""
     click.echo(f"martentide {__version__}")
 
 
 @top.command("check-config", help="Read the configuration, say what it holds and exit.")
 @config_options
 def check_config(config: str | None, extras: str | None) -> None:
+    """Validate the configuration and print a summary."""
     read = load_or_exit(config, extras)
     click.echo(summary(read))
     if read.extras is not None:
@@ -61,7 +66,8 @@
 def serve_command(
     config: str | None, extras: str | None, log_level: str, log_format: str, trace_calls: bool
 ) -> None:
-    # Guards against a reload that comes before the loop is up: the file is read after this, so it is new.
+    """Run the proxy until SIGTERM; exits with a non-zero code if it can't listen."""
+    # Ignore a reload signal until the event loop runs: the file is read after this line, so it is current.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     read = load_or_exit(config, extras)
     log.configure(log_level, log_format)
@@ -78,6 +84,7 @@
 @click.option("--log-level", type=click.Choice(list(log.LEVELS)), default="info", show_default=True)
 @click.option("--log-format", type=click.Choice(log.FORMATS), default="text", show_default=True)
 def control_command(extras: str, log_level: str, log_format: str) -> None:
+    """Run a control node until SIGTERM or SIGINT."""
     from martentide.extras import ControlNodePart, ExtrasError, load_extras
 
     try:
@@ -108,11 +115,12 @@
 
 @top.group("state", help="Look at files of learned state.")
 def state() -> None:
+    """Group of commands on learned-state files."""
     pass
 
 
-def read_file(path: str) -> Any:
-    """The state in a file; exits with 2 where it can't be read, with 3 where it is refused."""
+def read_state_file(path: str) -> Any:
+    """Read learned state from a file; exits with 2 if it can't be read, with 3 if it is invalid."""
     from martentide.learned.codec import MOST_FILE, StateError, read_state
 
     try:
@@ -131,7 +139,8 @@
 @state.command("check", help="Say whether the file is whole: 0 it is, 3 it is refused.")
 @click.argument("file")
 def state_check(file: str) -> None:
-    learned = read_file(file)
+    """Validate a learned-state file."""
+    learned = read_state_file(file)
     click.echo(f"{file}: whole, save {learned.sequence}, {len(learned.servers)} servers")
 
 
@@ -139,21 +148,24 @@
 @click.argument("file")
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def state_show(file: str, as_json: bool) -> None:
+    """Print a learned-state file."""
     import msgspec
 
-    learned = read_file(file)
+    learned = read_state_file(file)
     if as_json:
         click.echo(msgspec.json.encode(learned).decode())
         return
     click.echo(f"save {learned.sequence} at {learned.saved_at:.0f}, {len(learned.redials)} redials")
     click.echo(f"{'server':<20} {'wait':>8} {'lag':>8} {'faults':>7} {'held back':>10}  state")
-    for one in learned.servers:
-        held = f"{one.image.hold_back:.2f}" if one.image is not None else "-"
-        words = [
-            word for word, is_so in (("suspect", one.suspect), ("cold", one.cold_from is not None)) if is_so
+    for server in learned.servers:
+        held = f"{server.image.hold_back:.2f}" if server.image is not None else "-"
+        flags = [
+            flag
+            for flag, applies in (("suspect", server.suspect), ("cold", server.cold_from is not None))
+            if applies
         ]
-        line = f"{one.name:<20} {one.wait:>8.1f} {one.lag:>8.1f} {one.faults:>7.2f} {held:>10}"
-        click.echo(f"{line}  {' '.join(words) or 'open'}")
+        line = f"{server.name:<20} {server.wait:>8.1f} {server.lag:>8.1f} {server.faults:>7.2f} {held:>10}"
+        click.echo(f"{line}  {' '.join(flags) or 'open'}")
 
 
 @state.command("diff", help="Print what changed from one file to another: 0 nothing, 1 something.")
@@ -161,17 +173,19 @@
 @click.argument("new")
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def state_diff(old: str, new: str, as_json: bool) -> None:
+    """Compare two learned-state files; exits with 1 if they differ."""
     import msgspec
 
     from martentide.learned.recovery import diff
 
-    lines = diff(read_file(old), read_file(new))
+    lines = diff(read_state_file(old), read_state_file(new))
     click.echo(msgspec.json.encode(lines).decode() if as_json else "\n".join(lines) or "no difference")
     sys.exit(1 if lines else 0)
 
 
 @top.group("fleet", help="Look at the fleet that a running proxy is a member of.")
 def fleet() -> None:
+    """Group of commands on the fleet."""
     pass
 
 
@@ -179,6 +193,7 @@
 @OPERATOR
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def fleet_show(operator: str, as_json: bool) -> None:
+    """Print the fleet's members as a running proxy knows them."""
     from martentide.net.fleet.show import QueryError, query, table
 
     try:
@@ -193,6 +208,7 @@
 
 
 def load_or_exit(config: str | None, extras: str | None) -> Config:
+    """Load the configuration; exits with 2 if it is invalid."""
     try:
         return load_config(os.environ, config, extras)
     except ConfigError as error:
@@ -201,6 +217,7 @@
 
 
 def summary(config: Config) -> str:
+    """One line that describes the configuration."""
     servers = sum(len(notice.servers) for notice in config.known)
     return (
         f"{config.name}: listens on {config.listen}, board {config.board}, "
@@ -210,5 +227,5 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """0 at a planned end, 2 for a configuration that can't be used (one line on standard error)."""
+    """Run the command line; exits with 2 and one line on standard error if the configuration is invalid."""
     top.main(args=None if arguments is None else list(arguments), prog_name="martentide")
--- a/martentide/client/state.py
+++ b/martentide/client/state.py
@@ -1,7 +1,8 @@
-"""What a front knows of its own requests: the client's half of ``martentide.decisions.v1``, without I/O.
+"""State of a front's own requests: the client side of ``martentide.decisions.v1``, without I/O.
 
-It passes on each route and each final once, whatever is repeated or crosses on the wire, answers for what
-nobody waits for any more, and says after a break what is lost and what may be asked anew.
+It delivers each route and each final verdict once, even if messages are repeated or cross on the wire,
+answers messages for requests that are already closed, and decides after a broken stream what is lost and what
+is asked again.
 """
 
 from __future__ import annotations
@@ -29,19 +30,21 @@
 )
 from martentide.interface import Ending
 
-NEVER_RAN = (Ending.FULL, Ending.UNREACHABLE, Ending.NOT_SENT)
+NOT_EXECUTED_ENDINGS = (Ending.FULL, Ending.UNREACHABLE, Ending.NOT_SENT)
 
 
 class Phase(Enum):
+    """Phase of an open request."""
+
     ASKED = "asked"  # no verdict yet
-    ROUTED = "routed"  # an attempt may be out
-    REPORTED = "reported"  # its outcome is said, the next verdict is to come
+    ROUTED = "routed"  # an attempt may be in flight
+    REPORTED = "reported"  # its outcome is reported, the next verdict is pending
     STANDS = "stands"
 
 
 @dataclass(slots=True)
-class Own:
-    """One request of this front that is not closed."""
+class OpenRequest:
+    """One open request of this front."""
 
     ask: Ask
     phase: Phase = Phase.ASKED
@@ -53,8 +56,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
-    """For the front's own code: a route, a final, a withdrawal or a release, each once."""
+class Delivery:
+    """A route, final verdict, withdrawal or release to deliver to the front's code, once each."""
 
     request: int
     message: ToFront
@@ -62,22 +65,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Renumbered:
-    """A question that went down with its stream is asked anew, under another number."""
+    """A question lost with its stream is asked again under a new number."""
 
-    old: int
-    new: int
+    old_request: int
+    new_request: int
 
 
-Result = Passed | Renumbered
+Result = Delivery | Renumbered
 
 
-class Requests:
-    """All requests of one front. ``to_send`` fills with what is to be written, in order."""
+class RequestTable:
+    """All requests of one front. ``to_send`` collects the messages to write, in order."""
 
     def __init__(self) -> None:
-        self.own: dict[int, Own] = {}
-        self.last = 0
-        self.to_send: list[tuple[FromFront, str]] = []  # and the server's report as it came
+        self.open_requests: dict[int, OpenRequest] = {}
+        self.last_request = 0
+        self.to_send: list[tuple[FromFront, str]] = []  # with the server's report, unparsed
         self.counts: Counter[str] = Counter()
         self.connected = False
 
@@ -86,19 +89,20 @@
     def ask(
         self, call_class: str, number: str | None, time_left: float | None, first_choice: int, now: float
     ) -> int:
-        self.last += 1
-        ask = Ask(self.last, call_class, number, time_left, first_choice, now)
-        self.own[self.last] = Own(ask)
+        """Open a request and return its number; ``time_left`` and ``now`` in ms."""
+        self.last_request += 1
+        ask = Ask(self.last_request, call_class, number, time_left, first_choice, now)
+        self.open_requests[self.last_request] = OpenRequest(ask)
         if self.connected:
             self.to_send.append((ask, ""))
-        return self.last
+        return self.last_request
 
     def begin(self, request: int) -> bool:
-        """The first byte of the attempt is about to be sent: False where it must not be any more."""
-        one = self.own.get(request)
-        if one is None or one.phase is not Phase.ROUTED:
+        """Mark the attempt as begun, before its first byte is sent; False if it must no longer be sent."""
+        entry = self.open_requests.get(request)
+        if entry is None or entry.phase is not Phase.ROUTED:
             return False
-        one.begun = True
+        entry.begun = True
         return True
 
     def report(
@@ -109,137 +113,140 @@
         lines_full: bool = False,
         report: str = "",
     ) -> Outcome | None:
-        """Say what came of the attempt; None where nothing is to be said any more."""
-        one = self.own.get(request)
-        if one is None or one.phase is not Phase.ROUTED:
+        """Report the outcome of the attempt; None if there is nothing left to report."""
+        entry = self.open_requests.get(request)
+        if entry is None or entry.phase is not Phase.ROUTED:
             return None
-        outcome = one.outcome = Outcome(request, one.attempt, ending, lag, lines_full)
-        one.phase, one.report = Phase.REPORTED, report
-        one.may_have_run = one.may_have_run or ending not in NEVER_RAN
+        outcome = entry.outcome = Outcome(request, entry.attempt, ending, lag, lines_full)
+        entry.phase, entry.report = Phase.REPORTED, report
+        entry.may_have_run = entry.may_have_run or ending not in NOT_EXECUTED_ENDINGS
         if self.connected:
             self.to_send.append((outcome, report))
         return outcome
 
     def cancel(self, request: int) -> None:
-        if self.own.pop(request, None) is not None and self.connected:
+        """Close a request whose caller has left."""
+        if self.open_requests.pop(request, None) is not None and self.connected:
             self.to_send.append((Cancel(request), ""))
 
     def over(self, request: int, cut: bool, report: str = "") -> None:
-        one = self.own.get(request)
-        if one is not None and one.phase is Phase.STANDS:
-            del self.own[request]
+        """Report the end of a standing call."""
+        entry = self.open_requests.get(request)
+        if entry is not None and entry.phase is Phase.STANDS:
+            del self.open_requests[request]
             if self.connected:
                 self.to_send.append((Over(request, cut), report))
 
     # ---- the proxy ----------------------------------------------------------------------------------------
 
     def handle(self, message: ToFront, now: float) -> list[Result]:
+        """Process a message of the proxy; ``now`` in ms."""
         if isinstance(message, Welcomed):
             return self._welcomed(message, now)
         request = message.request
-        one = self.own.get(request)
-        if one is None:
-            self._nobody(message)
+        entry = self.open_requests.get(request)
+        if entry is None:
+            self._on_unknown_request(message)
             return []
         match message:
             case Route():
-                return self._route(one, message)
+                return self._route(entry, message)
             case Withdrawn():
-                return self._withdrawn(one, message)
+                return self._withdrawn(entry, message)
             case Standing():
-                if one.phase is not Phase.REPORTED:
+                if entry.phase is not Phase.REPORTED:
                     self.counts["doubled"] += 1
                     return []
-                one.phase = Phase.STANDS
+                entry.phase = Phase.STANDS
             case Refused() | Failed() | Cancelled():
-                if one.phase is Phase.STANDS:
+                if entry.phase is Phase.STANDS:
                     self.counts["doubled"] += 1
                     return []
-                del self.own[request]
+                del self.open_requests[request]
             case Release():
-                del self.own[request]
-        return [Passed(request, message)]
+                del self.open_requests[request]
+        return [Delivery(request, message)]
 
-    def _route(self, one: Own, route: Route) -> list[Result]:
-        if route.attempt == one.attempt:
-            if one.phase is Phase.REPORTED and one.outcome is not None:
-                self.to_send.append((one.outcome, one.report))  # it went down with the last stream
+    def _route(self, entry: OpenRequest, route: Route) -> list[Result]:
+        if route.attempt == entry.attempt:
+            if entry.phase is Phase.REPORTED and entry.outcome is not None:
+                self.to_send.append((entry.outcome, entry.report))  # it was lost with the last stream
             self.counts["repeated_routes"] += 1
             return []
-        if one.phase in (Phase.ROUTED, Phase.STANDS):
-            # Guards the rule of one attempt at a time against a proxy that forgets it.
+        if entry.phase in (Phase.ROUTED, Phase.STANDS):
+            # Enforces one attempt at a time even if the proxy routes a second one.
             self.counts["two_out"] += 1
             return []
-        one.phase, one.attempt, one.begun, one.outcome = Phase.ROUTED, route.attempt, False, None
-        return [Passed(route.request, route)]
+        entry.phase, entry.attempt, entry.begun, entry.outcome = Phase.ROUTED, route.attempt, False, None
+        return [Delivery(route.request, route)]
 
-    def _withdrawn(self, one: Own, back: Withdrawn) -> list[Result]:
-        if back.attempt != one.attempt:
+    def _withdrawn(self, entry: OpenRequest, withdrawn: Withdrawn) -> list[Result]:
+        if withdrawn.attempt != entry.attempt:
             return []
-        if back.if_unused:
-            if one.phase is Phase.ROUTED and not one.begun:
-                self.report(back.request, Ending.NOT_SENT, 0.0)
-                return [Passed(back.request, back)]
+        if withdrawn.if_unused:
+            if entry.phase is Phase.ROUTED and not entry.begun:
+                self.report(withdrawn.request, Ending.NOT_SENT, 0.0)
+                return [Delivery(withdrawn.request, withdrawn)]
             return []
-        if one.phase in (Phase.ROUTED, Phase.REPORTED):
-            one.phase, one.outcome = Phase.REPORTED, None
-            one.may_have_run = True
-            return [Passed(back.request, back)]
-        if one.phase is Phase.STANDS:
-            del self.own[back.request]
-            return [Passed(back.request, Release(back.request, back.why))]
+        if entry.phase in (Phase.ROUTED, Phase.REPORTED):
+            entry.phase, entry.outcome = Phase.REPORTED, None
+            entry.may_have_run = True
+            return [Delivery(withdrawn.request, withdrawn)]
+        if entry.phase is Phase.STANDS:
+            del self.open_requests[withdrawn.request]
+            return [Delivery(withdrawn.request, Release(withdrawn.request, withdrawn.why))]
         return []
 
-    def _nobody(self, message: ToFront) -> None:
-        """Nobody waits for it: it was cancelled, or had its final."""
+    def _on_unknown_request(self, message: ToFront) -> None:
+        """Handle a message for a request that was cancelled or has its final verdict."""
         if isinstance(message, Route):
             unused = Outcome(message.request, message.attempt, Ending.NOT_SENT, 0.0)
             self.to_send.append((unused, ""))
         elif not isinstance(message, Cancelled | Withdrawn):
             self.counts["unwanted"] += 1
 
-    # ---- breaks -------------------------------------------------------------------------------------------
+    # ---- broken streams -----------------------------------------------------------------------------------
 
-    def broken(self) -> None:
-        """The stream ended: nothing is sent until the next welcome."""
+    def stream_ended(self) -> None:
+        """Discard unsent messages; nothing is sent until the next welcome."""
         self.connected = False
         self.to_send.clear()
 
     def _welcomed(self, welcome: Welcomed, now: float) -> list[Result]:
-        """Go on with what the proxy holds, ask anew what had no verdict, and settle the rest."""
+        """Resume the requests the proxy still has, ask again those without a verdict, and settle the rest."""
         self.connected = True
         standing, results = set(welcome.standing), list[Result]()
-        held = standing.union(welcome.routed)
-        for request in held - self.own.keys():
+        known_to_proxy = standing.union(welcome.routed)
+        for request in known_to_proxy - self.open_requests.keys():
             self.to_send.append((Cancel(request), ""))
-        for request, one in list(self.own.items()):
-            if request in held:
-                if one.phase is Phase.REPORTED and request in standing:
-                    one.phase = Phase.STANDS  # its final went down with the last stream
-                    results.append(Passed(request, Standing(request)))
+        for request, entry in list(self.open_requests.items()):
+            if request in known_to_proxy:
+                if entry.phase is Phase.REPORTED and request in standing:
+                    entry.phase = Phase.STANDS  # its final was lost with the last stream
+                    results.append(Delivery(request, Standing(request)))
                 continue
-            if one.phase is Phase.STANDS or (one.outcome is not None and one.outcome.ending is None):
-                # It stands between its caller and the server; only the proxy's count of it is lost.
-                del self.own[request]
-                if one.phase is not Phase.STANDS:
-                    results.append(Passed(request, Standing(request)))
+            if entry.phase is Phase.STANDS or (entry.outcome is not None and entry.outcome.ending is None):
+                # The call stands between caller and server; only the proxy's count of it is lost.
+                del self.open_requests[request]
+                if entry.phase is not Phase.STANDS:
+                    results.append(Delivery(request, Standing(request)))
                 self.counts["uncounted"] += 1
                 continue
-            del self.own[request]
-            if one.phase is Phase.ASKED:
-                left = one.ask.time_left
-                left = None if left is None else left - (now - one.ask.at)
-                if left is None or left > 0:
-                    ask = one.ask
-                    new = self.ask(ask.call_class, ask.number, left, ask.first_choice, now)
-                    results.append(Renumbered(request, new))
+            del self.open_requests[request]
+            if entry.phase is Phase.ASKED:
+                time_left = entry.ask.time_left
+                time_left = None if time_left is None else time_left - (now - entry.ask.at)
+                if time_left is None or time_left > 0:
+                    ask = entry.ask
+                    new_request = self.ask(ask.call_class, ask.number, time_left, ask.first_choice, now)
+                    results.append(Renumbered(request, new_request))
                 else:
-                    results.append(Passed(request, Refused(request, 0.0, Why.DEADLINE)))
-            elif one.phase is Phase.ROUTED and one.begun:
-                results.append(Passed(request, Withdrawn(request, one.attempt, False, Why.LATE)))
-                results.append(Passed(request, Failed(request, Why.LATE)))
-            elif one.may_have_run:
-                results.append(Passed(request, Failed(request, Why.LATE)))
+                    results.append(Delivery(request, Refused(request, 0.0, Why.DEADLINE)))
+            elif entry.phase is Phase.ROUTED and entry.begun:
+                results.append(Delivery(request, Withdrawn(request, entry.attempt, False, Why.LATE)))
+                results.append(Delivery(request, Failed(request, Why.LATE)))
+            elif entry.may_have_run:
+                results.append(Delivery(request, Failed(request, Why.LATE)))
             else:
-                results.append(Passed(request, Refused(request, 0.0, Why.LATE)))
+                results.append(Delivery(request, Refused(request, 0.0, Why.LATE)))
         return results
--- a/martentide/extras.py
+++ b/martentide/extras.py
@@ -1,7 +1,7 @@
-"""The extras file (KDL): what is turned on beside the platform's protocol, and its figures.
+"""The extras file (KDL): enables and configures the subsystems beside the platform's protocol.
 
-Every fault names the file, the node and the property, what was found and what was expected. A subsystem that
-the file does not name is off. ``deploy/extras.example.kdl`` shows all there is.
+Each error names the file, the node and the property, the value found and the value expected. A subsystem that
+the file does not name is disabled. ``deploy/extras.example.kdl`` shows all nodes.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 import msgspec
 
 from martentide.control.placement import NodeInfo
-from martentide.extproc.ledger import Terms
+from martentide.extproc.ledger import LifecycleSettings
 from martentide.extproc.limits import Limits
-from martentide.extproc.sessions import SessionTerms
+from martentide.extproc.sessions import SessionSettings
 from martentide.fleet.terms import Terms as FleetTerms
 from martentide.interface import Settings
 from martentide.learned.pacing import Pace
 
-MOST_FILE = 1024 * 1024  # bytes
-MOST_CALLS = 63  # services of a proxy beside its own
+MAX_FILE_BYTES = 1024 * 1024
+MAX_SERVICES = 63  # services that a proxy calls, beside its own
 
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000_000)]
 Millis = Annotated[float, msgspec.Meta(ge=0, le=600_000)]
@@ -35,14 +35,16 @@
 
 
 class ExtrasError(Exception):
-    """The extras file can't be used; the text is one line."""
+    """The extras file is invalid or can't be read; the text is one line."""
 
 
 class Node(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """One node's properties."""
+    """Base of the structs that hold the properties of one node."""
 
 
 class LimitsNode(Node, frozen=True):
+    """Admission limits of fronts."""
+
     pending_each: Count = 500
     pending_all: Count = 2_000
     open_each: Count = 5_000
@@ -54,6 +56,8 @@
 
 
 class TimesNode(Node, frozen=True):
+    """Times of the request lifecycle, in ms."""
+
     verdict_margin_ms: Millis = 20.0
     report_margin_ms: Millis = 40.0
     valid_for_ms: Annotated[float, msgspec.Meta(ge=10, le=1_800)] = 1_000.0  # the drain rule allows 2 s
@@ -62,20 +66,24 @@
 
 
 class SessionsNode(Node, frozen=True):
+    """Lease and limits of sessions."""
+
     lease_ms: Annotated[float, msgspec.Meta(ge=0, le=60_000)] = 2_000.0
     most: Count = 64
     most_each: Count = 8
 
 
 class StreamsNode(Node, frozen=True):
+    """Limits of streams."""
+
     most_message_bytes: Annotated[int, msgspec.Meta(ge=1_024, le=4_194_304)] = 65_536
     most_streams: Count = 2_000  # of one connection
-    most_unsent: Count = 10_000  # messages that wait for a front that does not read
-    blocked_ms: Millis = 2_000.0  # so long may one write take
+    most_unsent: Count = 10_000  # messages queued for a front that does not read
+    blocked_ms: Millis = 2_000.0  # timeout of one write
 
 
 class HeadersNode(Node, frozen=True):
-    """Names of the HTTP headers that carry what the decisions need, and what they decide."""
+    """Names of the HTTP headers that carry questions and decisions."""
 
     call_class: Header = "x-call-class"
     deadline_ms: Header = "x-call-deadline-ms"
@@ -88,19 +96,23 @@
 
 
 class StatusNode(Node, frozen=True):
-    """What HTTP statuses of a server mean as the end of an attempt; others of 400 and more are errors."""
+    """HTTP status codes of attempt outcomes (other codes from 400 are errors) and of final verdicts."""
 
     full: Status = 503
     timed_out: Status = 504
     unreachable: Status = 502
-    refusal: Status = 503  # what the caller gets for a refusal
-    failure: Status = 502  # and for a failure
+    refusal: Status = 503  # sent to the caller for a refusal
+    failure: Status = 502  # sent to the caller for a failure
 
 
 class ExternalProcessor(msgspec.Struct, frozen=True):
+    """The node ``external-processor``."""
+
     listen: str
     services: tuple[str, ...] = ("decisions", "ext-proc")
-    own_links: bool = True  # the program also dials the servers itself, to test them and hear their state
+    own_links: bool = (
+        True  # the process also connects to the servers itself, for health checks and their state
+    )
     limits: LimitsNode = LimitsNode()
     times: TimesNode = TimesNode()
     sessions: SessionsNode = SessionsNode()
@@ -108,50 +120,60 @@
     headers: HeadersNode = HeadersNode()
     statuses: StatusNode = StatusNode()
 
-    def limits_terms(self) -> Limits:
-        one = self.limits
+    def admission_limits(self) -> Limits:
+        """Convert the limits for the admission control."""
+        limits = self.limits
         return Limits(
-            pending_each=one.pending_each,
-            pending_all=one.pending_all,
-            open_each=one.open_each,
-            open_all=one.open_all,
-            rate_each=one.rate_each,
-            burst_ms=one.burst_ms,
-            reserve=one.reserve,
-            max_retry_after=one.max_retry_after_ms,
+            pending_each=limits.pending_each,
+            pending_all=limits.pending_all,
+            open_each=limits.open_each,
+            open_all=limits.open_all,
+            rate_each=limits.rate_each,
+            burst_ms=limits.burst_ms,
+            reserve=limits.reserve,
+            max_retry_after=limits.max_retry_after_ms,
         )
 
-    def ledger_terms(self, settings: Settings, single: bool) -> Terms:
+    def lifecycle_settings(self, settings: Settings, single_attempt: bool) -> LifecycleSettings:
+        """Combine the node's times with the settings for a ledger."""
         times = self.times
-        return Terms(
+        return LifecycleSettings(
             verdict_margin=times.verdict_margin_ms,
             report_margin=times.report_margin_ms,
             valid_for=times.valid_for_ms,
             lease_grace=times.lease_grace_ms,
-            standing_end=times.standing_end_ms,
-            release=settings.release,
-            most_attempts=settings.max_attempts,
-            single=single,
+            standing_expiry=times.standing_end_ms,
+            release_wait=settings.release,
+            max_attempts=settings.max_attempts,
+            single_attempt=single_attempt,
         )
 
-    def session_terms(self) -> SessionTerms:
-        return SessionTerms(self.sessions.lease_ms, self.sessions.most, self.sessions.most_each)
+    def session_settings(self) -> SessionSettings:
+        """Convert the session limits."""
+        return SessionSettings(self.sessions.lease_ms, self.sessions.most, self.sessions.most_each)
 
 
 class TimesOfState(Node, frozen=True):
+    """Period of saves of learned state and minimum gap between them, in ms."""
+
     period_ms: Annotated[float, msgspec.Meta(ge=50, le=600_000)] = 1_000.0
     gap_ms: Annotated[float, msgspec.Meta(ge=10, le=600_000)] = 200.0
 
 
 class LearnedState(msgspec.Struct, frozen=True):
+    """The node ``learned-state``."""
+
     folder: str
     times: TimesOfState = TimesOfState()
 
     def pace(self) -> Pace:
+        """Convert the times."""
         return Pace(period=self.times.period_ms, gap=self.times.gap_ms)
 
 
 class TimesOfFleet(Node, frozen=True):
+    """Times of the fleet's membership protocol, in ms."""
+
     period_ms: Annotated[float, msgspec.Meta(ge=50, le=10_000)] = 200.0
     probe_timeout_ms: Annotated[float, msgspec.Meta(ge=10, le=5_000)] = 90.0
     suspicion_ms: Annotated[float, msgspec.Meta(ge=200, le=60_000)] = 1_200.0
@@ -159,22 +181,26 @@
 
 
 class LimitsOfFleet(Node, frozen=True):
+    """Limits of the fleet: gossip bandwidth in bytes per second, and number of members."""
+
     bytes_s: Annotated[float, msgspec.Meta(ge=1_000, le=10_000_000)] = 5_000.0
     most_members: Annotated[int, msgspec.Meta(ge=2, le=8_192)] = 2_048
 
 
 class AgreementPart(msgspec.Struct, frozen=True):
-    """Versions of rules that the fleet agrees on; ``voters`` by the proxies' names. Without a folder a voter
-    that ends has lost its books."""
+    """The fleet's agreement on rule versions; ``voters`` are names of proxies.
+
+    Without a folder, a voter loses its persistent state when it ends.
+    """
 
     voters: tuple[str, ...]
     bound_ms: float = 2_000.0
     folder: str = ""
-    rules: str = ""  # a file that is proposed at SIGHUP where it differs from what is in force
+    rules: str = ""  # file proposed at SIGHUP if it differs from the rules in force
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """Proxies that know each other; ``advertise``: the address that others are told, where it is another."""
+    """Membership in a fleet of proxies; ``advertise``: the address announced to others, if not ``listen``."""
 
     name: str
     listen: tuple[str, int]
@@ -182,12 +208,13 @@
     advertise: tuple[str, int] | None = None
     seeds: tuple[tuple[str, int], ...] = ()
     secret: str = ""
-    overload: bool = False  # handled together with the other members
+    overload: bool = False  # share overload control with the other members
     agreement: AgreementPart | None = None
     times: TimesOfFleet = TimesOfFleet()
     limits: LimitsOfFleet = LimitsOfFleet()
 
     def terms(self) -> FleetTerms:
+        """Convert the times and limits for the membership protocol."""
         times = self.times
         return FleetTerms(
             period=times.period_ms,
@@ -201,7 +228,7 @@
 
 
 class ControlAddress(msgspec.Struct, frozen=True):
-    """A control node as others are configured with it; ``gossip``: where other nodes reach it."""
+    """Addresses of a control node; ``gossip``: its address for other control nodes."""
 
     name: str
     region: str
@@ -209,11 +236,12 @@
     gossip: tuple[str, int] = ("", 0)
 
     def info(self) -> NodeInfo:
+        """Name and region of the node."""
         return NodeInfo(self.name, self.region)
 
 
 class ControlTierPart(msgspec.Struct, frozen=True):
-    """A proxy that takes a lease of a control node. ``server``: its own session server, by name."""
+    """A proxy that takes a lease from a control node. ``server``: name of its own session server."""
 
     fleet: str
     region: str
@@ -225,11 +253,12 @@
     secret: str = ""
 
     def infos(self) -> tuple[NodeInfo, ...]:
-        return tuple(one.info() for one in self.nodes)
+        """Names and regions of all control nodes."""
+        return tuple(node.info() for node in self.nodes)
 
 
 class ControlNodePart(msgspec.Struct, frozen=True):
-    """What ``martentide control`` runs: the node ``name`` of ``nodes``."""
+    """The control node run by ``martentide control``: the node ``name`` of ``nodes``."""
 
     fleet: str
     name: str
@@ -237,14 +266,16 @@
     secret: str = ""
 
     def infos(self) -> tuple[NodeInfo, ...]:
-        return tuple(one.info() for one in self.nodes)
+        """Names and regions of all control nodes."""
+        return tuple(node.info() for node in self.nodes)
 
     def own(self) -> ControlAddress:
-        return next(one for one in self.nodes if one.name == self.name)
+        """Addresses of this node."""
+        return next(node for node in self.nodes if node.name == self.name)
 
 
 class Extras(msgspec.Struct, frozen=True):
-    """The whole file; what is None is off."""
+    """Contents of the file; a subsystem that is None is disabled."""
 
     path: str
     external_processor: ExternalProcessor | None = None
@@ -255,10 +286,11 @@
 
     @property
     def dials(self) -> bool:
-        """Whether the program dials session servers itself."""
+        """Whether the process itself connects to session servers."""
         return self.external_processor is None or self.external_processor.own_links
 
     def summary(self) -> str:
+        """One line that lists the enabled subsystems."""
         on = []
         if (front := self.external_processor) is not None:
             on.append(f"external processor ({', '.join(front.services)}) on {front.listen}")
@@ -274,7 +306,7 @@
 
 
 SERVICES = ("decisions", "ext-proc")
-PARTS: dict[str, type[Node]] = {
+PROPERTY_NODES: dict[str, type[Node]] = {
     "limits": LimitsNode,
     "times": TimesNode,
     "sessions": SessionsNode,
@@ -286,14 +318,14 @@
 
 
 def load_extras(path: str, settings: Settings | None) -> Extras:
-    """Read and check the file; raises ExtrasError. ``settings``: None for a program without any."""
+    """Read and validate the file; raises ExtrasError. ``settings``: None for a process without settings."""
     try:
         with Path(path).open("rb") as file:
-            raw = file.read(MOST_FILE + 1)
+            raw = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise ExtrasError(f"{path}: {error.strerror}") from None
-    if len(raw) > MOST_FILE:
-        raise ExtrasError(f"{path}: more than {MOST_FILE} bytes")
+    if len(raw) > MAX_FILE_BYTES:
+        raise ExtrasError(f"{path}: more than {MAX_FILE_BYTES} bytes")
     try:
         text = raw.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -302,30 +334,31 @@
 
 
 def read_extras(text: str, path: str, settings: Settings | None) -> Extras:
+    """Parse and validate the file's text; ``path`` is used in messages. Raises ExtrasError."""
     try:
         document = ckdl.parse(text)
     except ckdl.ParseError as error:
-        raise ExtrasError(f"{path}: line {_bad_line(text)}: {error}") from None
+        raise ExtrasError(f"{path}: line {_error_line(text)}: {error}") from None
     found: dict[str, Any] = {}
     for node in document.nodes:
         where = f"{path}: {node.name}"
-        if node.name not in TOP:
-            raise ExtrasError(f"{where}: unknown node{_nearest(node.name, list(TOP))}")
+        if node.name not in TOP_LEVEL_NODES:
+            raise ExtrasError(f"{where}: unknown node{_suggestion(node.name, list(TOP_LEVEL_NODES))}")
         if node.name in found:
-            raise ExtrasError(f"{where}: stands there twice")
+            raise ExtrasError(f"{where}: appears twice")
         if node.args or node.properties:
-            raise ExtrasError(f"{where}: takes no values of its own, its figures stand in nodes inside")
-        found[node.name] = TOP[node.name](node, path)
+            raise ExtrasError(f"{where}: takes no values of its own, its values belong in child nodes")
+        found[node.name] = TOP_LEVEL_NODES[node.name](node, path)
     for name in ("fleet", "control-tier"):
         if name in found and settings is not None and not settings.may_tell_peers:
             raise ExtrasError(
-                f"{path}: {name}: the settings forbid talk between proxies (limits.peers is false)"
+                f"{path}: {name}: the settings forbid messages between proxies (limits.peers is false)"
             )
     return Extras(path, **{name.replace("-", "_"): part for name, part in found.items()})
 
 
-def _bad_line(text: str) -> int:
-    """The first line up to which the text can't be the beginning of a document."""
+def _error_line(text: str) -> int:
+    """Number of the first line at which the text can no longer be the beginning of a document."""
     lines = text.splitlines()
     for count in range(1, len(lines) + 1):
         try:
@@ -341,10 +374,10 @@
     values: dict[str, Any] = {}
     for child, here in _children(node, where):
         if child.name == "listen":
-            values["listen"] = _one(child, str, "an address HOST:PORT", here)
-            _address(values["listen"], here)
+            values["listen"] = _single_value(child, str, "an address HOST:PORT", here)
+            _host_port(values["listen"], here)
         elif child.name == "own-links":
-            values["own-links"] = _one(child, bool, "#true or #false", here)
+            values["own-links"] = _single_value(child, bool, "#true or #false", here)
         elif child.name == "services":
             for name in child.args:
                 if name not in SERVICES:
@@ -352,11 +385,11 @@
             if not child.args or child.properties or child.children:
                 raise ExtrasError(f"{here}: expected names of services")
             values["services"] = tuple(child.args)
-        elif child.name in PARTS:
-            values[child.name] = _part(child, PARTS[child.name], here)
+        elif child.name in PROPERTY_NODES:
+            values[child.name] = _properties(child, PROPERTY_NODES[child.name], here)
         else:
-            known = ["listen", "own-links", "services", *PARTS]
-            raise ExtrasError(f"{here}: unknown node{_nearest(child.name, known)}")
+            known = ["listen", "own-links", "services", *PROPERTY_NODES]
+            raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, known)}")
     if "listen" not in values:
         raise ExtrasError(f"{where}: expected a node listen, found none")
     return ExternalProcessor(**{name.replace("-", "_"): value for name, value in values.items()})
@@ -367,28 +400,28 @@
     values: dict[str, Any] = {}
     for child, here in _children(node, where):
         if child.name == "folder":
-            values["folder"] = _one(child, str, "a path", here)
+            values["folder"] = _single_value(child, str, "a path", here)
             if not values["folder"].startswith("/"):
                 raise ExtrasError(f"{here}: expected a path from the root, found {values['folder']!r}")
         elif child.name == "times":
-            values["times"] = _part(child, TimesOfState, here)
+            values["times"] = _properties(child, TimesOfState, here)
         else:
-            raise ExtrasError(f"{here}: unknown node{_nearest(child.name, ['folder', 'times'])}")
+            raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, ['folder', 'times'])}")
     if "folder" not in values:
         raise ExtrasError(f"{where}: expected a node folder, found none")
     return LearnedState(**values)
 
 
-def _address(text: Any, where: str) -> tuple[str, int]:
+def _host_port(text: Any, where: str) -> tuple[str, int]:
     host, colon, port = str(text).rpartition(":")
     if not isinstance(text, str) or not colon or not host or not port.isdecimal() or int(port) > 65535:
         raise ExtrasError(f"{where}: expected HOST:PORT, found {text!r}")
     return host, int(port)
 
 
-def _dotted(text: Any, where: str) -> tuple[str, int]:
-    """An address of datagrams: members are told it as it is, so it is not looked up."""
-    host, port = _address(text, where)
+def _ipv4_address(text: Any, where: str) -> tuple[str, int]:
+    """Parse a UDP address; it is announced to members unchanged, so it must not need name resolution."""
+    host, port = _host_port(text, where)
     try:
         return str(ipaddress.IPv4Address(host)), port
     except ValueError:
@@ -398,29 +431,29 @@
 def _fleet(node: ckdl.Node, path: str) -> Fleet:
     where = f"{path}: {node.name}"
     values: dict[str, Any] = {}
-    texts = {"name": 64, "zone": 64, "secret": 256}  # and their longest
+    texts = {"name": 64, "zone": 64, "secret": 256}  # maximum length in bytes
     addresses = ("listen", "advertise")
     parts: dict[str, type[Node]] = {"times": TimesOfFleet, "limits": LimitsOfFleet}
     for child, here in _children(node, where):
         if child.name in texts:
-            values[child.name] = text = _one(child, str, "a text", here)
+            values[child.name] = text = _single_value(child, str, "a text", here)
             if not 1 <= len(text.encode()) <= texts[child.name]:
                 raise ExtrasError(f"{here}: expected 1 to {texts[child.name]} bytes, found {text!r}")
         elif child.name in addresses:
-            values[child.name] = _dotted(_one(child, str, "an address HOST:PORT", here), here)
+            values[child.name] = _ipv4_address(_single_value(child, str, "an address HOST:PORT", here), here)
         elif child.name == "seeds":
             if not 1 <= len(child.args) <= 32 or child.properties or child.children:
                 raise ExtrasError(f"{here}: expected 1 to 32 addresses HOST:PORT, found {len(child.args)}")
-            values["seeds"] = tuple(_dotted(one, here) for one in child.args)
+            values["seeds"] = tuple(_ipv4_address(address, here) for address in child.args)
         elif child.name == "overload":
-            values["overload"] = _one(child, bool, "#true or #false", here)
+            values["overload"] = _single_value(child, bool, "#true or #false", here)
         elif child.name == "agreement":
             values["agreement"] = _agreement(child, here)
         elif child.name in parts:
-            values[child.name] = _part(child, parts[child.name], here)
+            values[child.name] = _properties(child, parts[child.name], here)
         else:
             known = [*texts, *addresses, "seeds", "overload", "agreement", *parts]
-            raise ExtrasError(f"{here}: unknown node{_nearest(child.name, known)}")
+            raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, known)}")
     for name in ("name", "listen"):
         if name not in values:
             raise ExtrasError(f"{where}: expected a node {name}, found none")
@@ -438,13 +471,13 @@
     for child, here in _children(node, where):
         if child.name == "voters":
             names = child.args
-            if child.properties or child.children or not all(type(one) is str and one for one in names):
+            if child.properties or child.children or not all(type(name) is str and name for name in names):
                 raise ExtrasError(f"{here}: expected names of proxies, found {list(names)!r}")
             if len(set(names)) != len(names) or len(names) not in (1, 3, 5):
                 raise ExtrasError(f"{here}: expected 1, 3 or 5 different names, found {list(names)!r}")
             values["voters"] = tuple(names)
         elif child.name in ("folder", "rules"):
-            values[child.name] = _one(child, str, "a path", here)
+            values[child.name] = _single_value(child, str, "a path", here)
         elif child.name == "bound-ms":
             if len(child.args) != 1 or type(child.args[0]) not in (int, float):
                 raise ExtrasError(f"{here}: expected ms, found {list(child.args)!r}")
@@ -453,27 +486,27 @@
                 raise ExtrasError(f"{here}: expected 500 to 60000, found {child.args[0]}")
         else:
             known = ["voters", "bound-ms", "folder", "rules"]
-            raise ExtrasError(f"{here}: unknown node{_nearest(child.name, known)}")
+            raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, known)}")
     if "voters" not in values:
         raise ExtrasError(f"{where}: expected a node voters, found none")
     return AgreementPart(**values)
 
 
 def _control_tier(node: ckdl.Node, path: str) -> ControlTierPart:
-    """``region``, ``zone``, ``service`` and ``calls`` say who asks for what; ``nodes`` whom it asks."""
+    """Parse ``control-tier``: the lease to ask for, and the ``nodes`` to ask."""
     where = f"{path}: {node.name}"
     texts = {"fleet": 64, "secret": 256, "region": 32, "zone": 32, "service": 32, "server": 64}
     values = _control_values(node, where, texts, gossip=False)
-    _expect(values, ("fleet", "region", "zone", "service", "nodes"), where)
+    _require(values, ("fleet", "region", "zone", "service", "nodes"), where)
     return ControlTierPart(**values)
 
 
 def _control_node(node: ckdl.Node, path: str) -> ControlNodePart:
     where = f"{path}: {node.name}"
     values = _control_values(node, where, {"fleet": 64, "secret": 256, "name": 64}, gossip=True)
-    _expect(values, ("fleet", "name", "nodes"), where)
+    _require(values, ("fleet", "name", "nodes"), where)
     part = ControlNodePart(**values)
-    if part.name not in (one.name for one in part.nodes):
+    if part.name not in (address.name for address in part.nodes):
         raise ExtrasError(f"{where}/name: expected one of the nodes, found {part.name!r}")
     return part
 
@@ -482,21 +515,23 @@
     values: dict[str, Any] = {}
     for child, here in _children(node, where):
         if child.name in texts:
-            values[child.name] = text = _one(child, str, "a text", here)
+            values[child.name] = text = _single_value(child, str, "a text", here)
             if not 1 <= len(text.encode()) <= texts[child.name]:
                 raise ExtrasError(f"{here}: expected 1 to {texts[child.name]} bytes, found {text!r}")
         elif child.name == "calls" and not gossip:
-            if child.properties or child.children or not all(type(one) is str for one in child.args):
+            if child.properties or child.children or not all(type(name) is str for name in child.args):
                 raise ExtrasError(f"{here}: expected names of services, found {list(child.args)!r}")
-            if len(child.args) > MOST_CALLS:
-                raise ExtrasError(f"{here}: expected {MOST_CALLS} services at most, found {len(child.args)}")
+            if len(child.args) > MAX_SERVICES:
+                raise ExtrasError(
+                    f"{here}: expected {MAX_SERVICES} services at most, found {len(child.args)}"
+                )
             values["calls"] = tuple(child.args)
         elif child.name == "nodes":
             values["nodes"] = tuple(
-                _control_address(one, path, gossip) for one, path in _children(child, here)
+                _control_address(address, path, gossip) for address, path in _children(child, here)
             )
         else:
-            raise ExtrasError(f"{here}: unknown node{_nearest(child.name, [*texts, 'calls', 'nodes'])}")
+            raise ExtrasError(f"{here}: unknown node{_suggestion(child.name, [*texts, 'calls', 'nodes'])}")
     return values
 
 
@@ -505,19 +540,19 @@
     if node.args or node.children or not set(wanted) <= set(node.properties) <= {*wanted, "gossip"}:
         raise ExtrasError(f"{where}: expected the properties {', '.join(wanted)}")
     values = {
-        name: str(value) if name == "region" else _dotted(value, f"{where}: {name}")
+        name: str(value) if name == "region" else _ipv4_address(value, f"{where}: {name}")
         for name, value in node.properties.items()
     }
     return ControlAddress(node.name, **values)  # type: ignore[arg-type]
 
 
-def _expect(values: dict[str, Any], names: tuple[str, ...], where: str) -> None:
+def _require(values: dict[str, Any], names: tuple[str, ...], where: str) -> None:
     for name in names:
         if not values.get(name):
             raise ExtrasError(f"{where}: expected a node {name}, found none")
 
 
-TOP: dict[str, Callable[[ckdl.Node, str], Any]] = {
+TOP_LEVEL_NODES: dict[str, Callable[[ckdl.Node, str], Any]] = {
     "external-processor": _external_processor,
     "learned-state": _learned_state,
     "fleet": _fleet,
@@ -527,38 +562,40 @@
 
 
 def _children(node: ckdl.Node, where: str) -> Iterator[tuple[ckdl.Node, str]]:
-    """The nodes inside and where each stands; each name once."""
+    """Child nodes, each with its path for messages; raises ExtrasError for a repeated name."""
     seen: set[str] = set()
     for child in node.children:
         here = f"{where}/{child.name}"
         if child.name in seen:
-            raise ExtrasError(f"{here}: stands there twice")
+            raise ExtrasError(f"{here}: appears twice")
         seen.add(child.name)
         yield child, here
 
 
-def _one(node: ckdl.Node, kind: type, expected: str, where: str) -> Any:
+def _single_value(node: ckdl.Node, kind: type, expected: str, where: str) -> Any:
     if len(node.args) != 1 or node.properties or node.children or type(node.args[0]) is not kind:
         found = ", ".join(repr(value) for value in node.args) or "none"
         raise ExtrasError(f"{where}: expected {expected}, found {found}")
     return node.args[0]
 
 
-def _part(node: ckdl.Node, kind: type[AnyNode], where: str) -> AnyNode:
+def _properties(node: ckdl.Node, kind: type[AnyNode], where: str) -> AnyNode:
     if node.args or node.children:
         raise ExtrasError(f"{where}: expected properties NAME=VALUE only")
     names = [field.encode_name for field in msgspec.structs.fields(kind)]
     for name, value in node.properties.items():
         if name not in names:
-            raise ExtrasError(f"{where}: {name}: unknown property{_nearest(name, names)}")
+            raise ExtrasError(f"{where}: {name}: unknown property{_suggestion(name, names)}")
         try:
             msgspec.convert({name: value}, kind)
         except msgspec.ValidationError as error:
-            said = str(error).split(" - at ")[0]
-            raise ExtrasError(f"{where}: {name}: {said[0].lower()}{said[1:]}, found {value!r}") from None
+            message = str(error).split(" - at ")[0]
+            raise ExtrasError(
+                f"{where}: {name}: {message[0].lower()}{message[1:]}, found {value!r}"
+            ) from None
     return msgspec.convert(node.properties, kind)
 
 
-def _nearest(name: str, known: list[str]) -> str:
+def _suggestion(name: str, known: list[str]) -> str:
     near = difflib.get_close_matches(name, known, 1)
     return f"; did you mean {near[0]}?" if near else f"; known are {', '.join(known)}"
--- a/martentide/net/extproc/decisions.py
+++ b/martentide/net/extproc/decisions.py
@@ -1,4 +1,4 @@
-"""The service ``martentide.decisions.v1``: a stream carries many requests, and a session outlives it."""
+"""The service ``martentide.decisions.v1``: a stream carries many requests, and its session outlives it."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from martentide.extproc.ledger import Ledger, Stream
 from martentide.extproc.messages import FromFront, ToFront, Welcomed
 from martentide.extproc.sessions import Refusal, Session
-from martentide.extproc.wire import read_front, write_proxy, write_server
+from martentide.extproc.wire import decode_front_message, encode_proxy_message, encode_server_change
 from martentide.net.close_reason import CloseReason, log_connection_closed, log_event
-from martentide.net.extproc.front import Front
+from martentide.net.extproc.front import FrontActor
 from martentide.net.extproc.host import Host
 from martentide.net.links import unix_ms
 
-HELLO_LIMIT = 2.0  # s in which a new stream must have said Hello
-IN_A_FRAME = 256  # messages at most: a frame stays within what one read may bring
-STATUS = {
+HELLO_TIMEOUT_S = 2.0  # for a new stream to send Hello
+MAX_MESSAGES_PER_FRAME = 256  # keeps a frame within the peer's message size limit
+REFUSAL_STATUS = {
     Refusal.UNKNOWN_SESSION: grpc.StatusCode.NOT_FOUND,
     Refusal.ANOTHER_FRONT: grpc.StatusCode.PERMISSION_DENIED,
     Refusal.TOO_MANY: grpc.StatusCode.RESOURCE_EXHAUSTED,
     Refusal.CLOSING: grpc.StatusCode.UNAVAILABLE,
     Refusal.BAD_NAME: grpc.StatusCode.INVALID_ARGUMENT,
 }
-ENDS = {
+CLOSE_STATUS = {
     CloseReason.MALFORMED: grpc.StatusCode.INVALID_ARGUMENT,
     CloseReason.BLOCKED: grpc.StatusCode.RESOURCE_EXHAUSTED,
     CloseReason.TAKEN_OVER: grpc.StatusCode.ABORTED,
@@ -39,261 +39,271 @@
 }
 
 
-class Wire:
-    """The writing side of one stream: bounded, in order, never waited for by an actor."""
+class StreamWriter:
+    """Bounded, ordered send queue of one stream; actors never block on it."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.waiting: deque[pb.ProxyMessage] = deque()
+    def __init__(self, max_unsent: int) -> None:
+        self.max_unsent = max_unsent
+        self.unsent: deque[pb.ProxyMessage] = deque()
         self.wake = asyncio.Event()
         self.closed = asyncio.Event()
         self.reason, self.detail = CloseReason.PEER_CLOSED, ""
         self.writing = False
 
     def put(self, messages: list[pb.ProxyMessage]) -> None:
+        """Queue messages; closes the stream if the queue exceeds ``max_unsent``."""
         if self.closed.is_set():
             return
-        if len(self.waiting) + len(messages) > self.most:
-            self.close(CloseReason.BLOCKED, f"{len(self.waiting)} messages wait")
+        if len(self.unsent) + len(messages) > self.max_unsent:
+            self.close(CloseReason.BLOCKED, f"{len(self.unsent)} messages wait")
             return
-        self.waiting.extend(messages)
+        self.unsent.extend(messages)
         self.wake.set()
 
     def close(self, reason: CloseReason, detail: str = "") -> None:
-        """The first reason counts."""
+        """Close the stream; only the first call's reason is kept."""
         if not self.closed.is_set():
             self.reason, self.detail = reason, detail
             self.closed.set()
 
     async def pump(self, context: Any, limit: float) -> None:
-        """Write until the stream ends; a write that takes longer than ``limit`` s closes it.
+        """Write queued messages until the stream ends; a write that takes longer than ``limit`` s closes it.
 
-        That write itself is waited for: gRPC can't take it back, nor end the stream meanwhile.
+        That write is still awaited, because gRPC can neither cancel it nor end the stream in the meantime.
         """
         loop = asyncio.get_running_loop()
         while not self.closed.is_set():
             await self.wake.wait()
             self.wake.clear()
-            while self.waiting and not self.closed.is_set():
-                some = [self.waiting.popleft() for _ in range(min(IN_A_FRAME, len(self.waiting)))]
-                watch = loop.call_later(limit, self.close, CloseReason.BLOCKED, "a write was not taken")
+            while self.unsent and not self.closed.is_set():
+                encoded = [
+                    self.unsent.popleft() for _ in range(min(MAX_MESSAGES_PER_FRAME, len(self.unsent)))
+                ]
+                watch = loop.call_later(limit, self.close, CloseReason.BLOCKED, "a write timed out")
                 self.writing = True
                 try:
-                    await context.write(pb.ProxyFrame(messages=some))
+                    await context.write(pb.ProxyFrame(messages=encoded))
                 finally:
                     self.writing = False
                     watch.cancel()
 
 
-class Member:
-    """A session with its actor and, while there is one, its stream."""
+class FrontSession:
+    """A session with its actor and, while connected, its stream."""
 
     def __init__(self, session: Session, host: Host) -> None:
         self.session, self.host = session, host
-        self.wire: Wire | None = None
-        self.joining: Wire | None = None  # the stream that the next welcome goes out on
-        terms = host.terms(single=False)
-        ledger = Ledger(session.front, terms, host.classes, host.admission, host.keys)
-        self.front = Front(ledger, host.dispatcher, self._deliver, self._trouble)
-        self.spoilt = self.left = False  # the front broke the protocol; it took its leave
-
-    def _deliver(self, said: list[ToFront]) -> None:
-        some: list[pb.ProxyMessage] = []
-        for message in said:
+        self.writer: StreamWriter | None = None
+        self.next_writer: StreamWriter | None = None  # stream for the next welcome
+        settings = host.lifecycle_settings(single_attempt=False)
+        ledger = Ledger(session.front, settings, host.classes, host.admission, host.keys)
+        self.front = FrontActor(ledger, host.dispatcher, self._deliver, self._on_protocol_error)
+        self.protocol_broken = self.left = False  # front violated the protocol; front sent Leave
+
+    def _deliver(self, messages: list[ToFront]) -> None:
+        encoded: list[pb.ProxyMessage] = []
+        for message in messages:
             if isinstance(message, Welcomed):
-                # What was said before belongs to the old stream, which is over.
-                self.wire, self.joining = self.joining, None
-                some = self._welcome(message)
+                # Earlier messages belong to the old stream, which has ended.
+                self.writer, self.next_writer = self.next_writer, None
+                encoded = self._welcome(message)
             else:
-                some.append(write_proxy(message))
-        if self.wire is not None and some:
-            self.wire.put(some)
+                encoded.append(encode_proxy_message(message))
+        if self.writer is not None and encoded:
+            self.writer.put(encoded)
 
     def _welcome(self, message: Welcomed) -> list[pb.ProxyMessage]:
-        lease = int(self.host.sessions.terms.lease)
+        lease = int(self.host.sessions.settings.lease)
         welcome = pb.Welcome(
             session=self.session.token, lease_ms=lease, routed=message.routed, standing=message.standing
         )
         listed = self.host.dispatcher.listed.values()
-        servers = [write_server(one.entry, f"{one.host}:{one.port}") for one in listed]
+        servers = [encode_server_change(server.entry, f"{server.host}:{server.port}") for server in listed]
         return [pb.ProxyMessage(welcome=welcome), *servers]
 
-    def _trouble(self, detail: str) -> None:
-        """The front broke the protocol: its stream ends, and with it the session."""
-        self.spoilt = True
-        for wire in (self.wire, self.joining):
-            if wire is not None:
-                wire.close(CloseReason.MALFORMED, detail)
+    def _on_protocol_error(self, detail: str) -> None:
+        """Close the stream of a front that violated the protocol; the session ends with it."""
+        self.protocol_broken = True
+        for writer in (self.writer, self.next_writer):
+            if writer is not None:
+                writer.close(CloseReason.MALFORMED, detail)
 
 
 class Decisions:
-    """The service; ``members`` are the sessions whose calls are counted."""
+    """The gRPC service; ``sessions`` holds the sessions whose calls are counted, by session number."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
-        self.members: dict[int, Member] = {}
-        self.stuck = 0  # streams that wait for a last write, which gRPC can't end
+        self.sessions: dict[int, FrontSession] = {}
+        self.blocked_streams = 0  # streams waiting for a last write, which gRPC can't cancel
 
     # ---- one stream ---------------------------------------------------------------------------------------
 
     async def decide(self, _: Any, context: Any) -> None:
+        """Handle one stream of the RPC ``Decide``."""
         peer = str(context.peer())
-        wire = Wire(self.host.streams.most_unsent)
-        member: Member | None = None
+        writer = StreamWriter(self.host.streams.most_unsent)
+        front_session: FrontSession | None = None
         stream = 0
         tasks: list[asyncio.Task[Any]] = []
         code = grpc.StatusCode.OK
         try:
-            hello = await self._hello(context, wire)
+            hello = await self._hello(context, writer)
             if hello is not None:
-                found = self._enter(hello, wire)
+                found = self._open_session(hello, writer)
                 if isinstance(found, Refusal):
-                    wire.close(CloseReason.NO_SESSION, found.value)
-                    code = STATUS[found]
+                    writer.close(CloseReason.NO_SESSION, found.value)
+                    code = REFUSAL_STATUS[found]
                 else:
-                    member = found
-                    peer = f"{member.session.front}/{member.session.number}"
+                    front_session = found
+                    peer = f"{front_session.session.front}/{front_session.session.number}"
                     limit = self.host.streams.blocked_ms / 1000.0
                     tasks = [
-                        asyncio.create_task(wire.pump(context, limit)),
-                        asyncio.create_task(self._read(context, wire, member)),
-                        asyncio.create_task(wire.closed.wait()),
+                        asyncio.create_task(writer.pump(context, limit)),
+                        asyncio.create_task(self._read(context, writer, front_session)),
+                        asyncio.create_task(writer.closed.wait()),
                     ]
-                    stream = member.session.stream
+                    stream = front_session.session.stream
                     done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
                     for task in done:
-                        if task.exception() is not None:  # the stream can't be read or written any more
-                            wire.close(CloseReason.PEER_RESET)
+                        if task.exception() is not None:  # the stream broke
+                            writer.close(CloseReason.PEER_RESET)
             if code is grpc.StatusCode.OK:
-                code = ENDS.get(wire.reason, grpc.StatusCode.OK)
+                code = CLOSE_STATUS.get(writer.reason, grpc.StatusCode.OK)
         except asyncio.CancelledError:
-            wire.close(CloseReason.PEER_RESET)
+            writer.close(CloseReason.PEER_RESET)
             raise
         finally:
-            for task in tasks[1 if wire.writing else 0 :]:
+            for task in tasks[1 if writer.writing else 0 :]:
                 task.cancel()
-            wire.close(wire.reason)
-            log_connection_closed("front", peer, wire.reason, wire.detail)
-            if member is not None:
-                self._leave(member, stream)
-        if tasks and wire.writing:
-            self.stuck += 1
+            writer.close(writer.reason)
+            log_connection_closed("front", peer, writer.reason, writer.detail)
+            if front_session is not None:
+                self._stream_ended(front_session, stream)
+        if tasks and writer.writing:
+            self.blocked_streams += 1
             try:
                 await asyncio.wait(tasks[:1])
             finally:
-                self.stuck -= 1
+                self.blocked_streams -= 1
         if code is not grpc.StatusCode.OK:
-            await context.abort(code, wire.detail or wire.reason.value)
+            await context.abort(code, writer.detail or writer.reason.value)
 
-    async def _hello(self, context: Any, wire: Wire) -> pb.Hello | None:
+    async def _hello(self, context: Any, writer: StreamWriter) -> pb.Hello | None:
         try:
-            async with asyncio.timeout(HELLO_LIMIT):
+            async with asyncio.timeout(HELLO_TIMEOUT_S):
                 frame = await context.read()
         except TimeoutError:
-            wire.close(CloseReason.MUTE)
+            writer.close(CloseReason.MUTE)
             return None
         if frame is grpc.aio.EOF:
             return None
         if len(frame.messages) != 1 or frame.messages[0].WhichOneof("kind") != "hello":
-            wire.close(CloseReason.MALFORMED, "the first message must be Hello, alone in its frame")
+            writer.close(CloseReason.MALFORMED, "the first message must be Hello, alone in its frame")
             return None
         hello: pb.Hello = frame.messages[0].hello
         return hello
 
-    async def _read(self, context: Any, wire: Wire, member: Member) -> None:
+    async def _read(self, context: Any, writer: StreamWriter, front_session: FrontSession) -> None:
         while True:
             frame = await context.read()
             if frame is grpc.aio.EOF:
-                return  # also what a reset connection looks like: only Leave is a leave
+                return  # also seen on a reset connection: only a Leave message ends the session
             at = unix_ms()
             try:
-                messages = [one for one in frame.messages if one.WhichOneof("kind") != "leave"]
-                member.left = len(messages) < len(frame.messages)
-                events: list[FromFront] = [read_front(message, at) for message in messages]
+                messages = [received for received in frame.messages if received.WhichOneof("kind") != "leave"]
+                front_session.left = len(messages) < len(frame.messages)
+                events: list[FromFront] = [decode_front_message(message, at) for message in messages]
             except CodecError as error:
-                wire.close(CloseReason.MALFORMED, str(error))
+                writer.close(CloseReason.MALFORMED, str(error))
                 return
             if events:
-                await member.front.credit.acquire()
-                member.front.tell(events)
-            if member.left:
+                await front_session.front.unread_credit.acquire()
+                front_session.front.enqueue(events)
+            if front_session.left:
                 return
 
     # ---- sessions -----------------------------------------------------------------------------------------
 
-    def _enter(self, hello: pb.Hello, wire: Wire) -> Member | Refusal:
+    def _open_session(self, hello: pb.Hello, writer: StreamWriter) -> FrontSession | Refusal:
         sessions = self.host.sessions
         if self.host.closing:
             return Refusal.CLOSING
-        if self.stuck >= sessions.terms.most:
+        if self.blocked_streams >= sessions.settings.max_sessions:
             return Refusal.TOO_MANY
         if not hello.session:
             opened = sessions.open(hello.front)
             if isinstance(opened, Refusal):
                 return opened
-            member = self.members[opened.number] = Member(opened, self.host)
-            member.joining = wire
-            member.front.stream(Stream.RESUMED)
-            return member
+            front_session = self.sessions[opened.number] = FrontSession(opened, self.host)
+            front_session.next_writer = writer
+            front_session.front.stream_changed(Stream.RESUMED)
+            return front_session
         resumed = sessions.resume(hello.front, hello.session, unix_ms())
         if isinstance(resumed, Refusal):
             return resumed
-        member = self.members[resumed.number]
-        if member.wire is not None:
-            member.wire.close(CloseReason.TAKEN_OVER)
-            member.front.stream(Stream.BROKEN)  # what was pending on the old stream is asked anew
-        if member.joining is not None:
-            member.joining.close(CloseReason.TAKEN_OVER)
-        member.joining = wire
-        member.front.stream(Stream.RESUMED)
-        return member
-
-    def _leave(self, member: Member, stream: int) -> None:
-        lease = self.host.sessions.broken(member.session, stream, unix_ms())
+        front_session = self.sessions[resumed.number]
+        if front_session.writer is not None:
+            front_session.writer.close(CloseReason.TAKEN_OVER)
+            front_session.front.stream_changed(
+                Stream.BROKEN
+            )  # the front asks again what was pending on the old stream
+        if front_session.next_writer is not None:
+            front_session.next_writer.close(CloseReason.TAKEN_OVER)
+        front_session.next_writer = writer
+        front_session.front.stream_changed(Stream.RESUMED)
+        return front_session
+
+    def _stream_ended(self, front_session: FrontSession, stream: int) -> None:
+        lease = self.host.sessions.stream_ended(front_session.session, stream, unix_ms())
         if lease is None:
-            return  # another stream speaks for the session
-        member.front.stream(Stream.BROKEN)
-        if member.spoilt or member.left or self.host.closing:
-            self._expire(member, stream)
+            return  # another stream has replaced this one
+        front_session.front.stream_changed(Stream.BROKEN)
+        if front_session.protocol_broken or front_session.left or self.host.closing:
+            self._expire(front_session, stream)
         else:
             delay = max(0.0, lease - unix_ms()) / 1000.0
-            self.host.loop.call_later(delay, self._expire, member, stream)
+            self.host.loop.call_later(delay, self._expire, front_session, stream)
 
-    def _expire(self, member: Member, stream: int) -> None:
-        if not self.host.sessions.expire(member.session, stream):
+    def _expire(self, front_session: FrontSession, stream: int) -> None:
+        if not self.host.sessions.expire(front_session.session, stream):
             return
-        member.front.stream(Stream.EXPIRED)
-        member.front.end()
-        member.front.task.add_done_callback(lambda _: self._forget(member))
+        front_session.front.stream_changed(Stream.EXPIRED)
+        front_session.front.stop_when_idle()
+        front_session.front.task.add_done_callback(lambda _: self._forget(front_session))
 
-    def _forget(self, member: Member) -> None:
-        counts = member.front.ledger.counts
+    def _forget(self, front_session: FrontSession) -> None:
+        counts = front_session.front.ledger.counts
         log_event(
             "session-ended",
-            front=member.session.front,
-            session=member.session.number,
+            front=front_session.session.front,
+            session=front_session.session.number,
             **dict(sorted(counts.items())),
         )
-        self.members.pop(member.session.number, None)
-        self.host.sessions.forget(member.session)
+        self.sessions.pop(front_session.session.number, None)
+        self.host.sessions.forget(front_session.session)
 
     # ---- the whole service --------------------------------------------------------------------------------
 
     def list_changed(self, listed: tuple[Listed, ...]) -> None:
-        said = [write_server(one.entry, f"{one.host}:{one.port}") for one in listed]
-        for member in self.members.values():
-            if member.wire is not None:
-                member.wire.put(said)
+        """Send changed entries of the server list to all connected fronts."""
+        messages = [encode_server_change(server.entry, f"{server.host}:{server.port}") for server in listed]
+        for front_session in self.sessions.values():
+            if front_session.writer is not None:
+                front_session.writer.put(messages)
 
-    def fronts(self) -> list[Front]:
-        return [member.front for member in self.members.values()]
+    def fronts(self) -> list[FrontActor]:
+        """The actors of all sessions."""
+        return [front_session.front for front_session in self.sessions.values()]
 
     def go_away(self) -> None:
-        for member in self.members.values():
-            if member.wire is not None:
-                member.wire.put([pb.ProxyMessage(go_away=pb.GoAway(why="closing"))])
+        """Announce the shutdown to all connected fronts."""
+        for front_session in self.sessions.values():
+            if front_session.writer is not None:
+                front_session.writer.put([pb.ProxyMessage(go_away=pb.GoAway(why="closing"))])
 
     def close(self) -> None:
-        for member in self.members.values():
-            if member.wire is not None:
-                member.wire.close(CloseReason.SHUTDOWN)
+        """Close all streams."""
+        for front_session in self.sessions.values():
+            if front_session.writer is not None:
+                front_session.writer.close(CloseReason.SHUTDOWN)
--- a/martentide/net/extproc/envoy.py
+++ b/martentide/net/extproc/envoy.py
@@ -1,7 +1,7 @@
 """Envoy's ``envoy.service.ext_proc.v3.ExternalProcessor``: one stream carries one request.
 
-The request headers are the question, the response headers the outcome, and the end of the stream the end of
-the call. Envoy makes one attempt; what fails goes back to its caller with why, and when to come back.
+The request headers are the question, the response headers the outcome; the end of the stream is the end of
+the call. Envoy makes one attempt; on failure its caller gets the reason and a retry time.
 """
 
 from __future__ import annotations
@@ -31,63 +31,67 @@
     Withdrawn,
 )
 from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
-from martentide.net.extproc.front import Front
+from martentide.net.extproc.front import FrontActor
 from martentide.net.extproc.host import Host
 from martentide.net.links import unix_ms
 
-FIRST_LIMIT = 2.0  # s in which a stream must bring its request headers
-FINAL_LIMIT = 1.0  # s for the ledger to take an outcome in; it does so at once
-MOST_PARTS = 4096  # messages of one stream that concern no decision (bodies, trailers)
+REQUEST_HEADERS_TIMEOUT_S = 2.0  # for a new stream to send its request headers
+OUTCOME_TIMEOUT_S = 1.0  # for the ledger to process an outcome, which it normally does immediately
+MAX_PASSTHROUGH_MESSAGES = 4096  # messages of one stream that concern no decision (bodies, trailers)
 
 
 class Peer:
-    """One machine that Envoy's streams come from: an actor, and the streams' inboxes."""
+    """One host that Envoy's streams come from: its actor and the inboxes of its streams."""
 
     def __init__(self, name: str, host: Host) -> None:
         self.numbers = itertools.count(1)
         self.inboxes: dict[int, asyncio.Queue[ToFront]] = {}
-        ledger = Ledger(name, host.terms(single=True), host.classes, host.admission, host.keys)
-        self.front = Front(ledger, host.dispatcher, self._deliver, self._trouble)
+        ledger = Ledger(
+            name, host.lifecycle_settings(single_attempt=True), host.classes, host.admission, host.keys
+        )
+        self.front = FrontActor(ledger, host.dispatcher, self._deliver, self._on_protocol_error)
 
-    def _trouble(self, detail: str) -> None:
-        """The numbers are given here, so it is no fault of the peer's."""
+    def _on_protocol_error(self, detail: str) -> None:
+        """Log a protocol violation; request numbers are assigned here, so it is an internal error."""
         LOG.error("internal-error", front=self.front.ledger.front, detail=repr(detail))
 
-    def _deliver(self, said: list[ToFront]) -> None:
-        for message in said:
+    def _deliver(self, messages: list[ToFront]) -> None:
+        for message in messages:
             if not isinstance(message, Welcomed):
                 inbox = self.inboxes.get(message.request)
                 if inbox is not None:
                     inbox.put_nowait(message)
 
 
-class Closed(Exception):
-    """The stream is over, in good order or not."""
+class StreamClosed(Exception):
+    """The stream has ended, normally or not."""
 
 
-class Gone(Exception):
-    """The attempt was taken back, or its server is gone: Envoy must reset the request."""
+class AttemptRevoked(Exception):
+    """The attempt was withdrawn or its server is gone; Envoy must reset the request."""
 
 
-class Exchange:
-    """One stream, from the request headers to its end."""
+class RequestStream:
+    """One stream and its request, from the request headers to the end of the stream."""
 
     def __init__(self, peer: Peer, host: Host, context: Any) -> None:
         self.peer, self.host, self.context = peer, host, context
         self.request = 0
         self.inbox: asyncio.Queue[ToFront] = asyncio.Queue()
-        self.asked = self.stands = self.over = self.left = False
+        self.asked = self.stands = self.over = self.settled = False
         self.route: Route | None = None
         self.sent_at = 0.0
         self.reading: asyncio.Task[Any] | None = None
-        self.hearing: asyncio.Task[ToFront] | None = None
-        self.parts = 0
+        self.receiving: asyncio.Task[ToFront] | None = None
+        self.passthrough_count = 0
 
-    def tell(self, event: Ask | Outcome | Cancel | Over) -> None:
-        self.peer.front.tell(event)
+    def notify(self, event: Ask | Outcome | Cancel | Over) -> None:
+        """Pass an event to the front's actor."""
+        self.peer.front.enqueue(event)
 
-    async def play(self) -> None:
-        async with asyncio.timeout(FIRST_LIMIT):
+    async def run(self) -> None:
+        """Process the stream's messages; raises StreamClosed, AttemptRevoked, HeaderError or TimeoutError."""
+        async with asyncio.timeout(REQUEST_HEADERS_TIMEOUT_S):
             first = await self._read()
         if first.WhichOneof("request") != "request_headers":
             raise headers.HeaderError("the first message must bring the request headers")
@@ -98,28 +102,28 @@
                 if message.WhichOneof("request") == "response_headers" and not self.stands and self.route:
                     await self._outcome(message.response_headers)
                 else:
-                    await self._pass(message)
+                    await self._pass_through(message)
             elif (isinstance(message, Withdrawn) and not message.if_unused) or isinstance(message, Release):
                 self.over = True
-                raise Gone(message.why.value)
+                raise AttemptRevoked(message.why.value)
 
-    async def _ask(self, asked_headers: Any) -> None:
-        part = self.host.part
+    async def _ask(self, request_headers: Any) -> None:
+        config = self.host.config
         try:
-            asked = headers.read_ask(asked_headers.headers, part.headers)
+            question = headers.parse_question(request_headers.headers, config.headers)
         except headers.HeaderError as error:
-            await self._write(headers.write_bad_request(str(error)))
-            raise Closed from None
+            await self._write(headers.bad_request_response(str(error)))
+            raise StreamClosed from None
         self.asked = True
         self.request = next(self.peer.numbers)  # in the order of the questions
         self.peer.inboxes[self.request] = self.inbox
-        self.tell(
+        self.notify(
             Ask(
                 self.request,
-                asked.call_class,
-                asked.number,
-                asked.time_left,
-                asked.first_choice,
+                question.call_class,
+                question.number,
+                question.time_left,
+                question.first_choice,
                 unix_ms(),
             )
         )
@@ -127,25 +131,25 @@
             message = await self._next()
             if isinstance(message, Route):
                 self.route, self.sent_at = message, self.host.loop.time()
-                await self._write(headers.write_route(message, part.headers))
+                await self._write(headers.route_response(message, config.headers))
                 return
             if isinstance(message, Refused | Failed):
                 self.over = True
-                await self._write(headers.write_final(message, part.statuses))
-                raise Closed
+                await self._write(headers.final_response(message, config.statuses))
+                raise StreamClosed
             if isinstance(message, ep.ProcessingRequest):
-                await self._pass(message)  # a body that comes before the verdict
+                await self._pass_through(message)  # a body that comes before the verdict
 
     async def _outcome(self, response: Any) -> None:
         assert self.route is not None
-        part = self.host.part
-        ending, report = headers.read_outcome(response.headers, part.headers, part.statuses)
+        config = self.host.config
+        ending, report = headers.parse_outcome(response.headers, config.headers, config.statuses)
         lag = (self.host.loop.time() - self.sent_at) * 1000.0
-        self.tell(Outcome(self.request, self.route.attempt, ending, lag, report=report))
+        self.notify(Outcome(self.request, self.route.attempt, ending, lag, report=report))
         final: Refused | Failed | None = None
-        async with asyncio.timeout(FINAL_LIMIT):
+        async with asyncio.timeout(OUTCOME_TIMEOUT_S):
             while True:
-                message = await self.inbox.get() if self.hearing is None else await self._heard()
+                message = await self.inbox.get() if self.receiving is None else await self._received()
                 if isinstance(message, Standing):
                     self.stands = True
                     break
@@ -154,76 +158,78 @@
                     break
                 if isinstance(message, Withdrawn) and not message.if_unused:
                     self.over = True
-                    raise Gone(message.why.value)
+                    raise AttemptRevoked(message.why.value)
         self.route = None
-        await self._write(headers.write_passed(final))
+        await self._write(headers.outcome_response(final))
 
-    async def _pass(self, message: Any) -> None:
-        self.parts += 1
-        if self.parts > MOST_PARTS:
-            raise headers.HeaderError(f"more than {MOST_PARTS} messages on one stream")
-        answer = headers.write_continue(message.WhichOneof("request") or "")
+    async def _pass_through(self, message: Any) -> None:
+        self.passthrough_count += 1
+        if self.passthrough_count > MAX_PASSTHROUGH_MESSAGES:
+            raise headers.HeaderError(f"more than {MAX_PASSTHROUGH_MESSAGES} messages on one stream")
+        answer = headers.continue_response(message.WhichOneof("request") or "")
         if answer is not None:
             await self._write(answer)
 
     async def _write(self, answer: ep.ProcessingResponse) -> None:
-        """gRPC can't take a write back: one that is not taken in time settles the request, and is waited for
-        by this stream alone."""
+        """Write a response; if the peer does not accept it in time, settle the request.
+
+        gRPC can't cancel a write, so this stream waits until the write ends; no other stream is delayed.
+        """
         limit = self.host.streams.blocked_ms / 1000.0
-        watch = self.host.loop.call_later(limit, self.leave)
+        watch = self.host.loop.call_later(limit, self.settle)
         try:
             await self.context.write(answer)
         finally:
             watch.cancel()
-        if self.left:
-            raise Closed
+        if self.settled:
+            raise StreamClosed
 
     async def _read(self) -> ep.ProcessingRequest:
         message = await self.context.read()
         if message is grpc.aio.EOF:
-            raise Closed
+            raise StreamClosed
         return message
 
-    async def _heard(self) -> ToFront:
-        assert self.hearing is not None
-        message = await self.hearing
-        self.hearing = None
+    async def _received(self) -> ToFront:
+        assert self.receiving is not None
+        message = await self.receiving
+        self.receiving = None
         return message
 
     async def _next(self) -> ep.ProcessingRequest | ToFront:
-        """Whatever comes first, of the stream or of the front's actor; the actor's word goes before."""
-        if self.hearing is None and not self.inbox.empty():
+        """Next message of the stream or of the front's actor; the actor's message is returned first."""
+        if self.receiving is None and not self.inbox.empty():
             return self.inbox.get_nowait()
         if self.reading is None:
             self.reading = asyncio.create_task(self._read())
-        if self.hearing is None:
-            self.hearing = asyncio.create_task(self.inbox.get())
-        await asyncio.wait((self.reading, self.hearing), return_when=asyncio.FIRST_COMPLETED)
-        if self.hearing.done():
-            return await self._heard()
+        if self.receiving is None:
+            self.receiving = asyncio.create_task(self.inbox.get())
+        await asyncio.wait((self.reading, self.receiving), return_when=asyncio.FIRST_COMPLETED)
+        if self.receiving.done():
+            return await self._received()
         read, self.reading = self.reading, None
         return read.result()
 
-    def leave(self) -> None:
-        """The stream is over, whatever the reason: what it had open is settled, once."""
-        if self.left:
+    def settle(self) -> None:
+        """Settle what the stream has open, once, for whatever reason it ends."""
+        if self.settled:
             return
-        self.left = True
-        for task in (self.reading, self.hearing):
+        self.settled = True
+        for task in (self.reading, self.receiving):
             if task is not None:
                 task.cancel()
         self.peer.inboxes.pop(self.request, None)
         if not self.asked or self.over:
             return
         if self.stands:
-            self.tell(Over(self.request, cut=False))
+            self.notify(Over(self.request, cut=False))
         else:
-            # Envoy ends the stream when its caller leaves or the upstream is reset: no outcome came.
-            self.tell(Cancel(self.request))
+            # Envoy ends the stream without an outcome when its caller leaves or the upstream is reset.
+            self.notify(Cancel(self.request))
 
 
 class ExternalProcessor:
-    """The service; a peer's actor stays as long as it has streams or calls."""
+    """The gRPC service; a peer's actor runs as long as the peer has streams or open calls."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
@@ -232,22 +238,23 @@
         self.tasks: set[asyncio.Task[Any]] = set()
 
     async def process(self, _: Any, context: Any) -> None:
+        """Handle one stream of the RPC ``Process``."""
         address = str(context.peer())
         name = "envoy:" + address.split(":", 1)[-1].rsplit(":", 1)[0]
         task = asyncio.current_task()
         if task is not None:
             self.tasks.add(task)
-        peer = self._arrive(name)
-        exchange = Exchange(peer, self.host, context)
+        peer = self._acquire_peer(name)
+        stream = RequestStream(peer, self.host, context)
         reason, detail = CloseReason.PEER_CLOSED, ""
         abort: grpc.StatusCode | None = None
         try:
-            await exchange.play()
-        except Closed:
+            await stream.run()
+        except StreamClosed:
             pass
         except headers.HeaderError as error:
             reason, detail, abort = CloseReason.MALFORMED, str(error), grpc.StatusCode.INVALID_ARGUMENT
-        except Gone as error:
+        except AttemptRevoked as error:
             reason, detail, abort = CloseReason.SERVER_GONE, str(error), grpc.StatusCode.UNAVAILABLE
         except TimeoutError:
             reason, abort = CloseReason.MUTE, grpc.StatusCode.DEADLINE_EXCEEDED
@@ -255,35 +262,36 @@
             reason = CloseReason.PEER_RESET
             raise
         finally:
-            exchange.leave()
-            self._depart(name)
+            stream.settle()
+            self._release_peer(name)
             if task is not None:
                 self.tasks.discard(task)
-            if (
-                reason is not CloseReason.PEER_CLOSED
-            ):  # one line for each request in good order would be too many
+            # A log line per normally completed request would be too many.
+            if reason is not CloseReason.PEER_CLOSED:
                 log_connection_closed("front", address, reason, detail)
         if abort is not None:
             await context.abort(abort, detail or reason.value)
 
-    def _arrive(self, name: str) -> Peer:
+    def _acquire_peer(self, name: str) -> Peer:
         peer = self.peers.get(name)
         if peer is None:
             peer = self.peers[name] = Peer(name, self.host)
             if self.host.closing:
-                peer.front.stream(Stream.CLOSING)
+                peer.front.stream_changed(Stream.CLOSING)
         self.streams[name] = self.streams.get(name, 0) + 1
         return peer
 
-    def _depart(self, name: str) -> None:
+    def _release_peer(self, name: str) -> None:
         self.streams[name] -= 1
-        if not self.streams[name]:  # the next stream from there finds a new actor
+        if not self.streams[name]:  # the peer's next stream starts a new actor
             del self.streams[name]
-            self.peers.pop(name).front.end()
+            self.peers.pop(name).front.stop_when_idle()
 
-    def fronts(self) -> list[Front]:
+    def fronts(self) -> list[FrontActor]:
+        """The actors of all connected peers."""
         return [peer.front for peer in self.peers.values()]
 
     def close(self) -> None:
+        """Cancel all streams."""
         for task in tuple(self.tasks):
             task.cancel()
--- a/martentide/net/extproc/front.py
+++ b/martentide/net/extproc/front.py
@@ -1,7 +1,7 @@
-"""The actor of one front: its ledger, its timers, and its side of the dispatcher's mailbox.
+"""The actor of one front: its ledger, its timers and its connection to the dispatcher.
 
-The dispatcher sees a Caller and a Carrier in one. What the ledger wants said goes to ``deliver`` in batches,
-in its order; whoever carries the stream passes it on.
+For the dispatcher it is both a Caller and a Carrier. Messages of the ledger go to ``deliver`` in batches and
+in order; the owner of the stream sends them.
 """
 
 from __future__ import annotations
@@ -19,118 +19,136 @@
     Event,
     FrontError,
     Ledger,
-    Left,
+    CallClosed,
     ListChanged,
-    Offered,
-    Place,
-    Say,
+    NewCall,
+    ListedServer,
+    Send,
     Stream,
     TakeBack,
-    Unwake,
-    Wake,
+    CancelTimer,
+    SetTimer,
 )
 from martentide.extproc.messages import ToFront
 from martentide.net.dispatcher import Dispatcher, GiveUp, Offer
 from martentide.net.close_reason import LOG
 from martentide.net.links import unix_ms
 
-UNREAD = 16  # frames of one stream that wait in the mailbox at most; then the stream is read no further
-AT_A_TIME = 256  # events taken before the rest of the program has its turn
+MAX_UNREAD_FRAMES = 16  # frames of one stream in the mailbox; at the limit, the stream is not read
+MAX_EVENTS_PER_TURN = 256  # events processed before yielding to the event loop
 
 Deliver = Callable[[list[ToFront]], None]
 
 
-def places(listed: Iterable[Listed]) -> ListChanged:
-    return ListChanged(tuple(Place(one.entry, f"{one.host}:{one.port}") for one in listed))
+def list_changed_event(listed: Iterable[Listed]) -> ListChanged:
+    """Convert entries of the server list to the ledger's event."""
+    return ListChanged(
+        tuple(
+            ListedServer(listed_server.entry, f"{listed_server.host}:{listed_server.port}")
+            for listed_server in listed
+        )
+    )
 
 
 def call_id(key: int) -> bytes:
-    """Nine bytes, so that it is no id of the platform's callers, who have eight."""
+    """Call id of a request: nine bytes, so that it can't equal the eight-byte id of a caller's call."""
     return b"x" + key.to_bytes(8, "big")
 
 
-class Front:
-    """``trouble`` is told when the front breaks the protocol; its stream has to end then."""
+class FrontActor:
+    """Actor of one front.
+
+    ``on_protocol_error`` is called when the front violates the protocol; it has to close the stream.
+    """
 
     def __init__(
-        self, ledger: Ledger, dispatcher: Dispatcher, deliver: Deliver, trouble: Callable[[str], None]
+        self,
+        ledger: Ledger,
+        dispatcher: Dispatcher,
+        deliver: Deliver,
+        on_protocol_error: Callable[[str], None],
     ) -> None:
-        self.ledger, self.dispatcher, self.deliver, self.trouble = ledger, dispatcher, deliver, trouble
+        self.ledger, self.dispatcher, self.deliver, self.on_protocol_error = (
+            ledger,
+            dispatcher,
+            deliver,
+            on_protocol_error,
+        )
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[Event | Sequence[Event]] = asyncio.Queue()
         self.timers: dict[tuple[int, str], asyncio.TimerHandle] = {}
-        self.credit = asyncio.Semaphore(UNREAD)
+        self.unread_credit = asyncio.Semaphore(MAX_UNREAD_FRAMES)
         self.now = 0.0
         self.ended = False
         self.idle = asyncio.Event()
         self.idle.set()
-        self.tell(places(dispatcher.listed.values()))
+        self.enqueue(list_changed_event(dispatcher.listed.values()))
         self.task = self.loop.create_task(self._run(), name=f"front {ledger.front}")
 
-    def tell(self, item: Event | Sequence[Event]) -> None:
-        """Into the mailbox; a sequence is one frame of a stream, whose reader holds a credit for it."""
+    def enqueue(self, item: Event | Sequence[Event]) -> None:
+        """Add to the mailbox; a sequence is one frame of a stream, for which its reader holds a credit."""
         self.mailbox.put_nowait(item)
 
-    def end(self) -> None:
-        """The actor ends once its ledger is empty."""
+    def stop_when_idle(self) -> None:
+        """End the actor as soon as its ledger has no open request."""
         self.ended = True
-        self.tell(())
+        self.enqueue(())
 
     async def _run(self) -> None:
-        while not (self.ended and self.mailbox.empty() and not self.ledger.open):
-            said: list[ToFront] = []
+        while not (self.ended and self.mailbox.empty() and not self.ledger.requests):
+            outgoing: list[ToFront] = []
             item = await self.mailbox.get()
-            for _ in range(AT_A_TIME):
+            for _ in range(MAX_EVENTS_PER_TURN):
                 if isinstance(item, tuple | list):
                     for event in item:
-                        self._take(event, said)
+                        self._handle(event, outgoing)
                     if item:
-                        self.credit.release()
+                        self.unread_credit.release()
                 else:
-                    self._take(item, said)  # type: ignore[arg-type]
+                    self._handle(item, outgoing)  # type: ignore[arg-type]
                 if self.mailbox.empty():
                     break
                 item = self.mailbox.get_nowait()
-            if said:
-                self.deliver(said)
-            if self.ledger.open:
+            if outgoing:
+                self.deliver(outgoing)
+            if self.ledger.requests:
                 self.idle.clear()
             else:
                 self.idle.set()
             if not self.mailbox.empty():
-                await asyncio.sleep(0)  # a flood here must leave the rest of the program its turn
+                await asyncio.sleep(0)  # a busy front must not starve the other tasks
         for timer in self.timers.values():
             timer.cancel()
 
-    def _take(self, event: Event, said: list[ToFront]) -> None:
+    def _handle(self, event: Event, outgoing: list[ToFront]) -> None:
         self.now = max(self.now, unix_ms())
         try:
             effects: Sequence[Effect] = self.ledger.handle(self.now, event)
         except FrontError as error:
             effects = self.ledger.effects
-            self.trouble(str(error))
+            self.on_protocol_error(str(error))
         except Exception:
-            # Guards against a fault here: what the ledger had asked for is done, and timers end the rest.
+            # On an internal fault, apply the effects produced so far; timers end the remaining requests.
             LOG.exception("internal-error", front=self.ledger.front, item=type(event).__name__)
             effects = self.ledger.effects
         for effect in effects:
-            self._do(effect, said)
+            self._apply(effect, outgoing)
 
-    def _do(self, effect: Effect, said: list[ToFront]) -> None:
+    def _apply(self, effect: Effect, outgoing: list[ToFront]) -> None:
         match effect:
-            case Say(message):
-                said.append(message)
-            case Wake(key, kind, at):
+            case Send(message):
+                outgoing.append(message)
+            case SetTimer(key, kind, at):
                 old = self.timers.get((key, kind))
                 if old is not None:
                     old.cancel()
                 delay = max(0.0, at - self.now) / 1000.0
                 self.timers[key, kind] = self.loop.call_later(delay, self._due, key, kind)
-            case Unwake(key, kind):
+            case CancelTimer(key, kind):
                 timer = self.timers.pop((key, kind), None)
                 if timer is not None:
                     timer.cancel()
-            case Offered():
+            case NewCall():
                 self.dispatcher.post(
                     Offer(
                         caller=self,
@@ -144,40 +162,44 @@
                         carrier=self,
                     )
                 )
-            case Left(key):
+            case CallClosed(key):
                 self.dispatcher.post(GiveUp(call_id(key)))
             case Stood() | Ended():
                 self.dispatcher.post(effect)
 
     def _due(self, key: int, kind: str) -> None:
         self.timers.pop((key, kind), None)
-        self.tell(Due(key, kind))
+        self.enqueue(Due(key, kind))
 
-    # ---- what the dispatcher says: Caller and Carrier -----------------------------------------------------
+    # ---- calls of the dispatcher: Caller and Carrier ------------------------------------------------------
 
     def answer(self, call: bytes, description: bytes) -> None:
-        """The front has said itself that the call stands."""
+        """Do nothing: the front itself reported that the call stands."""
 
     def refuse(self, call: bytes, hold_off: float) -> None:
-        self.tell(Decided(int.from_bytes(call[1:], "big"), hold_off, self._held(call)))
+        """Refuse the call; ``hold_off`` in ms."""
+        self.enqueue(Decided(int.from_bytes(call[1:], "big"), hold_off, self._held(call)))
 
     def fail(self, call: bytes) -> None:
-        self.tell(Decided(int.from_bytes(call[1:], "big"), None, self._held(call)))
+        """Fail the call."""
+        self.enqueue(Decided(int.from_bytes(call[1:], "big"), None, self._held(call)))
 
     def release(self, call: bytes, cut: bool) -> None:
-        """The ledger has ended it itself."""
+        """Do nothing: the ledger itself ended the call."""
 
     def post(self, item: Order | Withdraw) -> None:
+        """Accept an order for an attempt, or its withdrawal."""
         key = int.from_bytes(item.call[1:], "big")
         if isinstance(item, Order):
             held = self._held(item.call)
-            self.tell(Carry(key, item.ref, item.attempt, item.server, item.patience, held))
+            self.enqueue(Carry(key, item.ref, item.attempt, item.server, item.patience, held))
         else:
-            self.tell(TakeBack(key, item.ref, item.attempt, item.hang_up))
+            self.enqueue(TakeBack(key, item.ref, item.attempt, item.hang_up))
 
     def _held(self, call: bytes) -> bool:
-        """Whether the dispatcher answers later than in the event that put the question."""
+        """Whether the dispatcher answers later than in the event that brought the question."""
         return self.dispatcher.asking != call
 
-    def stream(self, event: Stream) -> None:
-        self.tell(event)
+    def stream_changed(self, event: Stream) -> None:
+        """Notify the ledger of a change of the stream."""
+        self.enqueue(event)
--- a/martentide/net/extproc/host.py
+++ b/martentide/net/extproc/host.py
@@ -1,4 +1,4 @@
-"""What the services share: the dispatcher, the limits, the sessions and the operator's terms in force."""
+"""State that both services share: dispatcher, admission limits, sessions and the configuration in force."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import itertools
 import os
 
-from martentide.extproc.ledger import Terms
+from martentide.extproc.ledger import LifecycleSettings
 from martentide.extproc.limits import Admission
 from martentide.extproc.sessions import Sessions
 from martentide.interface import Settings
@@ -15,37 +15,41 @@
 
 
 class Host:
-    """One for the program."""
+    """Shared state of the external processor's services; one per process."""
 
     def __init__(
-        self, part: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
+        self, config: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
     ) -> None:
-        self.part, self.settings, self.dispatcher = part, settings, dispatcher
+        self.config, self.settings, self.dispatcher = config, settings, dispatcher
         self.loop = asyncio.get_running_loop()
-        self.classes = {kind.name: kind for kind in settings.classes}
-        top = max((kind.worth for kind in settings.classes), default=1.0)
-        self.admission = Admission(part.limits_terms(), top, seed)
-        self.sessions = Sessions(part.session_terms(), os.urandom)
+        self.classes = {call_class.name: call_class for call_class in settings.classes}
+        top_worth = max((call_class.worth for call_class in settings.classes), default=1.0)
+        self.admission = Admission(config.admission_limits(), top_worth, seed)
+        self.sessions = Sessions(config.session_settings(), os.urandom)
         self.keys = itertools.count(1)
         self.closing = False
 
     @property
     def streams(self) -> StreamsNode:
-        return self.part.streams
+        """Limits of the streams."""
+        return self.config.streams
 
-    def terms(self, single: bool) -> Terms:
-        return self.part.ledger_terms(self.settings, single)
+    def lifecycle_settings(self, single_attempt: bool) -> LifecycleSettings:
+        """Lifecycle settings for a ledger, as configured now."""
+        return self.config.lifecycle_settings(self.settings, single_attempt)
 
-    def settle(self, settings: Settings) -> None:
-        """Other settings hold for what is asked from now on. The table of classes stays the same object:
-        each front's ledger looks into it."""
+    def apply_settings(self, settings: Settings) -> None:
+        """Apply new settings to requests asked from now on.
+
+        The table of classes is updated in place, because each front's ledger refers to it.
+        """
         self.settings = settings
         self.classes.clear()
-        self.classes.update({kind.name: kind for kind in settings.classes})
-        self.admission.top_worth = max((kind.worth for kind in settings.classes), default=1.0)
-
-    def change(self, part: ExternalProcessor) -> None:
-        """New figures hold for what comes from now on."""
-        self.part = part
-        self.admission.change(part.limits_terms())
-        self.sessions.terms = part.session_terms()
+        self.classes.update({call_class.name: call_class for call_class in settings.classes})
+        self.admission.top_worth = max((call_class.worth for call_class in settings.classes), default=1.0)
+
+    def apply_config(self, config: ExternalProcessor) -> None:
+        """Apply a changed extras file to requests and sessions from now on."""
+        self.config = config
+        self.admission.set_limits(config.admission_limits())
+        self.sessions.settings = config.session_settings()
--- a/tests/extproc/support.py
+++ b/tests/extproc/support.py
@@ -1,4 +1,4 @@
-"""The one helper of the external processor's tests: a ledger between a model of the module and of a front."""
+"""Test harness of the external processor: a ledger between models of the decision module and of a front."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from martentide.attempt_messages import Ended, Stood
 from martentide.extproc.ledger import (
+    CallClosed,
+    CancelTimer,
     Carry,
     Decided,
     Due,
     Effect,
     Event,
     Ledger,
-    Left,
+    LifecycleSettings,
     ListChanged,
-    Offered,
-    Place,
-    Say,
-    Terms,
-    Unwake,
-    Wake,
+    ListedServer,
+    NewCall,
+    Send,
+    SetTimer,
 )
 from martentide.extproc.limits import Admission, Limits
 from martentide.extproc.messages import (
@@ -49,104 +49,112 @@
 START = 1_000_000.0
 
 
-def place(name: str, state: ServerState = ServerState.OPEN, started: float | None = None) -> Place:
-    return Place(entry(name, int(name[1:]), state, started), f"127.0.0.1:{7000 + int(name[1:])}")
+def listed_server(
+    name: str, state: ServerState = ServerState.OPEN, started: float | None = None
+) -> ListedServer:
+    return ListedServer(entry(name, int(name[1:]), state, started), f"127.0.0.1:{7000 + int(name[1:])}")
 
 
-class Play:
-    """Feeds one ledger, keeps its timers, and checks on every effect what must hold whatever happens."""
+class LedgerHarness:
+    """Feeds events to one ledger, runs its timers, and checks the invariants on every effect."""
 
-    def __init__(self, terms: Terms | None = None, limits: Limits | None = None) -> None:
+    def __init__(self, settings: LifecycleSettings | None = None, limits: Limits | None = None) -> None:
         self.now = START
         self.admission = Admission(limits or Limits(), 6.0, 1)
-        self.terms = terms or Terms()
-        self.ledger = Ledger("f", self.terms, CLASSES, self.admission, itertools.count(1))
+        self.settings = settings or LifecycleSettings()
+        self.ledger = Ledger("f", self.settings, CLASSES, self.admission, itertools.count(1))
         self.timers: dict[tuple[int, str], float] = {}
-        self.said: list[ToFront] = []
+        self.sent: list[ToFront] = []
         self.effects: list[Effect] = []
-        self.offered: dict[int, int] = {}  # request by key
-        self.asked: dict[int, float] = {}  # when the caller's time is over
+        self.requests_by_key: dict[int, int] = {}  # request by key
+        self.deadlines: dict[int, float] = {}  # caller's deadline by request
         self.finals: Counter[int] = Counter()
         self.routes: Counter[tuple[int, int]] = Counter()
-        self.out: dict[int, int] = {}  # attempt that is out at the front, by request
-        self.booked: dict[tuple[int, int], int] = {}  # ends owed for an order, by ref and attempt
-        self.left: set[int] = set()
-        self.ended: dict[int, set[int]] = {}  # attempts that are over, by request
-        self.free_at: dict[int, float] = {}  # when the release wait is over, by request
-        self.feed(ListChanged((place("s0"), place("s1"))))
+        self.in_flight: dict[int, int] = {}  # attempt in flight at the front, by request
+        self.owed_ends: dict[tuple[int, int], int] = {}  # outstanding ends of orders, by ref and attempt
+        self.closed: set[int] = set()
+        self.ended: dict[int, set[int]] = {}  # ended attempts by request
+        self.release_over_at: dict[int, float] = {}  # end of the release wait by request
+        self.feed(ListChanged((listed_server("s0"), listed_server("s1"))))
 
     def feed(self, event: Event) -> list[Effect]:
         if isinstance(event, Carry):
-            self.booked[event.ref, event.attempt] = 1
+            self.owed_ends[event.ref, event.attempt] = 1
         effects = list(self.ledger.handle(self.now, event))
         self.effects += effects
         for effect in effects:
-            self._note(effect)
+            self._check_effect(effect)
         return effects
 
-    def _note(self, effect: Effect) -> None:
+    def _check_effect(self, effect: Effect) -> None:
         match effect:
-            case Wake(key, kind, at):
+            case SetTimer(key, kind, at):
                 self.timers[key, kind] = at
-            case Unwake(key, kind):
+            case CancelTimer(key, kind):
                 self.timers.pop((key, kind), None)
-            case Offered(key=key):
-                self.offered[key] = max(self.asked)
-            case Left(key):
-                assert key not in self.left, "left twice"
-                self.left.add(key)
+            case NewCall(key=key):
+                self.requests_by_key[key] = max(self.deadlines)
+            case CallClosed(key):
+                assert key not in self.closed, "closed twice"
+                self.closed.add(key)
             case Ended(ref=ref, attempt=attempt):
-                request = self.offered[ref]
+                request = self.requests_by_key[ref]
                 if effect.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
-                    self.free_at[request] = self.now + self.terms.release
+                    self.release_over_at[request] = self.now + self.settings.release_wait
                 if effect.ending is not Ending.NOT_SENT:
                     self.ended.setdefault(request, set()).add(attempt)
-                self.booked[ref, attempt] -= 1
-                assert self.booked[ref, attempt] == 0, "two ends for one order"
+                self.owed_ends[ref, attempt] -= 1
+                assert self.owed_ends[ref, attempt] == 0, "two ends for one order"
             case Stood(ref=ref, attempt=attempt):
-                assert self.booked[ref, attempt] == 1, "stands, but was over"
-            case Say(message):
-                self.said.append(message)
-                self._heard(message)
+                assert self.owed_ends[ref, attempt] == 1, "stands, but had ended"
+            case Send(message):
+                self.sent.append(message)
+                self._check_message(message)
 
-    def _heard(self, message: ToFront) -> None:
+    def _check_message(self, message: ToFront) -> None:
         if isinstance(message, Welcomed):
-            held = {one.request for one in self.ledger.open.values()}
+            held = {one.request_id for one in self.ledger.requests.values()}
             assert {*message.routed, *message.standing} == held, "pending requests outlived their stream"
             return
         request = message.request
         if isinstance(message, Route):
-            assert request not in self.out or self.out[request] == message.attempt, "two attempts out"
-            assert not self.finals[request], "a route behind the final"
-            assert message.attempt not in self.ended.get(request, set()), "a route of an attempt that is over"
-            free = self.free_at.get(request, 0.0)
+            assert request not in self.in_flight or self.in_flight[request] == message.attempt, (
+                "two attempts in flight"
+            )
+            assert not self.finals[request], "a route after the final"
+            assert message.attempt not in self.ended.get(request, set()), (
+                "a route of an attempt that has ended"
+            )
+            free = self.release_over_at.get(request, 0.0)
             assert self.now >= free, "a route before the release wait is over"
-            assert self.now + message.patience <= self.asked[request], "an attempt beyond the caller's time"
-            state = self.ledger.places[message.server].entry.state
+            assert self.now + message.patience <= self.deadlines[request], (
+                "an attempt beyond the caller's deadline"
+            )
+            state = self.ledger.servers[message.server].entry.state
             assert state is ServerState.OPEN, "a route to a server that drains"
-            assert 0 <= message.valid_for <= self.terms.valid_for and message.patience > 0
-            self.out[request] = message.attempt
+            assert 0 <= message.valid_for <= self.settings.valid_for and message.patience > 0
+            self.in_flight[request] = message.attempt
             self.routes[request, message.attempt] += 1
         elif isinstance(message, Withdrawn):
-            if not message.if_unused and self.out.get(request) == message.attempt:
-                del self.out[request]
+            if not message.if_unused and self.in_flight.get(request) == message.attempt:
+                del self.in_flight[request]
         elif not isinstance(message, Release):
             self.finals[request] += 1
             assert self.finals[request] == 1, "two finals"
-            assert self.now <= self.asked[request], "a final after the caller's time"
+            assert self.now <= self.deadlines[request], "a final after the caller's deadline"
             if not isinstance(message, Standing):
-                assert request not in self.out, "a final while an attempt is out"
+                assert request not in self.in_flight, "a final while an attempt is in flight"
 
     def ask(
         self, request: int, left: float | None = 3000.0, name: str = "plain", **more: Any
     ) -> list[Effect]:
         kind = CLASSES.get(name)
         over = left if left is not None and 0 <= left <= 600_000 else (kind.deadline if kind else 0.0)
-        self.asked[request] = self.now + max(0.0, over)
+        self.deadlines[request] = self.now + max(0.0, over)
         return self.feed(replace(Ask(request, name, "n", left, 0, self.now), **more))
 
     def key(self, request: int) -> int:
-        return next(key for key, one in self.offered.items() if one == request)
+        return next(key for key, one in self.requests_by_key.items() if one == request)
 
     def carry(
         self, request: int, attempt: int = 0, server: str = "s0", patience: float = 800.0
@@ -155,8 +163,8 @@
         return self.feed(Carry(key, key, attempt, server, patience))
 
     def outcome(self, request: int, ending: Ending | None, attempt: int = 0, **more: Any) -> list[Effect]:
-        if self.out.get(request) == attempt:
-            del self.out[request]
+        if self.in_flight.get(request) == attempt:
+            del self.in_flight[request]
         return self.feed(Outcome(request, attempt, ending, 12.0, **more))
 
     def decide(self, request: int, hold_off: float | None) -> list[Effect]:
@@ -171,16 +179,16 @@
             self.feed(Due(key, kind))
         self.now = end
 
-    def settled(self) -> None:
-        """Nothing is open: every booking was returned and every count is back."""
-        assert not self.ledger.open and not self.ledger.by_request and not self.timers
-        assert not any(self.booked.values()), "an order without its end"
+    def assert_settled(self) -> None:
+        """Check that nothing is open: every order has its end and all counts are zero."""
+        assert not self.ledger.requests and not self.ledger.by_request_id and not self.timers
+        assert not any(self.owed_ends.values()), "an order without its end"
         assert self.admission.pending == self.admission.open == 0
         front = self.admission.fronts.get("f")
         assert front is None or front.pending == front.open == 0
 
 
 def kinds(effects: list[Effect]) -> list[str]:
-    """Effects by name, what is said by the message's name; timers left out."""
-    shown = [effect for effect in effects if not isinstance(effect, Wake | Unwake)]
-    return [type(e.message if isinstance(e, Say) else e).__name__ for e in shown]
+    """Names of the effects, of messages for ``Send``; without timers."""
+    shown = [effect for effect in effects if not isinstance(effect, SetTimer | CancelTimer)]
+    return [type(e.message if isinstance(e, Send) else e).__name__ for e in shown]
--- a/tests/extproc/test_extras.py
+++ b/tests/extproc/test_extras.py
@@ -1,4 +1,4 @@
-"""The extras file: what it turns on, and one clear line for each mistake."""
+"""The extras file: which subsystems it enables, and one line for each error."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from martentide.extproc.limits import Limits
-from martentide.extproc.sessions import SessionTerms
+from martentide.extproc.sessions import SessionSettings
 from martentide.extras import ExtrasError, load_extras, read_extras
 from martentide.settings import settings_from
 from tests.net.support import ROOT, SETTINGS
@@ -22,9 +22,9 @@
     part = load_extras(str(ROOT / "deploy/extras.example.kdl"), KNOWN).external_processor
     plain = read_extras(BASE.format(""), "f", KNOWN).external_processor
     assert part == plain and part is not None
-    assert part.limits_terms() == Limits() and part.session_terms() == SessionTerms()
-    terms = part.ledger_terms(KNOWN, single=True)
-    assert (terms.release, terms.most_attempts, terms.single) == (200.0, 5, True)
+    assert part.admission_limits() == Limits() and part.session_settings() == SessionSettings()
+    settings = part.lifecycle_settings(KNOWN, single_attempt=True)
+    assert (settings.release_wait, settings.max_attempts, settings.single_attempt) == (200.0, 5, True)
 
 
 def test_an_empty_file_turns_nothing_on() -> None:
@@ -41,7 +41,7 @@
         ("external-processor {}", "f: external-processor: expected a node listen, found none"),
         ("external-processor {\n listen 5\n}", "expected an address HOST:PORT, found 5"),
         ('external-processor {\n listen "here"\n}', "expected HOST:PORT, found 'here'"),
-        (BASE.format('listen "a:2"'), "external-processor/listen: stands there twice"),
+        (BASE.format('listen "a:2"'), "external-processor/listen: appears twice"),
         (BASE.format('services "grpc"'), "expected one of decisions, ext-proc, found 'grpc'"),
         (BASE.format("limits reserv=1"), "limits: reserv: unknown property; did you mean reserve?"),
         (BASE.format("limits reserve=2"), "limits: reserve: expected `float` <= 1.0, found 2"),
