--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -14,7 +14,7 @@
 
 from benchmarks.scale.results import Row
 from martentide.fleet.core import Membership
-from martentide.fleet.events import Due, Heard, Send
+from martentide.fleet.events import DatagramReceived, Due, Send
 from martentide.fleet.terms import Terms
 from martentide.fleet.wire import Datagram, Frame, Kind, MemberRecord, State
 
@@ -36,16 +36,16 @@
         self.frame = Frame("scale")
         self.words = [word(at) for at in range(1, members + 1)]
         self.by_life = {one.life: one for one in self.words}
-        terms = dataclasses.replace(Terms(), most_members=max(Terms().most_members, members + 1))
+        terms = dataclasses.replace(Terms(), max_members=max(Terms().max_members, members + 1))
         me = word(0)
         self.core = Membership("p0", me.zone, (me.host, me.port), (), terms, seed, 0.0)
         self.sent = self.datagrams = 0
         self.now = 0.0
         first = self.words[0]
         news = Datagram(Kind.MISSING, first, self.core.me.life, 0, members=self.words[1:])
-        self._feed(Heard(news))
+        self._feed(DatagramReceived(news))
 
-    def _feed(self, event: Heard | Due) -> None:
+    def _feed(self, event: DatagramReceived | Due) -> None:
         for action in self.core.handle(self.now, event):
             if not isinstance(action, Send):
                 continue
@@ -61,7 +61,7 @@
             self._say(Datagram(Kind.ACK, other, self.core.me.life, int(self.now), said.stamp, 0, said.probe))
 
     def _say(self, datagram: Datagram) -> None:
-        self._feed(Heard(self.frame.read(self.frame.write(datagram))))
+        self._feed(DatagramReceived(self.frame.read(self.frame.write(datagram))))
 
     def run(self, seconds: float, differing: bool = False) -> None:
         until = self.now + seconds * 1_000.0
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -116,7 +116,7 @@
         if self.rng.random() < 0.5:
             writer.write(write_release(call, Cause.NORMAL))
             async with asyncio.timeout(LATE):
-                while (await self._next(reader)).type != Type.RELEASE_HEARD:
+                while (await self._next(reader)).type != Type.RELEASE_ACK:
                     pass
         else:
             async with asyncio.timeout(ENDS):
--- a/martentide/agreement/overlay.py
+++ b/martentide/agreement/overlay.py
@@ -17,12 +17,12 @@
 )
 from martentide.interface import CallClass, Repeat, ServerEntry, ServerState, Settings
 
-ANSWERED = 1_000.0  # ms; under safe rules a server is used only if it answered within this time
+ANSWER_MAX_AGE = 1_000.0  # ms; under safe rules a server is used only if it answered within this time
 REPEAT_BY_LEVEL = {level: repeat for repeat, level in REPEAT_LEVELS.items()}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
+class AgreedRules:
     """What a member acts on. ``rules`` None: the local settings unchanged; ``safe``: rules that contradict no
     version. ``last``: the rule set this member acted on last, whose server states safe rules still apply."""
 
@@ -30,7 +30,7 @@
     safe: bool = False
     last: RuleSet | None = None
 
-    def settings(self, own: Settings) -> Settings:
+    def restrict_settings(self, own: Settings) -> Settings:
         """The local settings, restricted."""
         if self.safe:
             classes = tuple(dataclasses.replace(kind, repeat=Repeat.ONCE_ONLY) for kind in own.classes)
@@ -55,9 +55,11 @@
             cold_share=min(own.cold_share, rules.cold.lo),
         )
 
-    def entries(self, own: Iterable[ServerEntry], answered: Collection[str]) -> tuple[ServerEntry, ...]:
+    def restrict_entries(
+        self, own: Iterable[ServerEntry], answered: Collection[str]
+    ) -> tuple[ServerEntry, ...]:
         """The local server list, restricted; ``answered``: servers that answered this proxy within
-        ANSWERED."""
+        ANSWER_MAX_AGE."""
         return tuple(self._restrict_entry(entry, entry.name in answered) for entry in own)
 
     def _restrict_entry(self, entry: ServerEntry, answered: bool) -> ServerEntry:
--- a/martentide/agreement/store.py
+++ b/martentide/agreement/store.py
@@ -14,7 +14,7 @@
 
 from martentide.agreement.core import VoterState, member_of
 from martentide.learned.files import OLD, STATE
-from martentide.learned.recovery import Found
+from martentide.learned.recovery import StateFile
 
 MAGIC, FORMAT_VERSION = b"MTVOTER\n", 1
 HEADER_BYTES = len(MAGIC) + 2 + 16
@@ -43,7 +43,7 @@
         raise ValueError(f"cannot decode its content: {error}") from None
 
 
-def recover(files: list[Found], member: str) -> tuple[VoterState | None, str]:
+def recover(files: list[StateFile], member: str) -> tuple[VoterState | None, str]:
     """Choose between the two generations of the file: the voter's state, or None and the reason why there is
     none ("" if there never was a file)."""
     by_name = {one.name: one for one in files}
--- a/martentide/cli.py
+++ b/martentide/cli.py
@@ -17,7 +17,7 @@
 from martentide.net.service import serve
 from martentide.versions import BAD_FILE as BAD_CONFIG
 from martentide.versions import CANNOT_ASK as CANNOT_LISTEN
-from martentide.versions import OPERATOR, REFUSED, add_to
+from martentide.versions import OPERATOR_OPTION, REFUSED, add_to
 
 
 class DefaultGroup(click.Group):
@@ -121,11 +121,11 @@
 
 def read_state_file(path: str) -> Any:
     """Read learned state from a file; exits with 2 if it can't be read, with 3 if it is invalid."""
-    from martentide.learned.codec import MOST_FILE, StateError, read_state
+    from martentide.learned.codec import MAX_FILE_BYTES, StateError, read_state
 
     try:
         with open(path, "rb") as file:
-            raw = file.read(MOST_FILE + 1)
+            raw = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         click.echo(f"martentide: {path}: {error.strerror}", err=True)
         sys.exit(BAD_CONFIG)
@@ -190,7 +190,7 @@
 
 
 @fleet.command("show", help="Members, their states, ages and facets, as the proxy knows them.")
-@OPERATOR
+@OPERATOR_OPTION
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def fleet_show(operator: str, as_json: bool) -> None:
     """Print the fleet's members as a running proxy knows them."""
--- a/martentide/codec/control.py
+++ b/martentide/codec/control.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from martentide.lifecycle.calls import METHODS, MOST_BODIES
+from martentide.lifecycle.calls import MAX_BODY_BYTES_BY_PATH, METHODS
 
 MAX_HEADER_BYTES = 8 * 1024  # bytes of request line and headers
 MAX_BODY_BYTES = 4 * 1024  # bytes of a body that is ignored
@@ -70,7 +70,7 @@
 
     def _max_body(self) -> int:
         target = b"" if self.request is None else self.request.target
-        return MOST_BODIES.get(target.decode("ascii", "replace"), MAX_BODY_BYTES)
+        return MAX_BODY_BYTES_BY_PATH.get(target.decode("ascii", "replace"), MAX_BODY_BYTES)
 
     def _route(self, request: h11.Request) -> Request | Refused:
         try:
@@ -82,7 +82,7 @@
             return Refused(404, f"no such call; available: {', '.join(METHODS)}")
         if method not in METHODS[path]:
             return Refused(405, f"{path} takes {' or '.join(METHODS[path])}", METHODS[path])
-        return Request(path, bytes(self.body) if path in MOST_BODIES else b"")
+        return Request(path, bytes(self.body) if path in MAX_BODY_BYTES_BY_PATH else b"")
 
     def answer(self, status: int, text: str, allow: tuple[str, ...] = ()) -> bytes:
         """Return the complete response, after which the connection is closed."""
--- a/martentide/codec/messages.py
+++ b/martentide/codec/messages.py
@@ -15,7 +15,7 @@
 
 from martentide.codec import CodecError
 
-MOST_BYTES = 16 * 1024  # of one message
+MAX_MESSAGE_BYTES = 16 * 1024  # of one message
 HEAD = struct.Struct(">HB8s")
 PARAMETER = struct.Struct(">BH")
 ID_BYTES = 8
@@ -29,7 +29,7 @@
     PROGRESS = 6
     ANSWER = 9
     RELEASE = 12
-    RELEASE_HEARD = 16
+    RELEASE_ACK = 16
     GROUP_STATE = 43
     TEST = 52
     TEST_RESULT = 53
@@ -86,7 +86,7 @@
 def body_length(head: bytes | bytearray) -> int:
     """Return how many bytes follow the length field. Raises CodecError if out of range."""
     length = int.from_bytes(head, "big")
-    if not MIN_LENGTH <= length <= MOST_BYTES - 2:
+    if not MIN_LENGTH <= length <= MAX_MESSAGE_BYTES - 2:
         raise CodecError(f"invalid message length: {length} bytes")
     return length
 
@@ -125,7 +125,7 @@
     """Encode a complete message, including its length. Raises CodecError if it is too long."""
     parts = [PARAMETER.pack(code, len(value)) + value for code, value in (parameters or {}).items()]
     body = b"".join(parts)
-    if MIN_LENGTH + len(body) > MOST_BYTES - 2:
+    if MIN_LENGTH + len(body) > MAX_MESSAGE_BYTES - 2:
         raise CodecError(f"message too long: {MIN_LENGTH + len(body)} bytes")
     return HEAD.pack(MIN_LENGTH + len(body), kind, call) + body
 
--- a/martentide/control/subscriber.py
+++ b/martentide/control/subscriber.py
@@ -14,10 +14,11 @@
 from martentide.control.service_table import DetailKey, SizedEntry
 from martentide.control.terms import IP_UDP_HEADER_BYTES, ControlTerms
 from martentide.control.token_bucket import TokenBucket
-from martentide.fleet.terms import DATAGRAM
-from martentide.fleet.wire import CHECK, HEAD
+from martentide.fleet.terms import MAX_DATAGRAM_BYTES
+from martentide.fleet.wire import CHECK_BYTES, HEADER_BYTES
 
-UPDATE_BASE = IP_UDP_HEADER_BYTES + HEAD + CHECK + 24  # bytes of an update without ages and entries
+# Bytes of an update without ages and entries.
+UPDATE_BASE = IP_UDP_HEADER_BYTES + HEADER_BYTES + CHECK_BYTES + 24
 AGE_BYTES = 4  # of one region's age, besides its name
 
 EntryLookup = Callable[[DetailKey], SizedEntry]
@@ -105,7 +106,7 @@
         """Return the next update, or None if nothing is queued or the byte budget or the window is used up.
         The ``answer`` to a heartbeat is always sent and charged to the budget."""
         total_bytes = UPDATE_BASE + sum(len(region) + AGE_BYTES for region in ages)
-        remaining_bytes = min(self.bucket.available(now), DATAGRAM) - total_bytes
+        remaining_bytes = min(self.bucket.available(now), MAX_DATAGRAM_BYTES) - total_bytes
         if not answer and (
             not self.pending or remaining_bytes <= 0 or len(self.unacknowledged) >= self.terms.window
         ):
--- a/martentide/extras.py
+++ b/martentide/extras.py
@@ -219,11 +219,11 @@
         return FleetTerms(
             period=times.period_ms,
             probe_timeout=times.probe_timeout_ms,
-            suspicion_least=times.suspicion_ms,
-            suspicion_most=2.0 * times.suspicion_ms,
-            gossip_gap=times.gossip_ms,
-            bytes_s=self.limits.bytes_s,
-            most_members=self.limits.most_members,
+            min_suspicion=times.suspicion_ms,
+            max_suspicion=2.0 * times.suspicion_ms,
+            gossip_interval=times.gossip_ms,
+            bytes_per_s=self.limits.bytes_s,
+            max_members=self.limits.most_members,
         )
 
 
--- a/martentide/fleet/core.py
+++ b/martentide/fleet/core.py
@@ -18,25 +18,25 @@
 from martentide.fleet.events import (
     Action,
     Address,
-    Carried,
-    Carry,
     Changed,
+    DatagramReceived,
     Depart,
     Displaced,
     Due,
     Event,
-    Heard,
     Learned,
+    PayloadReceived,
     Publish,
     Send,
+    SendPayload,
     Stalled,
     TableFull,
 )
 from martentide.fleet.table import BUCKETS, KnownMember, Probe, RelayedProbe, StoredEntry, bucket_of
-from martentide.fleet.terms import DATAGRAM, Terms
+from martentide.fleet.terms import MAX_DATAGRAM_BYTES, Terms
 from martentide.fleet.wire import (
-    CHECK,
-    HEAD,
+    CHECK_BYTES,
+    HEADER_BYTES,
     Datagram,
     HeldVersions,
     Kind,
@@ -56,7 +56,8 @@
 MAX_ECHO_DELAY_MS = 60_000  # longest time a peer may have held a stamp before it echoed it
 MAX_CLOCK_DRIFT = 0.001  # relative difference allowed between the rates of two clocks
 DEPARTURE_FANOUT = 12  # members notified directly of a departure
-FIXED_BYTES = HEAD + CHECK + 60  # frame, numeric fields and list headers; no sender's record, no entries
+# Frame, numeric fields and list headers; no sender's record, no entries.
+FIXED_BYTES = HEADER_BYTES + CHECK_BYTES + 60
 GOSSIP_OVERHEAD_BYTES = FIXED_BYTES + 28 + 60  # of a gossip datagram: adds IP, UDP and sender's record
 
 
@@ -97,7 +98,7 @@
         self.entry_updates: OrderedDict[tuple[Name, int], int] = OrderedDict()  # by owner and kind
         self.counts: Counter[str] = Counter()
         self.health_multiplier = 0
-        self.joining, self.silent, self.departing = True, False, False
+        self.joining, self.displaced, self.departing = True, False, False
         self.stalled_ms = 0.0  # total time this process was stalled
         self.now = now
         self.probe_order: list[Name] = []
@@ -155,17 +156,17 @@
         """
         self.actions = []
         self.now = now = max(now, self.now)
-        if self.silent:
+        if self.displaced:
             return self.actions
         self._detect_stall(now)
         match event:
-            case Heard(datagram):
+            case DatagramReceived(datagram):
                 self._receive(datagram)
             case Publish():
                 self._publish(event)
             case Depart():
                 self._depart()
-            case Carry(to, body):
+            case SendPayload(to, body):
                 if not self.departing and (one := self.members.get(to)) is not None:
                     self._send_datagram(
                         one.address, Kind.PAYLOAD, one.record.life, member=one, with_updates=False, body=body
@@ -196,9 +197,9 @@
         self._raise_health_multiplier(1 if lateness < 1_000.0 else 2)
         self.probe = None  # its ack may still be in the socket buffer, or may have been dropped there
         self.actions.append(Stalled(lateness))
-        if lateness > self.terms.suspicion_least / 2:
+        if lateness > self.terms.min_suspicion / 2:
             # This table may list members as alive that died meanwhile: don't spread that to newcomers.
-            self.suppress_updates_until = self.running_now + 2.0 * self.terms.suspicion_most
+            self.suppress_updates_until = self.running_now + 2.0 * self.terms.max_suspicion
         if lateness > self.terms.dead_retention / 2:
             self._reset_table()
 
@@ -263,7 +264,7 @@
             self.gossip_due = None
             for member in self._pick_live_members(self.terms.fanout):
                 # A round with state entries only waits until there are tokens for a full datagram.
-                floor = -self.terms.burst_bytes / 4 if self.member_updates else float(DATAGRAM)
+                floor = -self.terms.burst_bytes / 4 if self.member_updates else float(MAX_DATAGRAM_BYTES)
                 if self.entry_updates and not self.member_updates:
                     first = self._entry_of(*next(iter(self.entry_updates)))
                     short_lived = first is not None and first.entry.max_age <= self.terms.short_lived_max_age
@@ -271,9 +272,9 @@
                 if (self.member_updates or self.entry_updates) and self._take_tokens(
                     GOSSIP_OVERHEAD_BYTES, floor
                 ):
-                    self._send_to_member(Kind.GOSSIP, member, room=DATAGRAM)
+                    self._send_to_member(Kind.GOSSIP, member, room=MAX_DATAGRAM_BYTES)
         if (self.member_updates or self.entry_updates) and self.gossip_due is None and self.members:
-            self.gossip_due = running_now + self.terms.gossip_gap
+            self.gossip_due = running_now + self.terms.gossip_interval
 
     # ---- probes -----------------------------------------------------------------------------------------
 
@@ -519,7 +520,7 @@
 
         The balance may not fall below ``floor``, which is lower (below 0) for traffic of higher priority.
         """
-        filled = self.tokens + (self.now - self.tokens_updated_at) * self.terms.bytes_s / 1000.0
+        filled = self.tokens + (self.now - self.tokens_updated_at) * self.terms.bytes_per_s / 1000.0
         self.tokens, self.tokens_updated_at = min(self.terms.burst_bytes, filled), self.now
         if self.tokens - cost < floor:
             return False
@@ -690,7 +691,7 @@
             case Kind.VERSIONS:
                 self._receive_versions(datagram, member)
             case Kind.PAYLOAD if datagram.to == self.me.life and not correction:
-                self.actions.append(Carried(member.record, datagram.body))
+                self.actions.append(PayloadReceived(member.record, datagram.body))
         if correction:
             address = (datagram.sender.host, datagram.sender.port)
             self._send_datagram(
@@ -781,7 +782,7 @@
                 elif old is State.ALIVE or record.incarnation > known.record.incarnation:
                     self._accept_suspicion(known, record)
                 elif old is State.SUSPECT:
-                    min_duration = self.terms.suspicion_least / 2
+                    min_duration = self.terms.min_suspicion / 2
                     if self.running_now - known.suspected_at >= min_duration:
                         self._mark_dead(known, by, f"dead by the word of {record.by or by}")
                     else:
@@ -802,11 +803,11 @@
         """Add an unknown member if its record says alive; a dead one that was dropped isn't added again."""
         if record.state != State.ALIVE:
             return  # a suspect isn't added either: if it is alive, its refutation will add it
-        if len(self.members) >= self.terms.most_members:
+        if len(self.members) >= self.terms.max_members:
             self.counts["no-room"] += 1
             if self.now - self.table_full_reported_at >= TABLE_FULL_INTERVAL_MS:
                 self.table_full_reported_at = self.now
-                self.actions.append(TableFull(self.terms.most_members))
+                self.actions.append(TableFull(self.terms.max_members))
             return
         member = self.members[record.name] = KnownMember(record, self.running_now, self.running_now)
         self.names_by_bucket[bucket_of(record.name)][record.name] = None
@@ -858,7 +859,7 @@
         if self.joining:
             self._start_generation(max(self.me.generation, record.generation) + 1)
         elif (record.generation, record.life) > (self.me.generation, self.me.life):
-            self.silent = True
+            self.displaced = True
             self.actions.append(Displaced(record))
             return
         elif record.generation == self.me.generation:
@@ -987,7 +988,7 @@
             self.joining = False
             return
         self.rng.shuffle(differing)
-        room = DATAGRAM - FIXED_BYTES - encoded_size(self.me) - 2 * BUCKETS
+        room = MAX_DATAGRAM_BYTES - FIXED_BYTES - encoded_size(self.me) - 2 * BUCKETS
         held: list[HeldVersions] = []
         buckets: list[int] = []
         for index in differing:
@@ -1002,7 +1003,7 @@
             room -= needed
             held += entries
             buckets.append(index)
-        if self._take_tokens(DATAGRAM - room):
+        if self._take_tokens(MAX_DATAGRAM_BYTES - room):
             self._send_datagram(
                 member.address, Kind.VERSIONS, member.record.life, member=member, with_updates=False,
                 buckets=buckets, held=held,
@@ -1045,14 +1046,14 @@
         self.joining = False
         if missing:
             self.sync_due = min(self.sync_due, self.running_now + SYNC_FOLLOW_UP_MS)
-            room = DATAGRAM - FIXED_BYTES - encoded_size(self.me) - 8
+            room = MAX_DATAGRAM_BYTES - FIXED_BYTES - encoded_size(self.me) - 8
             fitting: list[HeldVersions] = []
             for one in missing:
                 room -= encoded_size(one)
                 if room < 0:
                     break
                 fitting.append(one)
-            if self._take_tokens(DATAGRAM - max(0, room)):
+            if self._take_tokens(MAX_DATAGRAM_BYTES - max(0, room)):
                 self._send_datagram(
                     member.address, Kind.VERSIONS, member.record.life, target="?", member=member,
                     with_updates=False, held=fitting,
@@ -1095,7 +1096,7 @@
         self, member: KnownMember, records: list[MemberRecord], entries: list[StateEntry]
     ) -> None:
         """Send records and entries in as many datagrams as tokens allow; a later sync brings the rest."""
-        capacity = DATAGRAM - FIXED_BYTES - encoded_size(self.me)
+        capacity = MAX_DATAGRAM_BYTES - FIXED_BYTES - encoded_size(self.me)
         while records or entries:
             room = capacity
             record_batch: list[MemberRecord] = []
@@ -1106,7 +1107,7 @@
             while not records and entries and (cost := encoded_size(entries[0])) <= room:
                 room -= cost
                 entry_batch.append(entries.pop(0))
-            if not self._take_tokens(DATAGRAM - room):
+            if not self._take_tokens(MAX_DATAGRAM_BYTES - room):
                 return
             self._send_datagram(
                 member.address, Kind.MISSING, member.record.life, records=record_batch, member=member,
--- a/martentide/fleet/events.py
+++ b/martentide/fleet/events.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class DatagramReceived:
     """A datagram was received and passed ``Frame.read``."""
 
     said: Datagram
@@ -39,14 +39,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Carry:
+class SendPayload:
     """Send a message of another component to a member, whatever its state; dropped if it is unknown."""
 
     to: Name
     body: bytes
 
 
-Event = Heard | Due | Publish | Depart | Carry
+Event = DatagramReceived | Due | Publish | Depart | SendPayload
 
 # ---- actions --------------------------------------------------------------------------------------------
 
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Carried:
+class PayloadReceived:
     """A message for another component of this process was received."""
 
     sender: MemberRecord
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableFull:
-    """New members were ignored, as the table holds ``limit`` (``Terms.most_members``).
+    """New members were ignored, as the table holds ``limit`` (``Terms.max_members``).
 
     Repeated at most every ``TABLE_FULL_INTERVAL_MS``.
     """
@@ -111,4 +111,4 @@
     limit: int
 
 
-Action = Send | Changed | Learned | Displaced | Stalled | Carried | TableFull
+Action = Send | Changed | Learned | Displaced | Stalled | PayloadReceived | TableFull
--- a/martentide/fleet/health_check_assignment.py
+++ b/martentide/fleet/health_check_assignment.py
@@ -372,7 +372,7 @@
     A member that is displaced, or knows no live members, checks as without a fleet.
     """
     suspected = [name for name, one in servers.items() if one.suspect or one.cold_from is not None]
-    if core.silent:
+    if core.displaced:
         return assignment.evaluate(now, suspected, {assignment.name: assignment.zone}, [], []), 0
     peer_suspects: list[list[str]] = []
     peer_observations: list[tuple[float, list[Observation]]] = []
--- a/martentide/fleet/terms.py
+++ b/martentide/fleet/terms.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-DATAGRAM = 1_400  # bytes, maximum: fits one frame on every usual link, with room for tunnel headers
+MAX_DATAGRAM_BYTES = 1_400  # bytes, maximum: fits one frame on every usual link, with room for tunnel headers
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,10 +18,10 @@
     period: float = 200.0  # between two probes of this member
     probe_timeout: float = 90.0  # of a direct probe, after which indirect probes are requested
     indirect_probes: int = 4  # members asked for an indirect probe
-    suspicion_least: float = 1_200.0  # a process stalled for half a second must be able to refute in time
-    suspicion_most: float = 2_400.0  # with a single accuser
-    accusers: int = 3  # independent accusers that shorten suspicion to ``suspicion_least``
-    gossip_gap: float = 100.0  # between two rounds of gossip, while updates are queued
+    min_suspicion: float = 1_200.0  # a process stalled for half a second must be able to refute in time
+    max_suspicion: float = 2_400.0  # with a single accuser
+    accusers: int = 3  # independent accusers that shorten suspicion to ``min_suspicion``
+    gossip_interval: float = 100.0  # between two rounds of gossip, while updates are queued
     fanout: int = 3  # members per round
     transmissions: float = 1.5  # times an update is sent, as a multiple of log2 of the fleet's size
     # An entry valid for no longer than this is sent ``short_lived_rounds`` times by each member, as the owner
@@ -35,16 +35,16 @@
     stall: float = 150.0  # lateness from which this process counts as stalled
     isolation_timeout: float = 2_000.0  # without any datagram, after which this member suspects all others
     max_health_multiplier: int = 4  # 2 steps add one period between probes, 4 double the suspicion timeout
-    bytes_s: float = 5_000.0  # per second, for gossip and syncs together; probes are not limited
+    bytes_per_s: float = 5_000.0  # per second, for gossip and syncs together; probes are not limited
     burst_bytes: float = 8_000.0
-    most_members: int = 2_048
+    max_members: int = 2_048
     max_entries: int = 8  # per member
     max_entry_bytes: int = 480  # body of a state entry
 
     def suspicion(self, members: int, accusers: int, health_multiplier: int) -> float:
         """Time in ms that a suspect has to refute, by the number of accusers (Lifeguard's formula)."""
         scale = max(1.0, math.log10(max(1, members)) / 1.4)  # 1 up to 25 members
-        least, most = self.suspicion_least * scale, self.suspicion_most * scale
+        least, most = self.min_suspicion * scale, self.max_suspicion * scale
         wanted = max(1, min(self.accusers, members - 2))
         progress = math.log(accusers + 1) / math.log(wanted + 1)
         return max(least, most - (most - least) * progress) * (1.0 + health_multiplier / 4.0)
--- a/martentide/fleet/wire.py
+++ b/martentide/fleet/wire.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from martentide.fleet.terms import DATAGRAM
+from martentide.fleet.terms import MAX_DATAGRAM_BYTES
 
 MAGIC, VERSION = b"mt", 1
-HEAD = len(MAGIC) + 1 + 4
-CHECK = 8
+HEADER_BYTES = len(MAGIC) + 1 + 4
+CHECK_BYTES = 8
 
 
 class DatagramFault(Enum):
@@ -159,7 +159,7 @@
         self.head = MAGIC + bytes((VERSION,)) + hashlib.blake2s(fleet.encode(), digest_size=4).digest()
 
     def _check(self, data: bytes) -> bytes:
-        return hashlib.blake2s(data, digest_size=CHECK, key=self.key).digest()
+        return hashlib.blake2s(data, digest_size=CHECK_BYTES, key=self.key).digest()
 
     def seal(self, body: bytes) -> bytes:
         """Frame an encoded body as a datagram of this fleet."""
@@ -172,17 +172,17 @@
 
     def open(self, data: bytes) -> bytes:
         """Verify a datagram and return its encoded body; raises DatagramError."""
-        if len(data) > DATAGRAM:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise DatagramError(DatagramFault.OVERSIZED)
-        if len(data) < HEAD + CHECK or data[:2] != MAGIC:
+        if len(data) < HEADER_BYTES + CHECK_BYTES or data[:2] != MAGIC:
             raise DatagramError(DatagramFault.STRANGE)
         if data[2] != VERSION:
             raise DatagramError(DatagramFault.OTHER_VERSION)
-        if data[3:HEAD] != self.head[3:]:
+        if data[3:HEADER_BYTES] != self.head[3:]:
             raise DatagramError(DatagramFault.OTHER_FLEET)
-        if self._check(data[:-CHECK]) != data[-CHECK:]:
+        if self._check(data[:-CHECK_BYTES]) != data[-CHECK_BYTES:]:
             raise DatagramError(DatagramFault.DAMAGED)
-        return data[HEAD:-CHECK]
+        return data[HEADER_BYTES:-CHECK_BYTES]
 
     def read(self, data: bytes) -> Datagram:
         """Verify, decode and validate a datagram; raises DatagramError."""
--- a/martentide/handover/wire.py
+++ b/martentide/handover/wire.py
@@ -13,7 +13,7 @@
 
 VERSION = 1
 MAX_FRAME_BYTES = 128 * 1024
-MOST_RECORDS = 1000  # calls listed in one frame
+MAX_CALLS_PER_FRAME = 1000  # calls listed in one frame
 
 
 class HandoverError(ValueError):
--- a/martentide/learned/codec.py
+++ b/martentide/learned/codec.py
@@ -27,7 +27,7 @@
 CRC_FIELD = struct.Struct(">I")
 HEADER_BYTES = HEADER.size + CRC_FIELD.size
 MAX_PAYLOAD_BYTES = 64 * 1024 * 1024
-MOST_FILE = HEADER_BYTES + MAX_PAYLOAD_BYTES + CRC_FIELD.size
+MAX_FILE_BYTES = HEADER_BYTES + MAX_PAYLOAD_BYTES + CRC_FIELD.size
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Learned)
--- a/martentide/learned/files.py
+++ b/martentide/learned/files.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from martentide.learned.codec import MOST_FILE
-from martentide.learned.recovery import Found
+from martentide.learned.codec import MAX_FILE_BYTES
+from martentide.learned.recovery import StateFile
 
 NEW, STATE, OLD = "state.new", "state", "state.old"
 
@@ -62,12 +62,12 @@
 STEPS = ("write", "sync", "keep-old", "rename", "sync-folder")
 
 
-def load(folder: Folder) -> list[Found]:
+def load(folder: Folder) -> list[StateFile]:
     """Return both generations, newest first, with the error of a file that cannot be read."""
     found = []
     for name in (STATE, OLD):
         try:
-            found.append(Found(name, folder.read(name, MOST_FILE)))
+            found.append(StateFile(name, folder.read(name, MAX_FILE_BYTES)))
         except OSError as error:
-            found.append(Found(name, None, error.strerror or str(error)))
+            found.append(StateFile(name, None, error.strerror or str(error)))
     return found
--- a/martentide/learned/pacing.py
+++ b/martentide/learned/pacing.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Pacing:
+class SaveScheduler:
     """``due`` returns when to check again; all times are passed in as ms."""
 
     pace: Pace
@@ -40,7 +40,7 @@
             return False
         return self.requested or now >= self.last_attempt_at + self.pace.period
 
-    def ask(self) -> None:
+    def request_save(self) -> None:
         """Request a save as soon as the gap allows."""
         self.requested = True
 
@@ -62,7 +62,7 @@
         self.not_before = now + wait
         return wait
 
-    def hangs(self, now: float) -> bool:
+    def check_hung(self, now: float) -> bool:
         """Return, once per save, whether the save in progress is to be reported as hung."""
         if self.started_at is None or self.hang_reported or now - self.started_at < self.pace.hung:
             return False
--- a/martentide/learned/recovery.py
+++ b/martentide/learned/recovery.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class StateFile:
     """One file: its bytes, or the error of reading it (no bytes and no error: it does not exist)."""
 
     name: str
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Decision:
+class StartDecision:
     """``state`` None: start without state. ``refused``: name and reason of each unusable file."""
 
     start: StartOutcome
@@ -48,10 +48,10 @@
     sequence: int  # highest of all valid files; later saves continue from it
 
 
-def decide(files: Sequence[Found], settings_print: bytes, now: float) -> Decision:
+def choose_state(files: Sequence[StateFile], settings_print: bytes, now: float) -> StartDecision:
     """Choose the state to start from. ``files``: newest generation first. Of the valid files, the one with
     the highest sequence is used."""
-    valid: list[tuple[Learned, Found]] = []
+    valid: list[tuple[Learned, StateFile]] = []
     refused: list[tuple[str, str]] = []
     for file in files:
         if file.raw is None:
@@ -74,8 +74,8 @@
         start = StartOutcome.LAST_GOOD if newest_valid else StartOutcome.EARLIER_GOOD
         if aged.clock is ClockStatus.STALE:
             start = StartOutcome.AGED_OUT
-        return Decision(start, aged, file.name, tuple(refused), sequence)
-    return Decision(
+        return StartDecision(start, aged, file.name, tuple(refused), sequence)
+    return StartDecision(
         StartOutcome.REFUSED if refused else StartOutcome.NOTHING, None, "", tuple(refused), sequence
     )
 
--- a/martentide/learned/restore.py
+++ b/martentide/learned/restore.py
@@ -1,8 +1,8 @@
 """Loads aged state into a new Controller and drops it as soon as new evidence contradicts it.
 
 Restored state is a hint only: it never gives a cold server more calls than a new proxy would, and it makes no
-server preferred. ``Hints`` observes the events of the decisions and drops a server's restored state at its
-first quick answer instead of waiting for it to age.
+server preferred. ``RestoredHints`` observes the events of the decisions and drops a server's restored state
+at its first quick answer instead of waiting for it to age.
 """
 
 from __future__ import annotations
@@ -34,7 +34,9 @@
     cold: int
 
 
-def restore(controller: Controller, aged: Aged, now: float, rng: random.Random) -> tuple[Restored, Hints]:
+def restore(
+    controller: Controller, aged: Aged, now: float, rng: random.Random
+) -> tuple[Restored, RestoredHints]:
     """Load state into a Controller that has its server list and has made no decision yet."""
     known = unknown = restarted = images = suspects = cold = 0
     hints: dict[str, ServerState] = {}
@@ -57,7 +59,7 @@
     # Ordered by first attempt: the decisions drop entries from the front.
     controller.first_tries.update(sorted(redials.items(), key=lambda item: item[1]))
     counts = Restored(known, unknown, restarted, len(redials), images, suspects, cold)
-    return counts, Hints(hints, now)
+    return counts, RestoredHints(hints, now)
 
 
 def _restore_server(
@@ -91,7 +93,7 @@
         server.image = Image(image.hold_back, image.rate, image.expires, image.reported, 0.0, now)
 
 
-class Hints:
+class RestoredHints:
     """Restored state that no new evidence has confirmed or replaced yet."""
 
     def __init__(self, servers: dict[str, ServerState], now: float) -> None:
@@ -99,11 +101,11 @@
         self.dropped = 0
 
     @property
-    def over(self) -> bool:
+    def exhausted(self) -> bool:
         """Whether no restored state is left."""
         return not self.servers
 
-    def heard(self, now: float, event: Event, controller: Controller) -> None:
+    def observe_event(self, now: float, event: Event, controller: Controller) -> None:
         """Process an event after the decisions have processed it."""
         if now >= self.expires_at:
             self.servers.clear()
@@ -129,4 +131,4 @@
         if server.wait == saved.wait:
             server.wait = 0.0
         server.faults = 0.0
-        server.due = 0.0
+        server.next_send_at = 0.0
--- a/martentide/learned/schema.py
+++ b/martentide/learned/schema.py
@@ -86,7 +86,7 @@
     "free_lines": FieldPolicy(False, "sent by the server on each new connection"),
     "lag": FieldPolicy(True, "latest response time, for timeouts and spacing", DELAY_HALF_LIFE_MS),
     "lag_at": FieldPolicy(True, "timestamp of the lag"),
-    "due": FieldPolicy(False, "spacing of single set-ups: milliseconds"),
+    "next_send_at": FieldPolicy(False, "spacing of single set-ups: milliseconds"),
     "lines_paused_until": FieldPolicy(False, "a pause of 150 ms"),
     "suspect": FieldPolicy(
         True, "a silent or failing server gets single half-open probes, not all calls", 10_000.0
@@ -117,8 +117,10 @@
     "cold_budget_share": FieldPolicy(False, "set during an upgrade, for its duration"),
     "assignment": FieldPolicy(False, "received from the fleet after each start"),
     "admission": FieldPolicy(False, "received from the fleet after each start"),
-    "repeats": FieldPolicy(False, "tokens of the ended process: a shared retry budget counts them as spent"),
-    "repeats_until": FieldPolicy(False, "as the tokens"),
+    "retry_tokens": FieldPolicy(
+        False, "tokens of the ended process: a shared retry budget counts them as spent"
+    ),
+    "retry_tokens_expire_at": FieldPolicy(False, "as the tokens"),
     "has_warm_server": FieldPolicy(False, "computed four times a second"),
     "throughput": FieldPolicy(False, "would send a cold server more than a new proxy does"),
     "started": FieldPolicy(False, "start of observation by this process"),
--- a/martentide/lifecycle/calls.py
+++ b/martentide/lifecycle/calls.py
@@ -7,4 +7,4 @@
     READY: ("GET", "HEAD"), OUT_OF_SERVICE: ("POST",), IN_SERVICE: ("POST",), FLEET: ("GET",),
     VERSIONS: ("GET",), PROPOSE: ("POST",), VOTERS: ("POST",),
 }  # fmt: skip
-MOST_BODIES = {PROPOSE: 48 * 1024, VOTERS: 1024}  # bytes, for paths that use the body
+MAX_BODY_BYTES_BY_PATH = {PROPOSE: 48 * 1024, VOTERS: 1024}  # bytes, for paths that use the body
--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -14,15 +14,23 @@
 
 from martentide.codec import CodecError
 from martentide.codec.figures import read_first_choice
-from martentide.codec.messages import MOST_BYTES, Cause, Code, Message, Type, write_message, write_release
-from martentide.handover.wire import MOST_RECORDS, Left, MovedCalls, MovedLink, Said
+from martentide.codec.messages import (
+    MAX_MESSAGE_BYTES,
+    Cause,
+    Code,
+    Message,
+    Type,
+    write_message,
+    write_release,
+)
+from martentide.handover.wire import MAX_CALLS_PER_FRAME, Left, MovedCalls, MovedLink, Said
 from martentide.net.call_trace import CALL_TRACE, CallStep
 from martentide.net.client_connections import ClientConnections, SendFrame
 from martentide.net.close_reason import LOG, CloseReason, log_event
 from martentide.net.config import Address
 from martentide.net.dispatcher import GiveUp, Offer, ReleaseIn, time_for_answer
 from martentide.net.links import Link, LinkEnded, Received
-from martentide.net.listeners import bound
+from martentide.net.listeners import bind_socket
 
 MAX_PENDING_RELEASES = 20_000  # releases kept for a calling host that has no connection
 ACCEPT_BATCH = 32  # maximum number of connections accepted in one turn of the event loop
@@ -258,7 +266,7 @@
             case Type.SET_UP:
                 self._set_up(link, message, item.received_at)
             case Type.RELEASE:
-                link.write(write_message(Type.RELEASE_HEARD, message.call))
+                link.write(write_message(Type.RELEASE_ACK, message.call))
                 record = self.records.pop(message.call, None)
                 if record is None and self.client_connections.predecessor is not None:
                     # The call may stand at the predecessor.
@@ -302,7 +310,7 @@
                 description=parts[Code.DESCRIPTION],
                 time_left=read_milliseconds(message.text(Code.TIME_LEFT)),
                 first_choice=read_first_choice(message.text(Code.FIGURES) or ""),
-                at=received_at,
+                received_at=received_at,
                 client=link,
             )
         except (KeyError, CodecError) as error:
@@ -315,7 +323,7 @@
             CALL_TRACE.step(message.call, CallStep.WRITTEN, stands=False, peer=link.peer)
             link.write(write_release(message.call, Cause.CONGESTION))
             return
-        if self.client_connections.open.get(link, 0) >= INITIAL_WINDOW + self.links[link]:
+        if self.client_connections.open_set_ups.get(link, 0) >= INITIAL_WINDOW + self.links[link]:
             # Prevents a new connection from opening hundreds of set-ups at once: the window grows with the
             # number of calls that were answered on it.
             link.write(write_release(message.call, Cause.CONGESTION))
@@ -419,8 +427,8 @@
         standing = [call for call, record in unconnected.items() if record.stands and not record.moved]
         pending = list(self.pending_releases.items())
         self.pending_releases.clear()
-        for at in range(0, max(len(standing), len(pending)), MOST_RECORDS):
-            part = slice(at, at + MOST_RECORDS)
+        for at in range(0, max(len(standing), len(pending)), MAX_CALLS_PER_FRAME):
+            part = slice(at, at + MAX_CALLS_PER_FRAME)
             self.client_connections.successor(
                 MovedCalls(self.host, tuple(standing[part]), tuple(pending[part])), None
             )
@@ -453,11 +461,11 @@
             mute=link in self.client_connections.mute,
             stood=self.links[link],
             open=tuple(calls[0]),
-            standing=tuple(calls[1][:MOST_RECORDS]),
+            standing=tuple(calls[1][:MAX_CALLS_PER_FRAME]),
         )
         send(frame, link.descriptor)
-        for at in range(MOST_RECORDS, len(calls[1]), MOST_RECORDS):
-            send(MovedCalls(self.host, tuple(calls[1][at : at + MOST_RECORDS]), ()), None)
+        for at in range(MAX_CALLS_PER_FRAME, len(calls[1]), MAX_CALLS_PER_FRAME):
+            send(MovedCalls(self.host, tuple(calls[1][at : at + MAX_CALLS_PER_FRAME]), ()), None)
         for call, record in records.items():
             CALL_TRACE.step(call, CallStep.MOVED_OUT, stands=record.stands, peer=link.peer)
             record.link, record.moved = None, True
@@ -534,7 +542,7 @@
 
     def bind(self, address: Address, shared: bool = False) -> None:
         """Bind the listening socket; ``shared``: a second process may bind the same address beside it."""
-        self.socket = bound(address, shared)
+        self.socket = bind_socket(address, shared)
 
     async def accept(self) -> None:
         """Accept connections on the socket that was bound or taken over."""
@@ -548,7 +556,7 @@
             self._accept,
             sock=self.socket.dup(),
             backlog=max(1, min(ACCEPT_BATCH, self.max_connections // ACCEPT_BATCH_DIVISOR)),
-            limit=MOST_BYTES,
+            limit=MAX_MESSAGE_BYTES,
         )
         self.socket.listen(LISTEN_BACKLOG)
 
@@ -613,11 +621,11 @@
             self.max_connections, self.client_connections.max_connections + 1
         )
         reader, writer = await asyncio.open_connection(
-            sock=socket.socket(fileno=descriptor), limit=MOST_BYTES
+            sock=socket.socket(fileno=descriptor), limit=MAX_MESSAGE_BYTES
         )
         self._calling_host(frame.host).adopt_connection(frame, reader, writer)
 
-    def said(self, frame: Said) -> None:
+    def deliver_from_predecessor(self, frame: Said) -> None:
         """Deliver a message from the predecessor to a caller."""
         if frame.host in self.calling_hosts or not frame.stands:
             say = Say(frame.call, frame.message, frame.stands, from_predecessor=True)
@@ -625,19 +633,19 @@
         elif self.client_connections.predecessor is not None:
             self.client_connections.predecessor(Left(frame.host, frame.call))
 
-    def left(self, frame: Left) -> None:
+    def caller_left(self, frame: Left) -> None:
         """Handle the successor's report that a caller gave up or released a call of this process."""
         if frame.host in self.calling_hosts:
             self.calling_hosts[frame.host].post(LeftHere(frame.call))
 
-    def beside(self, predecessor: Callable[[Left], None], links: int) -> None:
+    def share_with_predecessor(self, predecessor: Callable[[Left], None], links: int) -> None:
         """Register a predecessor with ``links`` connections: both processes share one descriptor budget."""
         self.client_connections.predecessor, self.client_connections.max_connections = (
             predecessor,
             max(MIN_CALLER_CONNECTIONS, self.max_connections - links),
         )
 
-    def yield_to(self, successor: SendFrame) -> None:
+    def hand_over_accepting(self, successor: SendFrame) -> None:
         """Stop accepting, because ``successor`` accepts from now on."""
         self.pause()
         self.client_connections.successor = successor
@@ -648,7 +656,7 @@
         for calling_host in list(self.calling_hosts.values()):
             calling_host.post(Deserted())
 
-    def orphaned(self) -> None:
+    def predecessor_gone(self) -> None:
         """Handle the loss of the predecessor: fail its unanswered calls, use the whole descriptor budget."""
         self.client_connections.predecessor, self.client_connections.max_connections = (
             None,
--- a/martentide/net/client_connections.py
+++ b/martentide/net/client_connections.py
@@ -36,7 +36,7 @@
         self.loop = asyncio.get_running_loop()
         self.mute: dict[Link, None] = {}
         self.resting: dict[Link, None] = {}
-        self.open: dict[Link, int] = {}  # all connections, with the number of their open set-ups
+        self.open_set_ups: dict[Link, int] = {}  # all connections, with the number of their open set-ups
         self.host_of: dict[Link, str] = {}
         self.hosts_with_calls: set[str] = set()  # calling hosts that have calls or pending releases
         self.standing_calls: dict[Link, int] = {}  # number of standing calls set up on the connection
@@ -50,18 +50,18 @@
         """The time in s within which a connection accepted now must complete each message."""
         return (
             RELAXED_MESSAGE_TIMEOUT
-            if len(self.open) < RELAXED_TIMEOUT_SHARE * self.max_connections
+            if len(self.open_set_ups) < RELAXED_TIMEOUT_SHARE * self.max_connections
             else MESSAGE_TIMEOUT
         )
 
     def add(self, link: Link, host: str) -> None:
         """Add a new connection; if there are too many now, close one, possibly the new one."""
-        self.open[link], self.standing_calls[link], self.host_of[link] = 0, 0, host
+        self.open_set_ups[link], self.standing_calls[link], self.host_of[link] = 0, 0, host
         self.mute[link] = None
         self.loop.call_later(PROBATION, self._probation_over, link)
         if self.draining:
             self.loop.call_later(MUTE_GRACE, self._close_if_drained, link)
-        if len(self.open) > self.max_connections:
+        if len(self.open_set_ups) > self.max_connections:
             surplus = self._connection_to_close(link)
             self.remove(surplus)
             surplus.close(CloseReason.TOO_MANY)
@@ -82,7 +82,7 @@
     def _idle(self) -> list[Link]:
         """Return the connections without an open or standing call, in the order of closing."""
         links = (*self.mute, *self.resting)
-        return [one for one in links if not self.open.get(one) and not self.standing_calls.get(one)]
+        return [one for one in links if not self.open_set_ups.get(one) and not self.standing_calls.get(one)]
 
     def close_idle(self, count: int) -> int:
         """Close up to ``count`` idle connections and return how many were closed.
@@ -99,7 +99,7 @@
 
     def remove(self, link: Link) -> None:
         """Forget a connection that is closed or is about to be."""
-        self.open.pop(link, None)
+        self.open_set_ups.pop(link, None)
         self.standing_calls.pop(link, None)
         self.host_of.pop(link, None)
         self.mute.pop(link, None)
@@ -107,17 +107,17 @@
 
     def set_up_opened(self, link: Link) -> None:
         """Count a set-up that was opened on the connection."""
-        if link in self.open:
-            self.open[link] += 1
+        if link in self.open_set_ups:
+            self.open_set_ups[link] += 1
             self.resting.pop(link, None)
 
     def set_up_ended(self, link: Link, answered: bool) -> None:
         """Count a set-up that is no longer open; ``answered``: the caller got a final message for it."""
-        if link in self.open:
-            self.open[link] -= 1
+        if link in self.open_set_ups:
+            self.open_set_ups[link] -= 1
             if answered:
                 self.mark_answered(link)
-            elif self.open[link] == 0 and link not in self.mute:
+            elif self.open_set_ups[link] == 0 and link not in self.mute:
                 self._mark_resting(link)
 
     def change_standing(self, link: Link, by: int) -> None:
@@ -131,7 +131,7 @@
         """Note that something on the connection was answered: it is no longer mute."""
         self.mute.pop(link, None)
         self.resting.pop(link, None)
-        if self.open.get(link) == 0:
+        if self.open_set_ups.get(link) == 0:
             self._mark_resting(link)
 
     def _mark_resting(self, link: Link) -> None:
@@ -139,11 +139,11 @@
         if self.draining:
             self.loop.call_soon(self._close_if_drained, link)
 
-    def leave(self, on: bool) -> None:
+    def set_draining(self, on: bool) -> None:
         """Start or end a drain, during which connections are closed as soon as they are idle."""
         self.draining = on
         if on:
-            for link in self.open:
+            for link in self.open_set_ups:
                 self.loop.call_soon(self._close_if_drained, link)
 
     def _close_if_drained(self, link: Link) -> None:
@@ -153,7 +153,7 @@
         notified on it. One with unprocessed input, or one that is too new to have sent anything, is checked
         again a little later.
         """
-        if not self.draining or self.open.get(link, 1) or self.standing_calls.get(link, 1):
+        if not self.draining or self.open_set_ups.get(link, 1) or self.standing_calls.get(link, 1):
             return
         grace_left = MUTE_GRACE - (self.loop.time() - link.opened_at) if link in self.mute else 0.0
         if grace_left > 0 or not link.at_rest:
@@ -167,7 +167,7 @@
             return
         # It waits for an answer or a release, or has begun a message, which has a timeout of its own.
         if (
-            self.open[link]
+            self.open_set_ups[link]
             or self.host_of[link] in self.hosts_with_calls
             or (link.partial_message and link.message_timeout > PROBATION)
         ):
--- a/martentide/net/control.py
+++ b/martentide/net/control.py
@@ -13,7 +13,7 @@
 from martentide.codec.control import ControlCall, Refused, Request
 from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
 from martentide.net.config import Address
-from martentide.net.listeners import bound
+from martentide.net.listeners import bind_socket
 
 CALL_TIMEOUT = 0.8  # s to receive a complete call; every answer is due within 1 s
 LINGER_TIMEOUT = 0.3  # s for the client to read its answer and close
@@ -40,7 +40,7 @@
         """Start serving on ``address``. Raises OSError."""
         # asyncio accepts up to ``backlog`` connections per wakeup. The kernel's queue is longer, because a
         # connect dropped from a full queue is retried only after a second, too late for an answer in time.
-        listener = bound(address)
+        listener = bind_socket(address)
         self.server = await asyncio.start_server(
             self._serve, sock=listener, backlog=self.max_connections, limit=READ_SIZE
         )
--- a/martentide/net/descriptors.py
+++ b/martentide/net/descriptors.py
@@ -22,24 +22,24 @@
 LOG_INTERVAL = 1.0  # minimum s between log lines about a shortage
 
 
-def most(configured: int) -> int:
+def process_limit(configured: int) -> int:
     """Return the limit of the process: the configured one, or the system's if that is lower."""
     system_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return configured if system_limit == resource.RLIM_INFINITY else min(configured, system_limit)
 
 
-def for_operator(limit: int) -> int:
+def operator_limit(limit: int) -> int:
     """Return how many requests of the operator may be open at once."""
     return min(MAX_OPERATOR_CALLS, limit // 8)
 
 
-def for_callers(limit: int, servers: int, operated: bool) -> int:
+def caller_limit(limit: int, servers: int, operated: bool) -> int:
     """Return the number of callers' connections: half of all, or what is left after everything else."""
-    rest = limit - RESERVED - servers - (for_operator(limit) if operated else 0)
+    rest = limit - RESERVED - servers - (operator_limit(limit) if operated else 0)
     return max(MIN_CALLERS, min(int(limit * CALLERS_SHARE), rest))
 
 
-class Shortage:
+class DescriptorShortage:
     """Handles a lack of descriptors. ``make_room`` closes the connections that cost least to lose.
 
     Without it, idle callers could keep the discovery service or a server from being dialled again, and each
@@ -52,7 +52,7 @@
         self.logged_at: float | None = None
         self.occurrences = 0
 
-    def met(self, error: BaseException | None) -> bool:
+    def handle_error(self, error: BaseException | None) -> bool:
         """Return whether the error is a lack of descriptors; if it is, close connections to make room."""
         if not isinstance(error, OSError) or error.errno not in SHORTAGE_ERRNOS:
             return False
@@ -66,5 +66,5 @@
 
     def handle(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Exception handler of the event loop, which also gets the errors of accepting connections."""
-        if not self.met(context.get("exception")):
+        if not self.handle_error(context.get("exception")):
             loop.default_exception_handler(context)
--- a/martentide/net/dispatcher.py
+++ b/martentide/net/dispatcher.py
@@ -50,7 +50,7 @@
 from martentide.rules import Controller
 
 if TYPE_CHECKING:
-    from martentide.agreement.overlay import InForce
+    from martentide.agreement.overlay import AgreedRules
 
 MAX_STANDING_CALLS = 50_000  # new calls are refused above this
 MAX_REMEMBERED_IDS = 4096  # ids of recently answered calls; a set-up that repeats one is a duplicate
@@ -90,9 +90,9 @@
     """A new call.
 
     Fields of type bytes are passed on unchanged; the others are input of the decisions. ``time_left`` is in
-    ms, ``at`` is the Unix time in ms at which the set-up was received. ``client`` is the connection on which
-    it arrived, checked before each attempt, or None if it can't be checked. ``carrier`` carries the call's
-    attempts; with None the actors of the session servers do, over their own connections.
+    ms, ``received_at`` is the Unix time in ms at which the set-up was received. ``client`` is the connection
+    on which it arrived, checked before each attempt, or None if it can't be checked. ``carrier`` carries the
+    call's attempts; with None the actors of the session servers do, over their own connections.
     """
 
     caller: Caller
@@ -102,7 +102,7 @@
     description: bytes
     time_left: float
     first_choice: int
-    at: float
+    received_at: float
     carrier: Carrier | None = None
     client: Client | None = None
 
@@ -243,7 +243,7 @@
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
         self.loop = asyncio.get_running_loop()
         self.now = self.monotonic_at = 0.0  # ms (Unix, monotonic) at the last reading of the clocks
-        self.asking: bytes | None = None  # id of the call that the decisions are being asked about
+        self.call_being_decided: bytes | None = None  # id of the call that the decisions are asked about
         self.refs = itertools.count(1)
         self.calls: dict[int, Call] = {}
         self.by_id: dict[bytes, Call] = {}
@@ -257,7 +257,7 @@
         # Called with each event after the decisions have handled it.
         self.event_observers: list[Callable[[float, Event], None]] = []
         self.local_settings = controller.settings  # without the rules that the fleet agreed on
-        self.agreed_rules: InForce | None = None  # None where the fleet agrees on no rules
+        self.agreed_rules: AgreedRules | None = None  # None where the fleet agrees on no rules
         # Called before each item; checks whether the agreed rules still apply.
         self.before_each_item: Callable[[], None] | None = None
         # Merges a server list with those that other members received.
@@ -285,7 +285,7 @@
                 # After an error in the decisions the affected call is failed, and all others continue.
                 LOG.exception("internal-error", item=type(item).__name__)
                 self._settle_after_error(item)
-            self.asking = None
+            self.call_being_decided = None
             if self.calls:
                 self.idle.clear()
             else:
@@ -325,7 +325,7 @@
         """Pass an event to the decisions at once; used at the start, before the mailbox is read."""
         self._feed(event)
 
-    def apply_agreed_rules(self, in_force: InForce) -> None:
+    def apply_agreed_rules(self, in_force: AgreedRules) -> None:
         """Apply the agreed rules to calls offered from now on; calls offered before keep their terms."""
         settings = self._effective_settings(self.local_settings)
         self.agreed_rules = in_force
@@ -342,16 +342,16 @@
             self._feed(ServerList(ListKind.CHANGES, changed))
 
     def _effective_settings(self, settings: Settings) -> Settings:
-        return settings if self.agreed_rules is None else self.agreed_rules.settings(settings)
+        return settings if self.agreed_rules is None else self.agreed_rules.restrict_settings(settings)
 
     def _effective_entries(self, entries: tuple[ServerEntry, ...]) -> tuple[ServerEntry, ...]:
         if self.agreed_rules is None:
             return entries
-        from martentide.agreement.overlay import ANSWERED
+        from martentide.agreement.overlay import ANSWER_MAX_AGE
 
         now = self.loop.time()
-        answered = {name for name, at in self.last_answer_at.items() if (now - at) * 1000.0 <= ANSWERED}
-        return self.agreed_rules.entries(entries, answered)
+        answered = {name for name, at in self.last_answer_at.items() if (now - at) * 1000.0 <= ANSWER_MAX_AGE}
+        return self.agreed_rules.restrict_entries(entries, answered)
 
     def _clock(self) -> float:
         """Return the Unix time in ms for the decisions, which never runs backwards.
@@ -462,7 +462,7 @@
             log_event("unknown-class", call=offer.call.hex(), name=repr(name))
             offer.caller.fail(offer.call)
             return
-        left = time_for_answer(offer.time_left - max(0.0, unix_ms() - offer.at))
+        left = time_for_answer(offer.time_left - max(0.0, unix_ms() - offer.received_at))
         if left <= 0:
             offer.caller.refuse(offer.call, 0.0)
             return
@@ -471,7 +471,7 @@
         call = self.calls[ref] = self.by_id[offer.call] = Call(offer, ref, timer)
         self.open_calls += 1
         number = offer.number.decode("utf-8", "replace") or None
-        self.asking = offer.call
+        self.call_being_decided = offer.call
         self._feed(SetUpOffered(call.ref, name, None, number, left, offer.first_choice, False, False))
 
     def _caller_left(self, call_id: bytes) -> None:
@@ -551,7 +551,7 @@
         settled = call.closed
         if settled:
             self.calls.pop(call.ref, None)
-        self.asking = call.offer.call
+        self.call_being_decided = call.offer.call
         self._feed(
             AttemptEnded(
                 ref=item.ref,
--- a/martentide/net/extproc/front.py
+++ b/martentide/net/extproc/front.py
@@ -158,7 +158,7 @@
                         description=b"",
                         time_left=effect.time_left,
                         first_choice=effect.first_choice,
-                        at=effect.at,
+                        received_at=effect.at,
                         carrier=self,
                     )
                 )
@@ -198,7 +198,7 @@
 
     def _held(self, call: bytes) -> bool:
         """Whether the dispatcher answers later than in the event that brought the question."""
-        return self.dispatcher.asking != call
+        return self.dispatcher.call_being_decided != call
 
     def stream_changed(self, event: Stream) -> None:
         """Notify the ledger of a change of the stream."""
--- a/martentide/net/extproc/server.py
+++ b/martentide/net/extproc/server.py
@@ -38,7 +38,7 @@
     def __init__(
         self, config: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
     ) -> None:
-        self.part = config
+        self.config = config
         self.host = Host(config, settings, dispatcher, seed)
         self.decisions, self.envoy = Decisions(self.host), Envoy(self.host)
         self.port = 0
@@ -72,9 +72,9 @@
     async def start(self) -> None:
         """Start listening; raises OSError if the address can't be used."""
         try:
-            self.port = self.server.add_insecure_port(self.part.listen)
+            self.port = self.server.add_insecure_port(self.config.listen)
         except RuntimeError as error:
-            raise OSError(f"external processor on {self.part.listen}: {error}") from None
+            raise OSError(f"external processor on {self.config.listen}: {error}") from None
         await self.server.start()
         # Objects loaded so far live until the process ends; scanning them in each garbage collection would
         # delay decisions by pauses of some milliseconds.
@@ -82,8 +82,10 @@
         gc.freeze()
         # gRPC polls its sockets in a thread of its own, which waits up to this interval for the GIL.
         sys.setswitchinterval(SWITCH_INTERVAL_S)
-        host = self.part.listen.rpartition(":")[0]
-        log_event("external-processor", address=f"{host}:{self.port}", services=",".join(self.part.services))
+        host = self.config.listen.rpartition(":")[0]
+        log_event(
+            "external-processor", address=f"{host}:{self.port}", services=",".join(self.config.services)
+        )
 
     def fronts(self) -> list[FrontActor]:
         """The actors of both services."""
@@ -95,14 +97,16 @@
             front.enqueue(event)
         self.decisions.list_changed(listed)
 
-    def settle(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Apply new settings to requests asked from now on; open ones keep their class and attempts."""
         self.host.apply_settings(settings)
         self._update_lifecycle_settings()
 
-    def change(self, config: ExternalProcessor) -> list[str]:
+    def apply_config(self, config: ExternalProcessor) -> list[str]:
         """Apply a changed extras file; returns the keys whose change takes effect after a restart."""
-        restart_needed = [name for name in RESTART_ONLY if getattr(config, name) != getattr(self.part, name)]
+        restart_needed = [
+            name for name in RESTART_ONLY if getattr(config, name) != getattr(self.config, name)
+        ]
         self.host.apply_config(config)
         self._update_lifecycle_settings()
         return restart_needed
@@ -113,7 +117,7 @@
         for peer in self.envoy.peers.values():
             peer.front.ledger.settings = self.host.lifecycle_settings(single_attempt=True)
 
-    def closing(self) -> None:
+    def begin_shutdown(self) -> None:
         """Refuse new questions from now on; open ones still get their verdicts."""
         self.host.closing = True
         self.decisions.go_away()
--- a/martentide/net/fleet/agreement_actor.py
+++ b/martentide/net/fleet/agreement_actor.py
@@ -51,7 +51,7 @@
     encode,
     encode_status,
 )
-from martentide.agreement.overlay import ANSWERED, InForce, check
+from martentide.agreement.overlay import ANSWER_MAX_AGE, AgreedRules, check
 from martentide.agreement.ruleset import (
     RuleError,
     RuleSet,
@@ -88,7 +88,7 @@
 LOCK_ATTEMPTS, LOCK_RETRY_INTERVAL = 60, 0.05  # s; the predecessor may still hold the lock
 LIST_REQUEST_INTERVAL = 500.0  # ms between two requests for another member's list
 SAFE_RULES_INTERVAL = 0.25  # s between two updates of which servers answered, under safe rules
-PROBE_AGE_SHARE = 0.7  # of ANSWERED; under safe rules a server without an answer for so long is probed
+PROBE_AGE_SHARE = 0.7  # of ANSWER_MAX_AGE; under safe rules a server without an answer for so long is probed
 
 
 class AgreementActor:
@@ -114,7 +114,7 @@
         self.writing = False
         self.timer: asyncio.TimerHandle | None = None
         self.safe_rules_timer: asyncio.TimerHandle | None = None
-        self.in_force = InForce(safe=True)
+        self.in_force = AgreedRules(safe=True)
         self.last_rules: RuleSet | None = None
         self.verdicts: OrderedDict[str, dict[str, Any]] = OrderedDict()
         self.stopped = False
@@ -137,7 +137,7 @@
         self.dispatcher.event_observers.append(self._observe_event)
         self.dispatcher.before_each_item, self.dispatcher.merge_lists = self._check_lease, self._merge_notice
         self._merge_notice(Notice(0, False, tuple(self.dispatcher.listed.values())))
-        self._apply_rules(InForce(safe=True))
+        self._apply_rules(AgreedRules(safe=True))
         stored, why = None, "no folder is set: a voter's state is lost when its process ends"
         if self.part.folder:  # also for a member without a vote: it may become a voter, or have been one
             self.disk_executor = ThreadPoolExecutor(1, "agreement")
@@ -193,11 +193,11 @@
             if self.folder is not None:
                 self.disk_executor.submit(self.folder.close)
             self.disk_executor.shutdown(wait=False)
-        self._apply_rules(InForce(safe=True, last=self.last_rules))
+        self._apply_rules(AgreedRules(safe=True, last=self.last_rules))
 
     # ---- events -----------------------------------------------------------------------------------------
 
-    def heard(self, sender: str, fragment: bytes) -> None:
+    def receive(self, sender: str, fragment: bytes) -> None:
         """Handle a fragment received from a member."""
         body = self.reassembler.add(self._now(), sender, fragment)
         if body is None:
@@ -293,7 +293,7 @@
             case ApplyRules(rules, number, joint, until):
                 safe = self._now() >= until
                 self.last_rules = rules or self.last_rules
-                self._apply_rules(InForce(rules, safe, self.last_rules))
+                self._apply_rules(AgreedRules(rules, safe, self.last_rules))
                 log_event("fleet-version", version=number, joint=joint, rules="safe" if safe else "agreed")
             case ProposalResolved(request, done, number, text):
                 self._store_verdict(request, {"done": done, "number": number, "text": text})
@@ -306,7 +306,7 @@
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             return f"it can't be read here: {error}"
 
-    def _apply_rules(self, in_force: InForce) -> None:
+    def _apply_rules(self, in_force: AgreedRules) -> None:
         if (in_force.safe, in_force.rules) != (self.in_force.safe, self.in_force.rules):
             self.in_force_since = self._now()
         self.in_force = in_force
@@ -322,7 +322,7 @@
             return
         self.handle(TimerExpired())
         if not self.in_force.safe:  # the core's actions may wait for the disk; safe rules must not
-            self._apply_rules(InForce(safe=True, last=self.last_rules))
+            self._apply_rules(AgreedRules(safe=True, last=self.last_rules))
 
     def _observe_event(self, at: float, event: Event) -> None:
         """Record which servers answered, for safe rules; runs in the dispatcher."""
@@ -347,7 +347,9 @@
             return
         now = self.loop.time()
         for name, actor in self.dispatcher.servers.items():
-            if (now - self.dispatcher.last_answer_at.get(name, -1e9)) * 1000.0 > PROBE_AGE_SHARE * ANSWERED:
+            if (
+                now - self.dispatcher.last_answer_at.get(name, -1e9)
+            ) * 1000.0 > PROBE_AGE_SHARE * ANSWER_MAX_AGE:
                 actor.post(Probing())
         self.dispatcher.refresh_listed_states()
         self.safe_rules_timer = self.loop.call_later(SAFE_RULES_INTERVAL, self._refresh_answers)
@@ -388,11 +390,11 @@
             return dataclasses.replace(found, host=known.host, port=known.port)
         return found
 
-    def look(self, core: Membership) -> list[Publish]:
+    def poll(self, core: Membership) -> list[Publish]:
         """Called periodically by the member: merge the changes that others gossip, request a list where
         digests differ, and return this member's status for publication if it changed or is about to
         expire."""
-        if self.core is None or core.silent:
+        if self.core is None or core.displaced:
             return []
         now, digest = self._now(), self.server_list.digest()
         differing = []
@@ -432,7 +434,7 @@
         while len(self.verdicts) > MAX_VERDICTS:
             self.verdicts.popitem(last=False)
 
-    def ask(self, path: str, body: bytes) -> tuple[int, str]:
+    def handle_operator_call(self, path: str, body: bytes) -> tuple[int, str]:
         """Handle an operator's HTTP call about versions; returns the HTTP status and the body."""
         if self.core is None:
             return 503, "not a member yet"
--- a/martentide/net/fleet/member.py
+++ b/martentide/net/fleet/member.py
@@ -18,16 +18,16 @@
 from martentide.fleet.events import (
     Action,
     Address,
-    Carried,
-    Carry,
     Changed,
+    DatagramReceived,
     Depart,
     Displaced,
     Due,
-    Heard,
     Learned,
+    PayloadReceived,
     Publish,
     Send,
+    SendPayload,
     Stalled,
     TableFull,
 )
@@ -261,7 +261,7 @@
         except DatagramError as error:
             self._count_rejected(error.why.value)
             return
-        self._feed(Heard(datagram))
+        self._feed(DatagramReceived(datagram))
 
     def _count_rejected(self, reason: str) -> None:
         self.counts[reason] += 1
@@ -305,9 +305,9 @@
                 )  # fmt: skip
             case Learned():
                 self.counts["facets"] += 1
-            case Carried(sender, body):
+            case PayloadReceived(sender, body):
                 if self.agreement is not None:
-                    self.agreement.heard(sender.name, body)
+                    self.agreement.receive(sender.name, body)
             case Displaced(by):
                 LOG.error(
                     "fleet-displaced", member=by.name, address=f"{by.host}:{by.port}", life=by.life,
@@ -319,7 +319,7 @@
                 self.counts["late"] += 1
                 log_event("fleet-late", ms=round(span))
 
-    def hang_up(self) -> None:
+    def handle_sighup(self) -> None:
         """On SIGHUP, propose the rules named in the extras file."""
         if self.agreement is not None:
             self.agreement.propose_file()
@@ -327,7 +327,7 @@
     def _send_payload(self, to: str, body: bytes) -> None:
         """Send a fragment of an agreement message to a member."""
         if self.core is not None:
-            self._feed(Carry(to, body))
+            self._feed(SendPayload(to, body))
             self._arm()
 
     # ---- health-check assignment and overload -----------------------------------------------------------
@@ -360,33 +360,33 @@
         if self.overload is not None:
             self._handle_overload(core, self.overload, now)
         if self.agreement is not None:
-            for entry in self.agreement.look(core):
+            for entry in self.agreement.poll(core):
                 self._feed(entry)
 
     def _overload_terms(self, settings: Settings) -> tuple[dict[str, float], float, float]:
         priorities = {kind.name: kind.worth for kind in settings.classes}
-        return priorities, settings.max_hold_off, self.dispatcher.controller.tolerable
+        return priorities, settings.max_hold_off, self.dispatcher.controller.tolerable_wait
 
     def _handle_overload(self, core: Membership, part: overload.Overload, now: float) -> None:
         controller = self.dispatcher.controller
         if controller.settings is not self.settings:
             self.settings = controller.settings
-            part.settle(*self._overload_terms(self.settings))
-        limited = self.dispatcher.now < controller.repeats_until < math.inf
-        token_allotment = controller.repeats if limited else 0.0
-        outcome, undecodable = overload.look(core, part, now, controller.servers, token_allotment)
+            part.apply_settings(*self._overload_terms(self.settings))
+        limited = self.dispatcher.now < controller.retry_tokens_expire_at < math.inf
+        token_allotment = controller.retry_tokens if limited else 0.0
+        outcome, undecodable = overload.poll(core, part, now, controller.servers, token_allotment)
         if undecodable:
             self._count_rejected("malformed")
         for event in outcome.events:
             self.dispatcher.post(event)
-        if outcome.word is not None and not core.silent:
-            self._feed(Publish(overload.LOAD, overload.SCHEMA, overload.END, outcome.word))
+        if outcome.message is not None and not core.displaced:
+            self._feed(Publish(overload.LOAD_KIND, overload.SCHEMA, overload.LOAD_EXPIRY, outcome.message))
         if part.level.phase is not self.phase:
             self.phase = part.level.phase
             log_event(
                 "fleet-overload", phase=self.phase.name.lower(), admitted=round(part.level.admitted, 3),
                 pressure=round(part.level.pressure, 3), storms=part.level.storms,
-                alone=part.alone(now),
+                alone=part.is_isolated(now),
             )  # fmt: skip
 
     # ---- status -----------------------------------------------------------------------------------------
@@ -412,7 +412,7 @@
                  "since": round(core.running_now - member.since), "accusers": sorted(member.accusers),
                  "facets": entries}
             )  # fmt: skip
-        state = "displaced" if core.silent else "joining" if core.joining else "alive"
+        state = "displaced" if core.displaced else "joining" if core.joining else "alive"
         return json.dumps(
             {"fleet": self.part.name, "name": self.name, "zone": self.part.zone, "state": state,
              "generation": core.me.generation, "incarnation": core.me.incarnation,
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -21,9 +21,9 @@
 from martentide.interface import Event, Settings
 from martentide.learned.codec import StateError, fingerprint, write_state
 from martentide.learned.files import load, save
-from martentide.learned.pacing import Pace, Pacing
-from martentide.learned.recovery import Decision, Found, decide
-from martentide.learned.restore import Hints, restore
+from martentide.learned.pacing import Pace, SaveScheduler
+from martentide.learned.recovery import StartDecision, StateFile, choose_state
+from martentide.learned.restore import RestoredHints, restore
 from martentide.learned.schema import Learned
 from martentide.learned.snapshot import Snapshots
 from martentide.net.close_reason import LOG, log_event
@@ -171,13 +171,13 @@
     ) -> None:
         self.path, self.dispatcher, self.rng = folder, dispatcher, random.Random(seed)
         self.settings_fingerprint = fingerprint(settings)
-        self.pacing = Pacing(pace)
+        self.pacing = SaveScheduler(pace)
         self.loop = asyncio.get_running_loop()
         self.mailbox: asyncio.Queue[CheckDue | SaveFinished | FolderChanged] = asyncio.Queue()
         self.worker = FileWorker()
         self.folder: DiskFolder | None = None
         self.snapshots = Snapshots()
-        self.hints: Hints | None = None
+        self.hints: RestoredHints | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.last_snapshot: Learned | None = None
         self.idle = asyncio.Event()
@@ -190,7 +190,7 @@
 
     # ---- start --------------------------------------------------------------------------------------------
 
-    async def start(self) -> Decision | None:
+    async def start(self) -> StartDecision | None:
         """Open the folder and restore the saved state into the controller.
 
         Returns None if the folder can't be opened within OPEN_TIMEOUT; the proxy then runs without the store.
@@ -202,7 +202,7 @@
             return None
         self.folder, files = opened
         now, load_started = unix_ms(), time.perf_counter()
-        decision = decide(files, self.settings_fingerprint, now)
+        decision = choose_state(files, self.settings_fingerprint, now)
         load_ms = round((time.perf_counter() - load_started) * 1000.0, 2)
         for name, why in decision.refused:
             LOG.warning("state-refused", file=name, detail=repr(why))
@@ -230,17 +230,17 @@
         return decision
 
     def _list_changed(self, _: object) -> None:
-        self.pacing.ask()
+        self.pacing.request_save()
         self.mailbox.put_nowait(CheckDue())
 
-    async def _open_folder(self, path: str) -> tuple[DiskFolder, list[Found]] | str:
+    async def _open_folder(self, path: str) -> tuple[DiskFolder, list[StateFile]] | str:
         """Open, lock and read a folder; return the reason as text if that fails.
 
         This runs in a thread of its own, so that a hanging disk blocks neither the start nor a reload.
         """
-        answer: asyncio.Future[tuple[DiskFolder, list[Found]] | str] = self.loop.create_future()
+        answer: asyncio.Future[tuple[DiskFolder, list[StateFile]] | str] = self.loop.create_future()
 
-        def deliver(found: tuple[DiskFolder, list[Found]] | str) -> None:
+        def deliver(found: tuple[DiskFolder, list[StateFile]] | str) -> None:
             if not answer.done():
                 answer.set_result(found)
             elif not isinstance(found, str):
@@ -249,7 +249,7 @@
         def open_and_load() -> None:
             try:
                 folder = DiskFolder(path)
-                found: tuple[DiskFolder, list[Found]] | str = (folder, load(folder))
+                found: tuple[DiskFolder, list[StateFile]] | str = (folder, load(folder))
             except OSError as error:
                 busy = error.errno == errno.EAGAIN
                 found = "locked by another proxy" if busy else error.strerror or str(error)
@@ -265,8 +265,8 @@
 
     def _on_event(self, now: float, event: Event) -> None:
         assert self.hints is not None
-        self.hints.heard(now, event, self.dispatcher.controller)
-        if self.hints.over:
+        self.hints.observe_event(now, event, self.dispatcher.controller)
+        if self.hints.exhausted:
             self.dispatcher.event_observers.remove(self._on_event)
 
     # ---- saving -------------------------------------------------------------------------------------------
@@ -289,7 +289,7 @@
                     await self._on_folder_changed(item)
                 case CheckDue():
                     pass
-            if self.pacing.hangs(now):
+            if self.pacing.check_hung(now):
                 LOG.warning("state-save-hangs", folder=self.path)
             if self.folder is not None and self.pacing.may_begin(now):
                 await self._begin_save(now)
@@ -364,9 +364,9 @@
         self.path = item.folder
         if old is not None:
             self.worker.submit(old.close)  # queued behind a save that may still be running
-        sequence = decide(files, self.settings_fingerprint, unix_ms()).sequence
+        sequence = choose_state(files, self.settings_fingerprint, unix_ms()).sequence
         self.snapshots.sequence = max(self.snapshots.sequence, sequence)
-        self.last_snapshot, self.pacing = None, Pacing(item.pace)
+        self.last_snapshot, self.pacing = None, SaveScheduler(item.pace)
         self.idle.set()
         log_event("state-moved", folder=self.path)
 
--- a/martentide/net/links.py
+++ b/martentide/net/links.py
@@ -17,7 +17,7 @@
 
 from martentide.attempt_messages import Presence
 from martentide.codec import CodecError
-from martentide.codec.messages import MOST_BYTES, Message, read_message, split
+from martentide.codec.messages import MAX_MESSAGE_BYTES, Message, read_message, split
 from martentide.net.close_reason import CloseReason, log_connection_closed
 
 MAX_UNPROCESSED = 64  # messages of one connection waiting in the mailbox at which it stops reading
@@ -91,13 +91,13 @@
         there.
         """
         if begun_at is None:
-            return await self.reader.read(MOST_BYTES)
+            return await self.reader.read(MAX_MESSAGE_BYTES)
         try:
             async with asyncio.timeout_at(begun_at + self.message_timeout):
-                return await self.reader.read(MOST_BYTES)
+                return await self.reader.read(MAX_MESSAGE_BYTES)
         except TimeoutError:
             async with asyncio.timeout(STALL_RECHECK):
-                return await self.reader.read(MOST_BYTES)
+                return await self.reader.read(MAX_MESSAGE_BYTES)
 
     async def _read_loop(self) -> None:
         """Read until the connection ends, and store the reason for ``_read_loop_ended``."""
--- a/martentide/net/listeners.py
+++ b/martentide/net/listeners.py
@@ -7,7 +7,7 @@
 from martentide.net.config import Address
 
 
-def bound(address: Address, shared: bool = False) -> socket.socket:
+def bind_socket(address: Address, shared: bool = False) -> socket.socket:
     """Return a socket bound to the address; ``shared``: other processes may bind it too. Raises OSError."""
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
--- a/martentide/net/service.py
+++ b/martentide/net/service.py
@@ -126,15 +126,15 @@
     changed = new_values != (config.settings, config.max_open, config.connect_timeout)
     if changed:
         settings = dataclasses.replace(settings, revision=settings.revision + 1)
-        for_controller = controller_settings(settings, processor is None or processor.part.own_links)
+        for_controller = controller_settings(settings, processor is None or processor.config.own_links)
         dispatcher.post(Settle(for_controller, new.max_open, new.connect_timeout))
         if processor is not None:
-            processor.settle(for_controller)
+            processor.apply_settings(for_controller)
         if store is not None:
             store.change_settings(settings)
     part = new.extras.external_processor if new.extras is not None else None
     if processor is not None and part is not None:
-        restart_needed += [f"external-processor.{name}" for name in processor.change(part)]
+        restart_needed += [f"external-processor.{name}" for name in processor.apply_config(part)]
     elif (processor is None) != (part is None):
         restart_needed.append("external-processor")
     state = new.extras.learned_state if new.extras is not None else None
@@ -153,7 +153,7 @@
         restart_needed_for=",".join(restart_needed) or "nothing",
     )
     if member is not None:
-        member.hang_up()
+        member.handle_sighup()
     if new.board != config.board:
         discovery.post(AddressChanged(new.board))
     unchanged = {key: getattr(config, key) for key in (*fixed_keys, "seed", "known", "known_number")}
@@ -211,7 +211,7 @@
                 return 404, "no agreement is set"
             if self.member.agreement is None:
                 return 503, "this process is not a member: its successor is, or it is still joining"
-            return self.member.agreement.ask(path, body)
+            return self.member.agreement.handle_operator_call(path, body)
         number = next(self.request_numbers)
         answer: asyncio.Future[tuple[int, str]] = self.loop.create_future()
         self.pending_calls[number] = answer
@@ -237,7 +237,7 @@
                 if (pending := self.pending_calls.get(call)) is not None and not pending.done():
                     pending.set_result((status, text))
             case machine.LeaveLinks(enabled):
-                self.callers.client_connections.leave(enabled)
+                self.callers.client_connections.set_draining(enabled)
             case machine.RefuseSetUps(enabled):
                 self.dispatcher.closing = enabled
             case machine.StopListening():
@@ -262,7 +262,8 @@
                 )
             case machine.CloseFronts():
                 if self.processor is not None:
-                    self.processor.closing()  # announced on the open streams, so fronts need no grace period
+                    # announced on the open streams, so fronts need no grace period
+                    self.processor.begin_shutdown()
             case machine.Tell(phase, by):
                 log_event("service-state", state=phase.value, by=by, calls=len(self.dispatcher.calls))
                 if phase is machine.Phase.STOPPING:
@@ -310,7 +311,9 @@
                 self.channel = self.pending_successors.pop(request)
                 listener = self.callers.socket
                 assert listener is not None
-                self.channel.send(Welcome(len(self.callers.client_connections.open)), listener.fileno())
+                self.channel.send(
+                    Welcome(len(self.callers.client_connections.open_set_ups)), listener.fileno()
+                )
                 self.channel_reader = self.loop.create_task(
                     self._read_successor(self.channel), name="successor"
                 )
@@ -319,7 +322,9 @@
                 self._yield_listener()
             case machine.MoveOut():
                 if self.channel is not None:
-                    log_event("upgrade", step="moving", links=len(self.callers.client_connections.open))
+                    log_event(
+                        "upgrade", step="moving", links=len(self.callers.client_connections.open_set_ups)
+                    )
                     self.dispatcher.post(ColdShare(0.0))
                     self.channel.send(Moving())
                     self.callers.move_out()
@@ -337,7 +342,7 @@
                 self.channel = None
                 log_event("upgrade", step="alone")
                 self.dispatcher.post(ColdShare(1.0))
-                self.callers.orphaned()
+                self.callers.predecessor_gone()
 
     def _yield_listener(self) -> None:
         assert self.channel is not None
@@ -345,12 +350,12 @@
             self.member.retire()  # before Taken tells the successor that the fleet address is free
         if self.tier is not None:
             self.tier.retire()
-        self.callers.yield_to(self.channel.send)
+        self.callers.hand_over_accepting(self.channel.send)
         self.dispatcher.post(ColdShare(COLD_SHARE_DURING_UPGRADE))
         if self.handover_socket is not None:
             self.handover_socket.close(unlink=False)
         self.channel.send(Taken())
-        log_event("upgrade", step="yielded", links=len(self.callers.client_connections.open))
+        log_event("upgrade", step="yielded", links=len(self.callers.client_connections.open_set_ups))
 
     async def _resume_accepting(self) -> None:
         await self.callers.accept()
@@ -370,7 +375,7 @@
                 case GiveBack():
                     self.post(machine.SuccessorReturnedListener())
                 case Left() as left:
-                    self.callers.left(left)
+                    self.callers.caller_left(left)
         self.post(machine.SuccessorGone())
 
     async def _read_predecessor(self, channel: Channel) -> None:
@@ -382,7 +387,7 @@
                 case MovedLink() | MovedCalls():
                     await self.callers.move_in(frame, descriptor)
                 case Said():
-                    self.callers.said(frame)
+                    self.callers.deliver_from_predecessor(frame)
         self.post(machine.PredecessorGone())
 
     async def connect_predecessor(self, environment: Mapping[str, str]) -> None:
@@ -421,7 +426,7 @@
 
     async def _take_over(self, predecessor: Predecessor) -> None:
         self.callers.socket, self.channel = predecessor.listener, predecessor.channel
-        self.callers.beside(predecessor.channel.send, predecessor.connections)
+        self.callers.share_with_predecessor(predecessor.channel.send, predecessor.connections)
         predecessor.channel.send(Take())
         try:
             async with asyncio.timeout(TAKE_TIMEOUT):
@@ -501,18 +506,24 @@
     def start_server(listed: Listed, dispatcher: Dispatcher) -> ServerActor:
         if not dials:
             return UndialledServer(listed, dispatcher)
-        return Server(listed, service.config.connect_timeout, dispatcher.post, shortage.met)
+        return Server(listed, service.config.connect_timeout, dispatcher.post, shortage.handle_error)
 
     dispatcher = Dispatcher(Controller(settings, config.seed), start_server, config.max_open)
-    descriptor_limit = descriptors.most(config.sockets)
+    descriptor_limit = descriptors.process_limit(config.sockets)
     known_servers = len(merge_notices(config.known).servers)
     callers = Callers(
-        descriptors.for_callers(descriptor_limit, known_servers, config.operator is not None), dispatcher.post
+        descriptors.caller_limit(descriptor_limit, known_servers, config.operator is not None),
+        dispatcher.post,
     )
-    shortage = descriptors.Shortage(callers.make_room)
+    shortage = descriptors.DescriptorShortage(callers.make_room)
     loop.set_exception_handler(shortage.handle)
     discovery = DiscoveryClient(
-        config.board, config.known_number, config.zones, config.connect_timeout, dispatcher.post, shortage.met
+        config.board,
+        config.known_number,
+        config.zones,
+        config.connect_timeout,
+        dispatcher.post,
+        shortage.handle_error,
     )
 
     store, processor, member = create_optional_actors(config, settings, dispatcher)
@@ -526,7 +537,7 @@
     if config.operator is not None:
         from martentide.net.control import OperatorListener  # needs h11
 
-        control = OperatorListener(service.handle_call, descriptors.for_operator(descriptor_limit))
+        control = OperatorListener(service.handle_call, descriptors.operator_limit(descriptor_limit))
         await control.listen(config.operator)
         for host, port in control.addresses():
             log_event("operator-listening", address=f"{host}:{port}")
--- a/martentide/net/tier/node.py
+++ b/martentide/net/tier/node.py
@@ -175,7 +175,7 @@
         except DatagramError as error:
             self.counts[error.why.value] += 1
             return
-        self._run_membership_actions(self.membership.handle(self._now(), fleet.Heard(datagram)))
+        self._run_membership_actions(self.membership.handle(self._now(), fleet.DatagramReceived(datagram)))
 
     # ---- actions ----------------------------------------------------------------------------------------
 
@@ -189,7 +189,7 @@
                     if self.proxy_transport is not None:
                         self.proxy_transport.sendto(data, address)
                 case SendToPeer(to, between):
-                    carry = fleet.Carry(to, encode_control(between))
+                    carry = fleet.SendPayload(to, encode_control(between))
                     self._run_membership_actions(self.membership.handle(self._now(), carry))
 
     def _run_membership_actions(self, actions: list[fleet.Action]) -> None:
@@ -203,7 +203,7 @@
                     state = State(member.state).name.lower()
                     log_event("control-node", node=member.name, state=state, evidence=repr(evidence))
                     self._handle_event(PeerUp(member.name) if up else PeerDown(member.name))
-                case fleet.Carried(_, body):
+                case fleet.PayloadReceived(_, body):
                     self._from_peer(body)
 
     def _from_peer(self, body: bytes) -> None:
--- a/martentide/overload/core.py
+++ b/martentide/overload/core.py
@@ -41,8 +41,8 @@
     size_factor,
 )
 from martentide.overload.messages import (
-    END,
-    LOAD,
+    LOAD_EXPIRY,
+    LOAD_KIND,
     MAX_CLASSES,
     MAX_SERVERS,
     MAX_TRANSFERS,
@@ -86,7 +86,7 @@
     """Result of one poll: events for the decisions and the encoded message to publish, if one is due."""
 
     events: tuple[Admission | RepeatBudget, ...]
-    word: bytes | None
+    message: bytes | None
 
 
 MIN_ANSWERS = 8  # answers of a server after which the shortest one shows its lag without a queue
@@ -161,7 +161,7 @@
         self.active = False  # whether messages are sent at the rate used under pressure
         self.last_received_at: float | None = None
 
-    def settle(self, worths: Mapping[str, float], max_hold_off: float, tolerable_wait: float) -> None:
+    def apply_settings(self, worths: Mapping[str, float], max_hold_off: float, tolerable_wait: float) -> None:
         """Apply changed settings; rates of classes that remain are kept."""
         self.worths, self.max_hold_off, self.tolerable_wait = dict(worths), max_hold_off, tolerable_wait
         self.offered_rates = {kind: self.offered_rates.get(kind, Rate()) for kind in self.worths}
@@ -235,7 +235,7 @@
 
     # ---- polling ------------------------------------------------------------------------------------------
 
-    def look(
+    def poll(
         self,
         now: float,
         servers: Collection[str],
@@ -353,7 +353,7 @@
             if abs(median - (now - self.epoch_start)) > MAX_TURN_OFFSET:
                 self.epoch_start = now - median
 
-    def alone(self, now: float) -> bool:
+    def is_isolated(self, now: float) -> bool:
         """Return whether no message has arrived for so long that this member decides on its own."""
         return self.last_received_at is None or now - self.last_received_at > ISOLATION_TIMEOUT
 
@@ -367,7 +367,7 @@
         return {
             "phase": self.level.phase.name.lower(), "admitted": round(self.level.admitted, 3),
             "lasting": round(self.level.baseline, 3), "pressure": round(self.level.pressure, 3),
-            "storms": self.level.storms, "alone": self.alone(now), "shares": cut,
+            "storms": self.level.storms, "alone": self.is_isolated(now), "shares": cut,
             "pressed": {
                 name: [round(hold, 3), round(now - at)] for name, (hold, at) in self.hold_backs.items()
             },
@@ -498,21 +498,21 @@
             pressed = pressed[:-2]
 
 
-def look(
+def poll(
     membership: Membership, overload: Overload, now: float, servers: Collection[str], allotment: float
 ) -> tuple[Outcome, int]:
     """Poll ``overload`` with the member's state entries; also return how many of them were unreadable."""
     received: list[tuple[str, int, int, Load, float]] = []
     unreadable = 0
     living = {overload.name: membership.me.life}
-    if not membership.silent:
-        for member, entry, age in membership.state_entries_of(LOAD, now):
+    if not membership.displaced:
+        for member, entry, age in membership.state_entries_of(LOAD_KIND, now):
             try:
                 received.append((member.name, entry.life, entry.counter, read_load(entry.body), age))
             except (msgspec.DecodeError, msgspec.ValidationError):
                 unreadable += 1
         living |= {other.name: other.life for other in membership.living()}
-    return overload.look(now, servers, received, living, allotment), unreadable
+    return overload.poll(now, servers, received, living, allotment), unreadable
 
 
-__all__ = ["ABLATION_PARTS", "END", "LOAD", "SCHEMA", "Overload", "look"]
+__all__ = ["ABLATION_PARTS", "LOAD_EXPIRY", "LOAD_KIND", "SCHEMA", "Overload", "poll"]
--- a/martentide/overload/messages.py
+++ b/martentide/overload/messages.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-LOAD = 3  # kind of gossiped state entry
+LOAD_KIND = 3  # kind of gossiped state entry
 SCHEMA = 1  # version of the format
-END = 4_000  # ms after which a message is ignored
+LOAD_EXPIRY = 4_000  # ms after which a message is ignored
 MAX_SERVERS = 24  # reported in one message
 MAX_CLASSES = 12
 MAX_TRANSFERS = 8
--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -129,7 +129,7 @@
     free_lines: float | None = None
     lag: float = 0.0
     lag_at: float = 0.0
-    due: float = 0.0
+    next_send_at: float = 0.0
     lines_paused_until: float = 0.0
     suspect: bool = False
     silent: bool = False  # neither answers nor connections since it became suspect
@@ -198,7 +198,7 @@
         self.recent: dict[tuple[int, int], float] = {}
         self.assignment = TestDuty(frozenset(), frozenset())  # without a fleet: this proxy checks all
         self.admission: Admission | None = None
-        self.repeats, self.repeats_until = math.inf, math.inf  # retry tokens and expiry; at first unlimited
+        self.retry_tokens, self.retry_tokens_expire_at = math.inf, math.inf  # at first unlimited
         self.throughput = 0.0
         self.has_warm_server = True  # at the last measurement of throughput
         self.started: float | None = None
@@ -210,10 +210,10 @@
         self.classes = {kind.name: kind for kind in settings.classes}
         self.top_worth = max((kind.worth for kind in settings.classes), default=1.0)
         shortest_aim = min((kind.aim for kind in settings.classes), default=1000.0)
-        self.tolerable = TOLERABLE_SHARE_OF_AIM * shortest_aim
+        self.tolerable_wait = TOLERABLE_SHARE_OF_AIM * shortest_aim
         if settings.repeat_interval > 0:
-            self.tolerable = min(self.tolerable, settings.repeat_interval)
-        self.trial_scale = min(1.0, self.tolerable / TRIAL_REFERENCE_WAIT)
+            self.tolerable_wait = min(self.tolerable_wait, settings.repeat_interval)
+        self.trial_scale = min(1.0, self.tolerable_wait / TRIAL_REFERENCE_WAIT)
         self.tick_interval = TICK * self.trial_scale  # with short aims, a slower tick leaves servers idle
         self.offered_window = OFFERED_WINDOW * math.sqrt(max(1.0, settings.proxies / SMALL_FLEET))
         self.scale = min(1.0, SMALL_FLEET / max(1, settings.proxies))  # factor on minimum allowances
@@ -323,7 +323,7 @@
         )
 
     def _retry_tokens_left(self, now: float) -> float:
-        return self.repeats if now < self.repeats_until else 0.0  # infinite without a budget
+        return self.retry_tokens if now < self.retry_tokens_expire_at else 0.0  # infinite without a budget
 
     def _reserve(self, kind: CallClass) -> float:
         return min(HOLD_RESERVE, HOLD_RESERVE_SHARE * kind.aim)
@@ -352,7 +352,7 @@
         quick = event.delay < SLOW_LAG
         server.cold_trust = slow_start.updated_trust(server.cold_trust, quick, 1.0 / self.scale)
         wait = max(0.0, event.delay - server.least_lag * (1.0 + NETWORK_JITTER))
-        if wait < UNANSWERED_SHARE * self.tolerable:
+        if wait < UNANSWERED_SHARE * self.tolerable_wait:
             # Own half-open probes are rare in a large fleet, so other messages from the server count too.
             answered = max(0.0, server.heard_at - server.suspect_from) * (1.0 - self.scale)
             if server.suspect and server.silent and now - server.suspect_from - answered > COLD_AFTER_SILENCE:
@@ -429,7 +429,7 @@
         elif event.ending is Ending.FULL:
             self._mark_suspect(now, server)
             self._update_image(now, server, FULL_HOLD_BACK, None)
-            server.seen_wait, server.seen_at = 2.0 * self.tolerable, now
+            server.seen_wait, server.seen_at = 2.0 * self.tolerable_wait, now
         elif event.ending is Ending.UNREACHABLE:
             self._mark_suspect(now, server)
             server.silent = True
@@ -499,12 +499,12 @@
         they are lost, or their server is limited individually. No effect at usual rates.
         """
         while self.recent:
-            if self.recent[first := next(iter(self.recent))] > now - UNANSWERED_SHARE * self.tolerable:
+            if self.recent[first := next(iter(self.recent))] > now - UNANSWERED_SHARE * self.tolerable_wait:
                 break
             del self.recent[first]
         most = len(self.servers) * self.scale / max(1e-9, 1.0 - self.scale)  # no limit in a small fleet
         size = sum(server.entry.size for server in self.servers.values())
-        own = BACKLOG_SHARE * self.throughput * size * UNANSWERED_SHARE * self.tolerable / 1000.0
+        own = BACKLOG_SHARE * self.throughput * size * UNANSWERED_SHARE * self.tolerable_wait / 1000.0
         return len(self.recent) >= max(1.0, most, own)
 
     def _send(self, call: Call, server: Server, now: float) -> None:
@@ -512,7 +512,7 @@
         call.current_server = server
         server.unanswered[(call.ref, call.attempts)] = now
         call.attempts += 1
-        self.repeats -= call.attempts > 1
+        self.retry_tokens -= call.attempts > 1
         call.tried.add(server.entry.name)
         self.actions.append(SendSetUp(call.ref, server.entry.name, self._attempt_timeout(call, server, now)))
 
@@ -580,14 +580,14 @@
             return False
         if server.suspect and self.settings.may_probe and server.heard_at < server.failed_at:
             return False  # a health check tests reachability at lower cost than a caller's set-up
-        unanswered = UNANSWERED_SHARE * self.tolerable + min(MAX_NETWORK_LAG, server.least_lag or 0.0)
+        unanswered = UNANSWERED_SHARE * self.tolerable_wait + min(MAX_NETWORK_LAG, server.least_lag or 0.0)
         late = server.unanswered and now - min(server.unanswered.values()) > unanswered
         if late and (len(server.unanswered) > self.scale or server.remembered_lag(now) > SLOW_LAG):
             return False
         usual = self._offered_rate(now, server) * SLOW_LAG / 1000.0  # set-ups offered in one SLOW_LAG
         if len(server.unanswered) >= max(1.0 + (MAX_UNANSWERED - 1.0) * self.scale, MAX_UNANSWERED * usual):
             return False
-        if now < max(server.due, server.lines_paused_until):
+        if now < max(server.next_send_at, server.lines_paused_until):
             return False
         cold = self._cold_tokens_left(server, now, server.entry.place == call.first_choice)
         image = server.image if server.image is not None and now < server.image.expires else None
@@ -602,7 +602,7 @@
         if image is not None:
             image.tokens -= 1.0
         lag = server.remembered_lag(now)
-        server.due = now + lag / max(1.0, usual) if lag > SLOW_LAG else 0.0
+        server.next_send_at = now + lag / max(1.0, usual) if lag > SLOW_LAG else 0.0
         return True
 
     # ---- pressure reports and gap images ----------------------------------------------------------------
@@ -623,7 +623,7 @@
         """Refresh the server's image from a requested share, a wait (ms) or both: the higher share counts."""
         share = min(MAX_HOLD_BACK, hold_back or 0.0)  # a noisy share may exceed 1
         if wait is not None:
-            if wait < UNANSWERED_SHARE * self.tolerable:
+            if wait < UNANSWERED_SHARE * self.tolerable_wait:
                 server.trial_turn = 0.0  # it answers others: no need to wait for this proxy's turn
             if wait >= server.remembered_wait(now):
                 server.wait, server.wait_at = wait, now
@@ -650,7 +650,7 @@
     def _hold_back_for(self, wait: float) -> float:
         share = 0.0
         for bound, held_back in HOLD_BACK_LEVELS:
-            if wait >= bound * self.tolerable:
+            if wait >= bound * self.tolerable_wait:
                 share = held_back
         return share
 
@@ -793,8 +793,8 @@
             case Admission():
                 self.admission = event
             case RepeatBudget(tokens, life):
-                left = self._retry_tokens_left(now) if self.repeats_until < math.inf else 0.0
-                self.repeats, self.repeats_until = left + tokens, now + life
+                left = self._retry_tokens_left(now) if self.retry_tokens_expire_at < math.inf else 0.0
+                self.retry_tokens, self.retry_tokens_expire_at = left + tokens, now + life
 
     def _on_peer_message(self, now: float, event: PeerMessage) -> None:
         """Apply a peer's tenant rates and server waits; ignore a message of another format."""
--- a/martentide/versions.py
+++ b/martentide/versions.py
@@ -11,7 +11,7 @@
 import click
 
 BAD_FILE, CANNOT_ASK, REFUSED = 2, 1, 3  # exit codes
-OPERATOR = click.option(
+OPERATOR_OPTION = click.option(
     "--operator", metavar="HOST:PORT", envvar="PROXY_OPERATOR", required=True,
     help="where the proxy's operator's calls come in; default: $PROXY_OPERATOR",
 )  # fmt: skip
@@ -70,7 +70,7 @@
 
 @click.command("propose", help="Propose the rules in FILE as the next version, wait until it is in force.")
 @click.argument("file")
-@OPERATOR
+@OPERATOR_OPTION
 @click.option("--base", default=-1, help="the version that it builds on; default: whatever is in force")
 @BY_OPTION
 @click.option("--why", default="", help="what for")
@@ -90,7 +90,7 @@
 
 
 @click.command("versions", help="The version in force, one being brought into force, and the last ones.")
-@OPERATOR
+@OPERATOR_OPTION
 @JSON_OPTION
 def versions(operator: str, as_json: bool) -> None:
     """Print the versions."""
@@ -101,7 +101,7 @@
 
 
 @click.command("status", help="By what each member acts, since when, and which list of servers it has.")
-@OPERATOR
+@OPERATOR_OPTION
 @JSON_OPTION
 def status(operator: str, as_json: bool) -> None:
     """Print what each member acts on."""
@@ -113,7 +113,7 @@
 
 @click.command("rules", help="The rules of version NUMBER as a file that can be proposed; default: in force.")
 @click.argument("number", type=int, required=False)
-@OPERATOR
+@OPERATOR_OPTION
 def rules(number: int | None, operator: str) -> None:
     """Print the rules of a version as JSON."""
     current = json.loads(query_status(operator))
@@ -125,7 +125,7 @@
 @click.command("diff", help="What differs between versions ONE and OTHER: 0 nothing, 1 something.")
 @click.argument("one", type=int)
 @click.argument("other", type=int)
-@OPERATOR
+@OPERATOR_OPTION
 def diff(one: int, other: int, operator: str) -> None:
     """Print the differences between two versions and why they contradict each other."""
     from martentide.net.fleet.show import differences
@@ -138,7 +138,7 @@
 
 @click.command("rollback", help="Propose the rules of version NUMBER again, as a new version.")
 @click.argument("number", type=int)
-@OPERATOR
+@OPERATOR_OPTION
 @BY_OPTION
 @PATIENCE_OPTION
 def rollback(number: int, operator: str, by: str, patience: float) -> None:
@@ -159,7 +159,7 @@
 @click.command("replace-voter", help="Have member NEW vote in the place of voter OLD, which lost its books.")
 @click.argument("old")
 @click.argument("new")
-@OPERATOR
+@OPERATOR_OPTION
 @PATIENCE_OPTION
 def replace_voter(old: str, new: str, operator: str, patience: float) -> None:
     """Replace a voter that lost its state by another member."""
--- a/martentide_lab/control/simulated.py
+++ b/martentide_lab/control/simulated.py
@@ -33,13 +33,13 @@
     SendToProxy,
 )
 from martentide.control.terms import IP_UDP_HEADER_BYTES, ControlTerms
-from martentide.fleet.events import Action, Carried, Carry, Changed
-from martentide.fleet.wire import CHECK, HEAD, State
+from martentide.fleet.events import Action, Changed, PayloadReceived, SendPayload
+from martentide.fleet.wire import CHECK_BYTES, HEADER_BYTES, State
 from martentide_lab.control.layout import Layout
 from martentide_lab.fleet.faults import Link
 from martentide_lab.fleet.simulated import SimulatedFleet
 
-FRAMING = IP_UDP_HEADER_BYTES + HEAD + CHECK
+FRAMING = IP_UDP_HEADER_BYTES + HEADER_BYTES + CHECK_BYTES
 WINDOW = 1_000.0  # ms over which a proxy's bytes are bounded
 
 
@@ -231,7 +231,7 @@
                 case SendToProxy(address, message):
                     self._to_proxy(name, str(address), message)
                 case SendToPeer(to, between):
-                    self.fleet.feed(name, Carry(to, encode_control(between)))
+                    self.fleet.feed(name, SendPayload(to, encode_control(between)))
 
     def _to_proxy(self, name: str, address: str, message: ToProxy) -> None:
         proxy = self.proxies[address]
@@ -252,7 +252,7 @@
     def _observe(self, name: str, action: Action) -> None:
         """What the nodes' own membership says."""
         match action:
-            case Carried(_, body):
+            case PayloadReceived(_, body):
                 message = decode_control(body)
                 assert isinstance(message, BetweenNodes)
                 self._feed_node(name, FromPeer(message))
--- a/martentide_lab/fleet/ghost.py
+++ b/martentide_lab/fleet/ghost.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from martentide.fleet.core import Membership
-from martentide.fleet.events import Due, Event, Heard, Publish, Send
+from martentide.fleet.events import DatagramReceived, Due, Event, Publish, Send
 from martentide.fleet.terms import Terms
 from martentide.fleet.wire import Datagram, DatagramError, Frame
 from martentide_lab.fleet.hub import Hub
@@ -44,7 +44,7 @@
 
     def datagram_received(self, data: bytes, address: tuple[str | object, int]) -> None:
         try:
-            self._feed(Heard(self.frame.read(data)))
+            self._feed(DatagramReceived(self.frame.read(data)))
         except DatagramError:
             return
 
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -14,10 +14,10 @@
 from martentide.fleet.events import (
     Action,
     Changed,
+    DatagramReceived,
     Depart,
     Displaced,
     Due,
-    Heard,
     Learned,
     Publish,
     Send,
@@ -115,7 +115,9 @@
             assert node.core is not None
             teller = words[0] if words[0].name != name else words[1]
             rest = [word for word in words if word.name != name]
-            self.feed(name, Heard(Datagram(Kind.MISSING, teller, node.core.me.life, 0, members=rest)))
+            self.feed(
+                name, DatagramReceived(Datagram(Kind.MISSING, teller, node.core.me.life, 0, members=rest))
+            )
 
     # ---- processes --------------------------------------------------------------------------------------
 
@@ -212,7 +214,7 @@
 
     def _schedule(self, node: Node) -> None:
         core = node.core
-        if core is None or core.silent:
+        if core is None or core.displaced:
             return
         due = max(self.now, node.true(core.due)) + 0.01  # rounding must not bring it before its time
         if node.due <= self.now or due < node.due:
@@ -270,14 +272,14 @@
                 node.waiting.append(data)
             return
         if isinstance(data, Datagram):
-            self.feed(name, Heard(data))
+            self.feed(name, DatagramReceived(data))
             return
         try:
             said = self.frame.read(data)
         except DatagramError as error:
             node.counts[error.why.value] += 1
             return
-        self.feed(name, Heard(said))
+        self.feed(name, DatagramReceived(said))
 
     def _log(self, kind: str, who: str, about: str, **fields: object) -> None:
         self.log.append(Event(self.now, kind, who, about, fields))
--- a/martentide_lab/servers.py
+++ b/martentide_lab/servers.py
@@ -161,7 +161,7 @@
             if known is not None:
                 known.over = unix_ms()
             self.standing.pop(message.call, None)
-            writer.write(write_message(Type.RELEASE_HEARD, message.call))
+            writer.write(write_message(Type.RELEASE_ACK, message.call))
         elif message.type == Type.TEST:
             if message.cause() == 1:  # the others look after links and calls that stand
                 self.tests.append(unix_ms())
--- a/martentide_lab/sim.py
+++ b/martentide_lab/sim.py
@@ -153,7 +153,7 @@
                     node.core.me.life,
                     worths,
                     self.settings.max_hold_off,
-                    self.controllers[at].tolerable,
+                    self.controllers[at].tolerable_wait,
                     self.seed + at,
                 )
                 for at, node in enumerate(fleet.nodes.values())
@@ -186,13 +186,13 @@
         assert self.fleet is not None
         node, part, controller = self.fleet.nodes[f"n{at}"], self.overloads[at], self.controllers[at]
         assert node.core is not None
-        purse = controller.repeats if self.now < controller.repeats_until < math.inf else 0.0
-        outcome, bad = overload.look(node.core, part, now, controller.servers, purse)
+        purse = controller.retry_tokens if self.now < controller.retry_tokens_expire_at < math.inf else 0.0
+        outcome, bad = overload.poll(node.core, part, now, controller.servers, purse)
         assert not bad, "a word that could not be read"
         for event in outcome.events:
             self.feed(at, event)
-        if outcome.word is not None:
-            self.fleet.publish(node.name, overload.LOAD, outcome.word, overload.END)
+        if outcome.message is not None:
+            self.fleet.publish(node.name, overload.LOAD_KIND, outcome.message, overload.LOAD_EXPIRY)
 
     # ---- proxies ------------------------------------------------------------------------------------------
 
--- a/tests/agreement/test_overlay.py
+++ b/tests/agreement/test_overlay.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from martentide.agreement.overlay import InForce, check
+from martentide.agreement.overlay import AgreedRules, check
 from martentide.agreement.ruleset import RuleSet, meet, rules_from
 from martentide.interface import Repeat, ServerEntry, ServerState, Settings, Tenant
 from martentide.settings import settings_from
@@ -23,11 +23,11 @@
 
 
 def under(**more: Any) -> Settings:
-    return InForce(rules(**more)).settings(OWN)
+    return AgreedRules(rules(**more)).restrict_settings(OWN)
 
 
 def test_a_version_that_allows_more_changes_nothing() -> None:
-    assert under() == OWN == InForce().settings(OWN)
+    assert under() == OWN == AgreedRules().restrict_settings(OWN)
 
 
 @pytest.mark.parametrize(
@@ -53,12 +53,12 @@
 def test_a_class_that_only_one_version_names_is_not_used_in_the_joint_phase() -> None:
     lacking = rules()
     del lacking.classes[CLASSES[0][0]]
-    both = InForce(meet(rules(), lacking)).settings(OWN)
+    both = AgreedRules(meet(rules(), lacking)).restrict_settings(OWN)
     assert [c.pools == () for c in both.classes] == [True, False, False]
 
 
 def test_safe_rules() -> None:
-    safe = InForce(safe=True).settings(OWN)
+    safe = AgreedRules(safe=True).restrict_settings(OWN)
     assert (safe.max_attempts, safe.cold_share, safe.tenants[0].allowance) == (1, 0.0, 10.0)
     assert {c.repeat for c in safe.classes} == {Repeat.ONCE_ONLY}
     assert [c.deadline for c in safe.classes] == [c.deadline for c in OWN.classes]
@@ -82,7 +82,7 @@
     one = rules(servers={"s-1@7": version})
     entries = [ServerEntry("s-1", 0, "z", state, 7.0, 1.0), ServerEntry("s-1x", 0, "z", state, 7.0, 1.0)]
     told = {"s-1", "s-1x"} if answered else set()
-    found = InForce(None if safe else one, safe, one).entries(entries, told)
+    found = AgreedRules(None if safe else one, safe, one).restrict_entries(entries, told)
     assert found[0].state is expected
 
 
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -22,7 +22,7 @@
 from martentide_lab.fleet.story import Step
 from martentide_lab.proxy import CLASSES
 from martentide_lab.servers import DRAINING, READY, Arrival, SessionServer
-from tests.fleet.support import LIMIT, play
+from tests.fleet.support import WAIT_LIMIT_S, play
 
 BOUND = 2_000.0  # ms
 PROXIES, SERVERS = 5, 2
@@ -48,12 +48,12 @@
 async def propose_rules(rig: Rig, name: str, wanted: dict[str, Any], base: int = -1) -> dict[str, Any]:
     """Propose rules at a member; returns the verdict."""
     body = {"rules": wanted, "base": base, "by": "a test", "why": "a case"}
-    return await asyncio.to_thread(propose, rig.proxies[name].operator, body, LIMIT)
+    return await asyncio.to_thread(propose, rig.proxies[name].operator, body, WAIT_LIMIT_S)
 
 
 async def wait_until_acting(rig: Rig, version: int, *names: str) -> None:
     """Wait until all of them act on that version."""
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(WAIT_LIMIT_S):
         while True:
             found = []
             with contextlib.suppress(QueryError):  # a process that has just started is no member yet
@@ -70,7 +70,7 @@
     on contradicting versions."""
 
     async def whole(rig: Rig) -> None:
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while (await query_versions(rig, "n0"))["acts"] != "own settings":
                 await asyncio.sleep(0.1)
         assert (await propose_rules(rig, "n4", rules()))["done"]
@@ -143,7 +143,7 @@
         names = ",".join(rig.script.names())
         await run_step(rig, "kill", names)
         await run_step(rig, "start", names)
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
         await wait_until_acting(rig, 1)
         assert not (await propose_rules(rig, "n4", rules(attempts=2), base=0))["done"]  # stale
         assert (await propose_rules(rig, "n4", rules(attempts=2), base=1))["done"]
@@ -377,7 +377,7 @@
 ) -> None:
     async def scene(rig: Rig) -> None:
         named = ("n0", "n1", "n2")
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while (await query_versions(rig, "n0"))["acts"] != "own settings":
                 await asyncio.sleep(0.1)
         assert (await propose_rules(rig, "n1", rules(gone=(rig.servers[0].name,))))["done"]
@@ -385,7 +385,7 @@
         names = ",".join(rig.script.names())
         await run_step(rig, "kill", names)
         await run_step(rig, "start", names)
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
         await wait_until_acting(rig, 1, *named)
         with pytest.raises(QueryError, match="no agreement is set"):
             await query_versions(rig, "n4")
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -13,7 +13,7 @@
 from martentide.agreement.messages import BeginJointPhase, EndJointPhase, LeaseGrant, LeaseRequest
 from martentide.agreement.raft import initial_state
 from martentide.agreement.store import decode_voter_state, encode_voter_state, recover
-from martentide.learned.recovery import Found
+from martentide.learned.recovery import StateFile
 from martentide_lab.fleet.agreeing import AgreeingFleet, play_random, rule_set
 from martentide_lab.fleet.faults import Link
 from martentide_lab.fleet.story import Step
@@ -243,12 +243,15 @@
     data = encode_voter_state(kept)
     assert decode_voter_state(data) == kept
     spoilt = data[:-1] + bytes((data[-1] ^ 1,))
-    none = Found("state", None)
-    assert recover([Found("state", data), Found("state.old", None)], "n0") == (kept, "")
-    assert recover([none, Found("state.old", data)], "n0") == (kept, "")  # killed between the two renames
-    assert recover([Found("state", spoilt), Found("state.old", data)], "n0")[0] is None
-    assert "expected the state of n1" in recover([Found("state", data), Found("state.old", None)], "n1")[1]
-    assert recover([none, Found("state.old", None)], "n0") == (None, "")
+    none = StateFile("state", None)
+    assert recover([StateFile("state", data), StateFile("state.old", None)], "n0") == (kept, "")
+    assert recover([none, StateFile("state.old", data)], "n0") == (kept, "")  # killed between the two renames
+    assert recover([StateFile("state", spoilt), StateFile("state.old", data)], "n0")[0] is None
+    assert (
+        "expected the state of n1"
+        in recover([StateFile("state", data), StateFile("state.old", None)], "n1")[1]
+    )
+    assert recover([none, StateFile("state.old", None)], "n0") == (None, "")
 
 
 def test_a_proposal_that_is_too_long_is_rejected_at_once() -> None:
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -9,7 +9,7 @@
 from martentide_lab.fleet.rig import Rig
 from martentide_lab.fleet.story import Script
 
-LIMIT = 30.0  # s; for any wait, also on one slow core
+WAIT_LIMIT_S = 30.0  # s; for any wait, also on one slow core
 
 
 def play(scene: Callable[[Rig], Awaitable[None]], proxies: int = 4, servers: int = 1, **more: Any) -> None:
@@ -22,7 +22,7 @@
     async def run() -> None:
         async with Rig(script, **more) as rig:
             try:
-                await rig.until(rig.whole, LIMIT)
+                await rig.until(rig.whole, WAIT_LIMIT_S)
                 await scene(rig)
                 violations = rig.broken()
                 assert not violations, "\n".join(violations)
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from martentide.fleet.core import Membership
-from martentide.fleet.events import Changed, Due, Heard, Learned, Publish, Send
+from martentide.fleet.events import Changed, DatagramReceived, Due, Learned, Publish, Send
 from martentide.fleet.terms import Terms
 from martentide.fleet.wire import Datagram, Kind, MemberRecord, State, StateEntry
 from martentide_lab.fleet.invariants import Checker
@@ -33,7 +33,7 @@
     core: Membership, now: float, *records: MemberRecord, sender: MemberRecord | None = None, **more: object
 ) -> list:  # type: ignore[type-arg]
     datagram = Datagram(Kind.GOSSIP, sender or record(), 11, 0, members=list(records), **more)  # type: ignore[arg-type]
-    return core.handle(now, Heard(datagram))
+    return core.handle(now, DatagramReceived(datagram))
 
 
 @pytest.mark.parametrize(
@@ -115,7 +115,7 @@
     datagram = Datagram(Kind.GOSSIP, record(), 11, 0, echo, echo_delay, entries=[entry])
     while core.due < now:  # so that the elapsed time isn't taken for a stall
         core.handle(core.due, Due())
-    return [action for action in core.handle(now, Heard(datagram)) if isinstance(action, Learned)]
+    return [action for action in core.handle(now, DatagramReceived(datagram)) if isinstance(action, Learned)]
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
@@ -158,11 +158,11 @@
     terms = fleet.terms
     for node in fleet.nodes.values():
         assert node.counts["largest"] <= 1_400 and not node.counts["malformed"]
-        assert node.sent <= 8.0 * (terms.bytes_s + 2.0 * 5 * 400) + terms.burst_bytes
+        assert node.sent <= 8.0 * (terms.bytes_per_s + 2.0 * 5 * 400) + terms.burst_bytes
 
 
 def test_tables_are_bounded() -> None:
-    core = Membership("a", "z", ADDRESS, (), Terms(most_members=10, max_former_addresses=5), 1, 0.0)
+    core = Membership("a", "z", ADDRESS, (), Terms(max_members=10, max_former_addresses=5), 1, 0.0)
     for index in range(50):
         receive(core, 1.0, sender=record(f"m{index}", life=100 + index, port=8_000 + index))
     assert len(core.members) == 10 and core.counts["no-room"] == 40
@@ -171,7 +171,7 @@
             Kind.GOSSIP, record("m0", life=100, port=8_000), core.me.life, 0, 0, 0,
             entries=[StateEntry("m0", 1, 100, kind, 1, 1, 0, 9_000, b"x")],
         )  # fmt: skip
-        core.handle(1.0, Heard(datagram))
+        core.handle(1.0, DatagramReceived(datagram))
     assert len(core.members["m0"].entries) == core.terms.max_entries
     with pytest.raises(ValueError, match="state entry 9"):
         core.handle(1.0, Publish(9, 1, 1_000, bytes(481)))
@@ -249,7 +249,7 @@
 
         def resurrect_all() -> None:
             for core, resurrected in PENDING:
-                fleet.feed(core.me.name, Heard(Datagram(Kind.GOSSIP, resurrected, 0, 0)))
+                fleet.feed(core.me.name, DatagramReceived(Datagram(Kind.GOSSIP, resurrected, 0, 0)))
 
         fleet.later(20_000.0, resurrect_all)
         log = fleet.play(steps, end)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -14,7 +14,7 @@
 from martentide_lab.fleet.ghost import Ghost
 from martentide_lab.fleet.rig import Rig
 from martentide_lab.fleet.story import Step
-from tests.fleet.support import LIMIT, play
+from tests.fleet.support import WAIT_LIMIT_S, play
 
 
 async def do(rig: Rig, verb: str, *arguments: object) -> None:
@@ -31,7 +31,7 @@
             statuses
         )
 
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(WAIT_LIMIT_S):
         while not await agreed():
             await asyncio.sleep(0.1)
 
@@ -39,11 +39,11 @@
 def test_killed_restarted_and_terminated() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "kill", "n3")
-        await rig.until(lambda: rig.known_dead("n3"), LIMIT)
+        await rig.until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
         await do(rig, "start", "n3")
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
         await do(rig, "term", "n2")
-        await rig.until(lambda: rig.known_dead("n2"), LIMIT)
+        await rig.until(lambda: rig.known_dead("n2"), WAIT_LIMIT_S)
         changes = [event for event in rig.log if event.kind == "member" and event.about == "n2"]
         assert any(event.fields["state"] == State.LEFT for event in changes)
 
@@ -58,7 +58,7 @@
         if duration > 10.0:
             assert rig.known_dead("n1", by=["n0", "n2", "n3"])
         await do(rig, "continue", "n1")
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
         await asyncio.sleep(1.0)  # the stopped member must not mark others dead for its own stall
         changes = [event for event in rig.log if event.kind == "member" and event.who == "n1"]
         assert not [event for event in changes if event.fields["state"] == State.DEAD]
@@ -75,11 +75,11 @@
         await do(rig, "split", one_side, other_side)
         await rig.until(
             lambda: rig.known_dead(*one_names, by=other_names) and rig.known_dead(*other_names, by=one_names),
-            LIMIT,
+            WAIT_LIMIT_S,
         )
         assert rig.whole(one_names) and rig.whole(other_names)
         await do(rig, "heal")
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
 
     play(scene, proxies=6)
 
@@ -99,7 +99,7 @@
         await asyncio.sleep(5.0)
         assert not [e for e in rig.log if e.kind == "member" and e.fields["state"] == State.DEAD]
         await do(rig, "kill", "n5")
-        await rig.until(lambda: rig.known_dead("n5"), LIMIT)
+        await rig.until(lambda: rig.known_dead("n5"), WAIT_LIMIT_S)
 
     play(scene, proxies=6, base=Link(loss=0.2, jitter=20.0))
 
@@ -111,7 +111,7 @@
         await do(rig, "feed", "n2")
         deaths = [e for e in rig.log if e.kind == "member" and e.fields["state"] == State.DEAD]
         assert not [e for e in deaths if e.about != "n2"]
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
 
     play(scene)
 
@@ -119,14 +119,14 @@
 def test_start_while_the_only_seed_is_dead() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "kill", "n0,n3")
-        await rig.until(lambda: rig.known_dead("n0", "n3"), LIMIT)
+        await rig.until(lambda: rig.known_dead("n0", "n3"), WAIT_LIMIT_S)
         await do(rig, "start", "n3")  # known to the others: they ping its former address
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
         await rig.start("x1")  # unknown to all: it runs without peers
         await asyncio.sleep(1.5)
         assert rig.held["x1"] == {} and rig.whole(["n1", "n2", "n3"])
         await do(rig, "start", "n0")
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
 
     play(scene, seeds=1)
 
@@ -136,7 +136,7 @@
         names = ",".join(rig.proxies)
         await do(rig, "kill", names)
         await do(rig, "start", names)
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
 
     play(scene, proxies=6)
 
@@ -145,7 +145,7 @@
     async def scene(rig: Rig) -> None:
         dead = [f"n{at}" for at in range(3, 10)]
         await do(rig, "kill", ",".join(dead))
-        await rig.until(lambda: rig.known_dead(*dead), LIMIT)
+        await rig.until(lambda: rig.known_dead(*dead), WAIT_LIMIT_S)
         assert rig.whole()
 
     play(scene, proxies=10)
@@ -167,8 +167,8 @@
             states = [(one["life"], one["state"]) for who, one in last_changes.items() if who in rig.proxies]
             return states == [(last, State.ALIVE)] * 3
 
-        await rig.until(known, LIMIT)
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(known, WAIT_LIMIT_S)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
 
     play(scene)
 
@@ -176,12 +176,12 @@
 def test_of_two_processes_of_one_name_the_newer_keeps_it() -> None:
     async def scene(rig: Rig) -> None:
         await rig.start("x1", bears="n1")
-        await rig.until(lambda: any(e.kind == "displaced" for e in rig.log), LIMIT)
+        await rig.until(lambda: any(e.kind == "displaced" for e in rig.log), WAIT_LIMIT_S)
         [displaced] = {e.who for e in rig.log if e.kind == "displaced"}
         assert displaced == "n1"
         assert (await rig.status("n1"))["state"] == "displaced"
         alive: set[str] = set()
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while alive != {"n0", "n2", "n3"}:  # its first sync may not be complete
                 status = await rig.status("x1")
                 alive = {one["name"] for one in status["members"] if one["state"] == "alive"}
@@ -195,11 +195,11 @@
     async def scene(rig: Rig) -> None:
         await do(rig, "kill", "n3")
         await rig.start("n3", bears="n9")
-        await rig.until(lambda: rig.known_dead("n3"), LIMIT)
+        await rig.until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
         assert all(rig.held[name]["n9"] == State.ALIVE for name in ("n0", "n1", "n2"))
         await do(rig, "kill", "n2")
         await rig.start("n2", fleet="other")
-        await rig.until(lambda: rig.known_dead("n2", by=["n0", "n1"]), LIMIT)
+        await rig.until(lambda: rig.known_dead("n2", by=["n0", "n1"]), WAIT_LIMIT_S)
         assert rig.held["n2"] == {}
         counts = [(await rig.status(name))["counts"] for name in ("n0", "n1", "n2")]
         assert sum(one.get("other-fleet", 0) for one in counts) > 0
@@ -210,7 +210,7 @@
 def test_an_upgrade_keeps_the_name_alive() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "upgrade", "n1")
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
         await asyncio.sleep(3.0)
         changes = [e for e in rig.log if e.kind == "member" and e.about == "n1" and e.who != "n1"]
         assert not [e for e in changes if e.fields["state"] >= State.DEAD]
@@ -224,11 +224,11 @@
     async def scene(rig: Rig) -> None:
         await do(rig, "stop", "n3")
         rig.set_clock("n1", -3600.0)
-        await rig.until(lambda: rig.known_dead("n3"), LIMIT)
+        await rig.until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
         rig.set_clock("n1", 7200.0)
         await do(rig, "pace", "n2", 9.0)  # a wall clock that runs ten times as fast
         await do(rig, "continue", "n3")
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
         ages = [
             facet["age"] for name in rig.proxies for one in (await rig.status(name))["members"]
             for facet in one["facets"]
@@ -263,12 +263,12 @@
                 facets = [f for s in statuses for m in s["members"] if m["name"] == "n7" for f in m["facets"]]
                 return len([f for f in facets if (f["kind"], f["schema"]) == (77, 9)]) == len(statuses)
 
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 while not await gossiped():
                     await asyncio.sleep(0.1)
         finally:
             ghost.close()
-        await rig.until(lambda: rig.known_dead("n7"), LIMIT)
+        await rig.until(lambda: rig.known_dead("n7"), WAIT_LIMIT_S)
 
     play(scene, load=False)
 
@@ -279,7 +279,7 @@
         begin = rig.now()
         await do(rig, "kill", "n3")
         while not rig.known_dead("n3"):
-            assert rig.now() - begin < LIMIT * 1000.0
+            assert rig.now() - begin < WAIT_LIMIT_S * 1000.0
             for name in rig.proxies:
                 for _ in range(20):
                     noise = rng.randbytes(rng.choice([0, 1, 15, 200, 1_400, 9_000]))
@@ -302,7 +302,7 @@
         async def checks(count: int) -> None:
             """Wait for that many more health checks."""
             before = len(hung.tests)
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 while len(hung.tests) < before + count:
                     await asyncio.sleep(0.05)
 
@@ -311,7 +311,7 @@
 
         async def assignees(names: list[str]) -> list[str]:
             """Wait until at most two members don't leave the checks to others; return them."""
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 while True:
                     checking = [name for name in names if hung.name not in await left_to(name)]
                     if len(checking) <= 2:
@@ -323,7 +323,7 @@
         first = await assignees(list(rig.proxies))
         await checks(4)
         await do(rig, "kill", ",".join(first))
-        await rig.until(lambda: rig.known_dead(*first), LIMIT)
+        await rig.until(lambda: rig.known_dead(*first), WAIT_LIMIT_S)
         await checks(4)
         second = await assignees(list(rig.proxies))
         assert second and not set(first) & set(second)
@@ -331,15 +331,15 @@
         await do(rig, "split", ",".join(one_side), ",".join(other_side))
         await rig.until(
             lambda: rig.known_dead(*one_side, by=other_side) and rig.known_dead(*other_side, by=one_side),
-            LIMIT,
+            WAIT_LIMIT_S,
         )
         for side in (one_side, other_side):
             assert [name for name in side if hung.name not in await left_to(name)]
         await do(rig, "heal")
         await do(rig, "server", "s0", "well")
-        await rig.until(rig.whole, LIMIT)
+        await rig.until(rig.whole, WAIT_LIMIT_S)
         before = len(hung.arrivals)
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while len(hung.arrivals) < before + 20:  # it is sent calls again
                 await asyncio.sleep(0.1)
 
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -19,9 +19,9 @@
 from martentide.learned.ageing import ClockStatus, age_state, aged_image, classify_clock, least_lag, weight
 from martentide.learned.codec import Fault, StateError, fingerprint, read_state, write_state
 from martentide.learned.files import NEW, OLD, STATE, STEPS, load, save
-from martentide.learned.pacing import Pace, Pacing
-from martentide.learned.recovery import Found, StartOutcome, decide, diff
-from martentide.learned.restore import Hints, Restored, restore
+from martentide.learned.pacing import Pace, SaveScheduler
+from martentide.learned.recovery import StartOutcome, StateFile, choose_state, diff
+from martentide.learned.restore import Restored, RestoredHints, restore
 from martentide.learned.schema import CONTROLLER_FIELDS, SERVER_FIELDS, ImageState, Learned
 from martentide.learned.schema import ServerState as Saved
 from martentide.learned.snapshot import SERVERS_PER_SLICE, Snapshots, take
@@ -59,7 +59,7 @@
         "rng",
         "classes",
         "top_worth",
-        "tolerable",
+        "tolerable_wait",
         "trial_scale",
         "tick_interval",
         "offered_window",
@@ -215,11 +215,11 @@
         save(disk, saved(3), die)
     if step == "sync":
         disk.crash()  # the new file may have any contents
-    decision = decide(load(disk), PRINT, NOW)
+    decision = choose_state(load(disk), PRINT, NOW)
     assert decision.state is not None
     assert decision.state.learned.sequence == (3 if step == "sync-folder" else 2)
     save(disk, saved(4))
-    again = decide(load(disk), PRINT, NOW)
+    again = choose_state(load(disk), PRINT, NOW)
     assert again.start is StartOutcome.LAST_GOOD and again.sequence == 4
 
 
@@ -234,11 +234,11 @@
     disk.fail[step] = number
     with pytest.raises(OSError):
         save(disk, saved(3))
-    decision = decide(load(disk), PRINT, NOW)
+    decision = choose_state(load(disk), PRINT, NOW)
     assert decision.state is not None and decision.state.learned.sequence in (2, 3)
     disk.fail.clear()
     save(disk, saved(4))
-    assert decide(load(disk), PRINT, NOW).start is StartOutcome.LAST_GOOD
+    assert choose_state(load(disk), PRINT, NOW).start is StartOutcome.LAST_GOOD
     assert NEW not in disk.live
 
 
@@ -260,7 +260,7 @@
 def test_startup_uses_the_last_valid_state_or_none(
     newest: bytes | None, before: bytes | None, start: StartOutcome, used: str, refused: int
 ) -> None:
-    decision = decide([Found(STATE, newest), Found(OLD, before)], PRINT, NOW)
+    decision = choose_state([StateFile(STATE, newest), StateFile(OLD, before)], PRINT, NOW)
     assert (decision.start, decision.used, len(decision.refused)) == (start, used, refused)
     assert (decision.state is None) == (start in (StartOutcome.NOTHING, StartOutcome.REFUSED))
 
@@ -311,7 +311,7 @@
 # ---- a Controller, before and after -----------------------------------------------------------------------
 
 
-def restarted(before: Bench, gap: float, **more: object) -> tuple[Bench, Restored, Hints]:
+def restarted(before: Bench, gap: float, **more: object) -> tuple[Bench, Restored, RestoredHints]:
     """Return a new Controller with the same list, restored ``gap`` ms after the save of ``before``."""
     state = read_state(write_state(take(before.controller, before.now), PRINT), PRINT)
     fresh = Bench(now=before.now + gap, seed=9, **more)  # type: ignore[arg-type]
@@ -392,7 +392,7 @@
     send = sends(fresh.offer(first=0))
     event = Stands(send[0].ref if send else 1, 0, "s0", 5.0)
     fresh.feed(event)
-    hints.heard(fresh.now, event, fresh.controller)
+    hints.observe_event(fresh.now, event, fresh.controller)
     assert fresh.controller.servers["s0"].image is None and hints.dropped == 1
     assert set(hints.servers) == {"s1"}, "no evidence on the other server yet"
 
@@ -428,25 +428,25 @@
 
 
 def test_saves_keep_their_gap_and_never_overlap() -> None:
-    pacing = Pacing(Pace())
+    pacing = SaveScheduler(Pace())
     assert pacing.may_begin(NOW)
     pacing.begin(NOW)
-    pacing.ask()
+    pacing.request_save()
     assert not pacing.may_begin(NOW + 10_000.0)
     pacing.done(NOW + 50.0, 1_000)
     assert not pacing.may_begin(NOW + 249.0) and pacing.may_begin(NOW + 250.0)
     pacing.begin(NOW + 250.0)
     pacing.done(NOW + 260.0, 8_000_000)
-    pacing.ask()
+    pacing.request_save()
     assert pacing.due(NOW + 260.0) == NOW + 2260.0, "a large state is saved less often"
 
 
 def test_failures_back_off_and_a_hung_disk_is_reported_once() -> None:
-    pacing, waits = Pacing(Pace()), []
+    pacing, waits = SaveScheduler(Pace()), []
     for _ in range(9):
         pacing.begin(NOW)
         waits.append(pacing.failed(NOW))
     assert waits == [1000.0, 2000.0, 4000.0, 8000.0, 16000.0, 32000.0, 60000.0, 60000.0, 60000.0]
     pacing.begin(NOW)
-    assert not pacing.hangs(NOW + 4_999.0)
-    assert pacing.hangs(NOW + 5_000.0) and not pacing.hangs(NOW + 9_000.0)
+    assert not pacing.check_hung(NOW + 4_999.0)
+    assert pacing.check_hung(NOW + 5_000.0) and not pacing.check_hung(NOW + 9_000.0)
--- a/tests/net/test_codec.py
+++ b/tests/net/test_codec.py
@@ -8,7 +8,7 @@
 from martentide.codec.discovery import frame_length, read_frame, read_known
 from martentide.codec.figures import read_figures, read_first_choice, read_report
 from martentide.codec.messages import (
-    MOST_BYTES,
+    MAX_MESSAGE_BYTES,
     Code,
     Message,
     Type,
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("length", "good"), [(8, False), (9, True), (MOST_BYTES - 2, True), (MOST_BYTES, False)]
+    ("length", "good"), [(8, False), (9, True), (MAX_MESSAGE_BYTES - 2, True), (MAX_MESSAGE_BYTES, False)]
 )
 def test_lengths_of_messages(length: int, good: bool) -> None:
     if good:
@@ -62,7 +62,7 @@
     assert body_length(data[:2]) == len(data) - 2
     assert read_message(data[2:]) == Message(1, CALL, {129: b"voice", 159: b"\0\xff"})
     with pytest.raises(CodecError):
-        write_message(1, CALL, {Code.DESCRIPTION: bytes(MOST_BYTES)})
+        write_message(1, CALL, {Code.DESCRIPTION: bytes(MAX_MESSAGE_BYTES)})
 
 
 @pytest.mark.parametrize(("hold_off", "text"), [(0.0, None), (250.0, "250"), (0.2, "1")])
--- a/tests/net/test_gone_clients.py
+++ b/tests/net/test_gone_clients.py
@@ -141,7 +141,7 @@
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.sock.sendall(caller.set_up_bytes(A) + write_release(A, 16))
-        assert caller.receive().type == Type.RELEASE_HEARD
+        assert caller.receive().type == Type.RELEASE_ACK
         assert_nothing_sent(program, server)
 
 
--- a/tests/net/test_rules_on_sockets.py
+++ b/tests/net/test_rules_on_sockets.py
@@ -46,7 +46,7 @@
         program.logged("role=caller .*reason=peer-closed")
         second = program.caller()
         second.release(A, 16)
-        assert second.receive().type == Type.RELEASE_HEARD
+        assert second.receive().type == Type.RELEASE_ACK
         assert server.receive().call == A
 
 
@@ -83,7 +83,7 @@
         caller.set_up(A)
         server.receive(Type.SET_UP)
         caller.release(A, 16)
-        assert caller.receive().type == Type.RELEASE_HEARD
+        assert caller.receive().type == Type.RELEASE_ACK
         assert (give_up := server.receive()).call == A and give_up.cause() == 16
         server.send(
             Type.ANSWER, A, {Code.DESCRIPTION: b"late"}
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -208,11 +208,11 @@
 def test_both_processes_share_one_limit_of_descriptors() -> None:
     async def scenario() -> None:
         callers = Callers(100, lambda item: None)
-        callers.beside(lambda left: None, 70)
+        callers.share_with_predecessor(lambda left: None, 70)
         assert callers.client_connections.max_connections == 30
-        callers.beside(lambda left: None, 99)
+        callers.share_with_predecessor(lambda left: None, 99)
         assert callers.client_connections.max_connections == MIN_CALLER_CONNECTIONS
-        callers.orphaned()
+        callers.predecessor_gone()
         assert callers.client_connections.max_connections == 100
 
     asyncio.run(scenario())
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -144,13 +144,13 @@
         await asyncio.get_running_loop().sock_connect(peer, self.server.sockets[0].getsockname())
         self.reader, self.writer = await asyncio.open_connection(sock=peer, limit=1)
         self.callers._calling_host("127.0.0.1").add_connection(*await accepted)
-        await self.wait_until(lambda: bool(self.client_connections.open))
+        await self.wait_until(lambda: bool(self.client_connections.open_set_ups))
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.writer.close()
         self.server.close()
-        for link in list(self.client_connections.open):
+        for link in list(self.client_connections.open_set_ups):
             link.close(CloseReason.SHUTDOWN)
         await self.wait_until(lambda: not self.callers.calling_hosts)
 
@@ -160,10 +160,12 @@
 
     @property
     def link(self) -> Link:
-        return next(iter(self.client_connections.open))
+        return next(iter(self.client_connections.open_set_ups))
 
     def move_out(self) -> None:
-        self.callers.yield_to(lambda frame, _: self.moved_frames.append(frame))  # type: ignore[arg-type]
+        self.callers.hand_over_accepting(
+            lambda frame, _: self.moved_frames.append(frame)  # type: ignore[arg-type]
+        )
         self.callers.move_out()
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
--- a/tests/overload/test_core.py
+++ b/tests/overload/test_core.py
@@ -28,7 +28,7 @@
 )
 from martentide.overload.level import PRESSURE_THRESHOLD, Phase
 from martentide.overload.messages import (
-    END,
+    LOAD_EXPIRY,
     MAX_SERVERS,
     Load,
     ServerPressure,
@@ -66,15 +66,15 @@
         self.now += after
         self.counter += 1
         received = [(name, LIVING[name], self.counter, load, 50.0) for name, load in (messages or {}).items()]
-        outcome = self.overload.look(self.now, SERVERS, received, LIVING, allotment)
+        outcome = self.overload.poll(self.now, SERVERS, received, LIVING, allotment)
         for event in outcome.events:
             match event:
                 case Admission():
                     self.admission = event
                 case RepeatBudget(tokens):
                     self.tokens += tokens
-        if outcome.word is not None:
-            self.messages.append(read_load(outcome.word))
+        if outcome.message is not None:
+            self.messages.append(read_load(outcome.message))
 
     def report_hold_back(self, hold: float) -> None:
         """Give the member a report of each server that asks for a share to be held back."""
@@ -203,8 +203,8 @@
         for at, name in enumerate(names):
             report = Report(None, 0.5, None)
             overload.observe(now, AttemptEnded(at, 0, name, Ending.DELIVERED, True, False, 5.0, report))
-        outcome = overload.look(now, names, [], LIVING, 0.0)
-        messages += [outcome.word] if outcome.word is not None else []
+        outcome = overload.poll(now, names, [], LIVING, 0.0)
+        messages += [outcome.message] if outcome.message is not None else []
     assert messages and all(len(message) <= 480 for message in messages)
     assert any(read_load(message).pressed for message in messages)
 
@@ -269,15 +269,15 @@
         received = [
             (owner, life, number, load, now - when)
             for when, owner, life, number, load in rng.sample(history, min(len(history), rng.randrange(4)))
-            if owner != overload.name and now - when < END
+            if owner != overload.name and now - when < LOAD_EXPIRY
         ]
-        outcome = overload.look(now, SERVERS, received, lives, float(rng.choice([0, 0, ALLOTMENT])))
+        outcome = overload.poll(now, SERVERS, received, lives, float(rng.choice([0, 0, ALLOTMENT])))
         granted += sum(event.tokens for event in outcome.events if isinstance(event, RepeatBudget))
-        if outcome.word is not None:
+        if outcome.message is not None:
             counter += 1
             history = [
                 *history[-20:],
-                (now, overload.name, lives[overload.name], counter, read_load(outcome.word)),
+                (now, overload.name, lives[overload.name], counter, read_load(outcome.message)),
             ]
         assert granted <= RETRY_RATIO * tries + 1e-9
     assert granted > 0
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -12,13 +12,13 @@
 from martentide.net.fleet.show import table
 from martentide.net.links import unix_ms
 from martentide.overload.core import ALLOTMENT, MAX_BALANCE, RETRY_RATIO
-from martentide.overload.messages import LOAD, Load, ServerPressure, write_load
+from martentide.overload.messages import LOAD_KIND, Load, ServerPressure, write_load
 from martentide_lab.checker import check_repeats, cold_use
 from martentide_lab.fleet.ghost import Ghost
 from martentide_lab.fleet.rig import Rig
 from martentide_lab.fleet.story import Step
 from martentide_lab.servers import READY, Arrival, SessionServer
-from tests.fleet.support import LIMIT, play
+from tests.fleet.support import WAIT_LIMIT_S, play
 
 SHARES = (0.74, 0.05, 0.21)  # of the traffic, by class
 RATE = 20.0  # set-ups/s of one server
@@ -47,8 +47,8 @@
         await do(rig, "surge", 1.7)
         await scene(rig)
         await do(rig, "surge", 0.7)
-        await rig.until(lambda: any(event.kind == "overload" for event in rig.log), LIMIT)
-        await rig.until(lambda: rig.calm() and rig.whole(), LIMIT)
+        await rig.until(lambda: any(event.kind == "overload" for event in rig.log), WAIT_LIMIT_S)
+        await rig.until(lambda: rig.calm() and rig.whole(), WAIT_LIMIT_S)
         if budget:
             tries = sum(len(load.stories) for _, load in rig.all_loads)
             lives = len(rig.all_loads)
@@ -137,7 +137,9 @@
         for turn in range(spans):
             pressed = [ServerPressure(server.name, hold, 0) for server in rig.servers]
             offered = {"status-check": 100 + turn}
-            ghost.publish(LOAD, 1, write_load(Load(lasting, 0, 0, 0, offered, pressed, tokens_wanted=99)))
+            ghost.publish(
+                LOAD_KIND, 1, write_load(Load(lasting, 0, 0, 0, offered, pressed, tokens_wanted=99))
+            )
             await asyncio.sleep(0.25)
             if turn >= 8 and turn % 4 == 0:
                 status = [(await rig.status(name))["overload"] for name in rig.proxies]
@@ -153,7 +155,7 @@
             load.rate /= 2.0
         admitted = await publish_false_claims(rig, hold=1_000, lasting=0, spans=24)
         assert admitted and min(admitted) >= 0.6, admitted
-        await rig.until(lambda: rig.known_dead("n9"), LIMIT)
+        await rig.until(lambda: rig.known_dead("n9"), WAIT_LIMIT_S)
 
     play(scene, PROXIES, SERVERS, rate=0.8 * RATE * SERVERS, extra=ON)
 
@@ -163,7 +165,7 @@
         await do(rig, "surge", 2.0)
         admitted = await publish_false_claims(rig, hold=0, lasting=1_000, spans=24)
         assert min(admitted) < 0.95, admitted
-        await rig.until(lambda: rig.known_dead("n9"), LIMIT)
+        await rig.until(lambda: rig.known_dead("n9"), WAIT_LIMIT_S)
 
     storm(scene)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -110,7 +110,7 @@
     controller = Bench().controller
     assert controller._hold_back_for(wait) <= controller._hold_back_for(wait + 50.0) < 1.0
     assert (controller._hold_back_for(wait) > 0) == (
-        wait >= rules.HOLD_BACK_LEVELS[0][0] * controller.tolerable
+        wait >= rules.HOLD_BACK_LEVELS[0][0] * controller.tolerable_wait
     )
 
 
@@ -291,7 +291,7 @@
 def test_nothing_is_added_while_a_set_up_stays_unanswered() -> None:
     bench = Bench(servers=1)
     assert sends(bench.offer())
-    bench.advance(rules.UNANSWERED_SHARE * bench.controller.tolerable + 60.0)
+    bench.advance(rules.UNANSWERED_SHARE * bench.controller.tolerable_wait + 60.0)
     assert sends(bench.offer())  # one more shows whether the first was lost
     assert not sends(bench.offer())
 
@@ -302,7 +302,7 @@
     bench.stand(send, delay=400.0)
     sent = sends(bench.advance(700.0) + bench.offer(name="urgent"))
     assert len(sent) == 1
-    bench.advance(rules.UNANSWERED_SHARE * bench.controller.tolerable + 60.0)
+    bench.advance(rules.UNANSWERED_SHARE * bench.controller.tolerable_wait + 60.0)
     assert not sends(bench.offer(name="urgent"))
 
 
@@ -597,7 +597,7 @@
     bench.end(send.ref, "s0", Ending.TIMED_OUT)
     server = bench.controller.servers["s0"]
     assert server.suspect
-    scale = bench.controller.tolerable / rules.TRIAL_REFERENCE_WAIT
+    scale = bench.controller.tolerable_wait / rules.TRIAL_REFERENCE_WAIT
     assert scale < 0.5
     assert server.trial_due - bench.now <= (rules.TRIAL_GAP + rules.TRIAL_SPREAD) * scale
 
