--- a/martentide/failover/evidence.py
+++ b/martentide/failover/evidence.py
@@ -66,7 +66,7 @@
     """Thresholds as shares from 0 to 1, delays in ms."""
 
     silent_threshold: float = 0.7  # of a zone's servers or members; from here on it is suspect
-    recovered_threshold: float = 0.4  # of a zone's servers; below it has recovered
+    recovered_threshold: float = 0.4  # of a zone's servers; below this share the zone has recovered
     lost_after: float = 1_500.0
     back_after: float = 3_000.0  # doubles with each flap
 
--- a/martentide/overload/core.py
+++ b/martentide/overload/core.py
@@ -192,9 +192,8 @@
                 least, seen = self.shortest_answers.get(server, (delay, 0))
                 self.shortest_answers[server] = (min(delay, least), seen + 1)
                 wait = max(0.0, delay - self._unloaded_lag(server) * (1.0 + NETWORK_JITTER))
-                self._record_claim(
-                    server, self._hold_back_for(wait), now - wait
-                )  # the claim is dated to the start of the wait
+                # A finished wait is evidence from the time at which it began.
+                self._record_claim(server, self._hold_back_for(wait), now - wait)
             case AttemptEnded(server=server, ending=Ending.TIMED_OUT, lag=lag):
                 self._record_claim(server, self._hold_back_for(lag), now - lag)
             case AttemptEnded(server=server, ending=ending, lines_full=lines, report=report):
--- a/martentide/overload/level.py
+++ b/martentide/overload/level.py
@@ -25,7 +25,7 @@
 INTEGRAL_GAIN = 0.5  # exponent per second
 MAX_RECOVERY_RATE = 0.25  # of the whole load per second: upper limit on the rise of the baseline
 STORM_GAIN = 0.8  # exponent per second, additionally in a self-sustaining storm
-MIN_ADMITTED = 0.05  # some calls must be sent, since their answers carry reports
+MIN_ADMITTED = 0.05  # share; some calls must be sent, since their answers carry reports
 LATE_REDIAL_HOLD = 4_000.0  # ms after the last pressure in which late redials are refused
 SMOOTHING_TIME = 250.0  # ms over which pressure is smoothed, because single reports are noisy
 MERGE_WEIGHT = 0.3  # of the distance to a received baseline
@@ -76,9 +76,8 @@
 
     def update(self, now: float, pressure: float, storm: bool) -> None:
         """Update the share from ``pressure`` (0 to 1, by ``fleet_pressure``) and the presence of a storm."""
-        span = (
-            0.0 if self.updated_at is None else min(500.0, now - self.updated_at)
-        )  # a suspended process gets no recovery for that time
+        # Limited, so that a process gets no recovery for the time it was suspended.
+        span = 0.0 if self.updated_at is None else min(500.0, now - self.updated_at)
         self.updated_at = now
         self.pressure += (pressure - self.pressure) * (1.0 - math.exp(-span / SMOOTHING_TIME))
         if self.pressure > PRESSURE_THRESHOLD:
