--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -198,7 +198,7 @@
         self.recent: dict[tuple[int, int], float] = {}
         self.assignment = TestDuty(frozenset(), frozenset())  # without a fleet: this proxy checks all
         self.admission: Admission | None = None
-        self.repeats, self.repeats_until = math.inf, math.inf  # retry tokens and expiry; at first unlimited
+        self.repeats, self.repeats_until = math.inf, math.inf  # no limit without a budget
         self.throughput = 0.0
         self.has_warm_server = True  # at the last measurement of throughput
         self.started: float | None = None
@@ -323,7 +323,7 @@
         )
 
     def _retry_tokens_left(self, now: float) -> float:
-        return self.repeats if now < self.repeats_until else 0.0  # infinite without a budget
+        return self.repeats if now < self.repeats_until else 0.0
 
     def _reserve(self, kind: CallClass) -> float:
         return min(HOLD_RESERVE, HOLD_RESERVE_SHARE * kind.aim)
