--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -198,7 +198,7 @@
         self.recent: dict[tuple[int, int], float] = {}
         self.assignment = TestDuty(frozenset(), frozenset())  # without a fleet: this proxy checks all
         self.admission: Admission | None = None
-        self.retry_tokens, self.retry_tokens_expire_at = math.inf, math.inf  # at first unlimited
+        self.retry_tokens, self.retry_tokens_expire_at = math.inf, math.inf  # no limit without a budget
         self.throughput = 0.0
         self.has_warm_server = True  # at the last measurement of throughput
         self.started: float | None = None
@@ -323,7 +323,7 @@
         )
 
     def _retry_tokens_left(self, now: float) -> float:
-        return self.retry_tokens if now < self.retry_tokens_expire_at else 0.0  # infinite without a budget
+        return self.retry_tokens if now < self.retry_tokens_expire_at else 0.0
 
     def _reserve(self, kind: CallClass) -> float:
         return min(HOLD_RESERVE, HOLD_RESERVE_SHARE * kind.aim)
