--- a/martentide/handover/wire.py
+++ b/martentide/handover/wire.py
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MovedCalls:
-    """Standing calls of a client without a connection, and its undelivered releases as (call, message)."""
+    """Standing calls of a calling host without a connection, and its pending releases as (call, message)."""
 
     host: str
     standing: tuple[bytes, ...]
--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -38,7 +38,7 @@
 # accepted connections only three turns of the event loop later.
 ACCEPT_BATCH_DIVISOR = 12
 CLOSED_PER_SHORTAGE = 4  # idle connections closed when the system has no descriptor left
-MIN_CALLER_CONNECTIONS = 8  # descriptors reserved for callers while a predecessor still holds connections
+MIN_CALLER_CONNECTIONS = 8  # minimum of descriptors for callers while a predecessor still holds connections
 ACCEPT_GRACE = 0.1  # s for accepted connections to reach their calling host before the listener is closed
 MOVE_TIMEOUT = 1.0  # s within which a connection must become ready to move to the successor
 MOVE_POLL_INTERVAL = 0.005  # s between checks whether a connection is ready to move
--- a/martentide/net/config.py
+++ b/martentide/net/config.py
@@ -1,4 +1,7 @@
-"""Loads the proxy's configuration file and the environment variables that override parts of it."""
+"""Loads the proxy's configuration file and the environment variables that override parts of it.
+
+PROXY_CONFIG names the file; PROXY_LISTEN, PROXY_NAME and PROXY_OPERATOR override values in it.
+"""
 
 from __future__ import annotations
 
--- a/martentide/net/descriptors.py
+++ b/martentide/net/descriptors.py
@@ -34,7 +34,7 @@
 
 
 def caller_limit(limit: int, servers: int, operated: bool) -> int:
-    """Return the number of callers' connections: half of all, or what is left after everything else."""
+    """Return the limit of callers' connections: half of all, or what all else leaves if that is less."""
     rest = limit - RESERVED - servers - (operator_limit(limit) if operated else 0)
     return max(MIN_CALLERS, min(int(limit * CALLERS_SHARE), rest))
 
--- a/martentide/net/dispatcher.py
+++ b/martentide/net/dispatcher.py
@@ -570,7 +570,7 @@
     def apply_list(self, notice: Notice, kind: ListKind | None = None) -> None:
         """Apply a server list: first to the servers' actors, then to the decisions.
 
-        In this order no order that follows from the list can meet an actor with an old state. ``kind``
+        Every attempt that the decisions order after the list then finds the actors up to date. ``kind``
         overrides the kind that the list states.
         """
         if self.merge_lists is not None:
--- a/martentide/net/links.py
+++ b/martentide/net/links.py
@@ -86,8 +86,8 @@
     async def _read(self, begun_at: float | None) -> bytes:
         """Read the next bytes; raises TimeoutError if a message takes longer than ``message_timeout`` s.
 
-        This detects messages that the peer does not finish, after which nothing on the connection can be
-        read. The short second read is for the case that this process was held up and the bytes are already
+        This detects incomplete messages, behind which nothing on the connection can be read, and endless
+        ones. The short second read is for the case that this process was held up and the bytes are already
         there.
         """
         if begun_at is None:
@@ -244,7 +244,10 @@
         return self.writer.transport.get_write_buffer_size() > 0
 
     def write(self, data: bytes) -> None:
-        """Write without blocking; the connection of a peer that does not read is closed."""
+        """Write without blocking, so that a peer that does not read delays nobody else.
+
+        Its connection is closed after WRITE_TIMEOUT, or once more than MAX_UNSENT_BYTES are buffered.
+        """
         if not self.alive or self.writer.is_closing():
             return
         self.writer.write(data)
--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -36,7 +36,7 @@
 # s in which a message must be complete once its first byte came from a server; short enough that the set-up
 # can still be retried elsewhere in time.
 MESSAGE_TIMEOUT = 0.06
-SUSPECT_AFTER = 0.12  # s without a byte on a connection since a set-up before another one is opened
+SUSPECT_AFTER = 0.12  # s without a byte on a connection since a set-up until another connection is opened
 # s; a connection that closed sooner is not replaced at once, so that no server is dialled in a tight loop.
 MIN_CONNECTION_LIFETIME = 0.5
 KEEPALIVE_TIMEOUT = 2.5  # s without a byte since a message was sent before the machine counts as cut off
@@ -580,7 +580,10 @@
                 self._schedule_reconnect()
 
     def _cut_standing(self, before: float = math.inf) -> None:
-        """End standing calls sent before that time as cut: the process that held them is dead."""
+        """End standing calls sent before that time as cut: the process that held them is dead.
+
+        Their callers have to learn of it in time.
+        """
         for attempt in [
             attempt
             for attempt in self.attempts.values()
