--- a/martentide/agreement/core.py
+++ b/martentide/agreement/core.py
@@ -307,7 +307,7 @@
         if joint is None:
             return self._decoded(in_force) if in_force.number else None
         if not in_force.number:
-            return self._decoded(joint)  # no version is in force yet
+            return self._decoded(joint)  # no version in force to form the meet with: act on the prepared one
         return meet(self._decoded(in_force), self._decoded(joint))
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -569,7 +569,7 @@
         assert self.raft is not None
         if member_of(message.sender) not in self.known_voters and len(self.known_voters) < MAX_KNOWN_VOTERS:
             self.known_voters.add(sender)
-            # Durable before its vote counts, so that it cannot vote again after losing its disk.
+            # Durable before its vote counts, so that the sender cannot vote again if it loses its disk.
             self.actions.append(self._persist())
         self._step_raft(raft.Received(message))
 
--- a/martentide/agreement/raft.py
+++ b/martentide/agreement/raft.py
@@ -51,7 +51,7 @@
 
 
 class PersistentState(msgspec.Struct, array_like=True, frozen=True):
-    """What a voter must keep on disk: ids, current term, vote, snapshot and log."""
+    """What a voter must keep on disk: its id, current term, vote, snapshot and log."""
 
     voter_id: NodeId
     term: int
@@ -274,7 +274,7 @@
 
     def has_leader_lease(self, now: float) -> bool:
         """Whether this node is the leader and no other can have been elected by ``now``, since a majority
-        heard from it within the election timeout."""
+        heard from it within the election timeout and so grants no vote yet."""
         return self.role is Role.LEADER and now < self._lease_expiry()
 
     def term_at(self, index: int) -> int | None:
@@ -302,7 +302,8 @@
             case TransferLeadership(to) if self.role is Role.LEADER and to in self.peers:
                 self._replicate(to)
                 self._send(MessageType.TIMEOUT_NOW, to)
-                self._become_follower(self.term, "")  # its lease ends now: the message may arrive late
+                # Another may lead from now on, however late the message arrives, so the own lease ends here.
+                self._become_follower(self.term, "")
             case StartElection():
                 self._start_election(forced=False)
         return self.actions
@@ -318,7 +319,8 @@
                 self.now >= self._lease_expiry()
                 and self.elected_at + self.timings.election_timeout <= self.now
             ):
-                self._become_follower(self.term, "")  # check-quorum: no majority answers
+                # Check-quorum: without answers of a majority it cannot know whether it is still the leader.
+                self._become_follower(self.term, "")
             elif self.now >= self.heartbeat_deadline:
                 self.heartbeat_deadline = self.now + self.timings.heartbeat_interval
                 for name in self.peers:
@@ -396,8 +398,9 @@
         self.election_deadline = self.now + self._random_election_timeout()
 
     def _may_vote_for(self, message: Message) -> bool:
-        """Whether the candidate's log is at least as up to date as the local one and no leader was heard from
-        within the election timeout (unless that leader asked for this election)."""
+        """Whether the candidate's log is at least as up to date as the local one, so that it holds every
+        entry that may be committed, and no leader was heard from within the election timeout (unless that
+        leader asked for this election)."""
         own_position = (self.term_at(self.last_index) or 0, self.last_index)
         leader_recent = (
             self.now - self.leader_contact_at < self.timings.election_timeout
--- a/martentide/agreement/ruleset.py
+++ b/martentide/agreement/ruleset.py
@@ -310,5 +310,5 @@
     for one in rules.classes.values():
         ranges += [one.repeat, one.deadline]
     if not all(0 <= one.lo <= one.hi for one in ranges):
-        raise msgspec.ValidationError("a range of which the end comes before the begin")
+        raise msgspec.ValidationError("a range whose end is below its start")
     return rules
--- a/martentide/control/client.py
+++ b/martentide/control/client.py
@@ -26,7 +26,7 @@
 from martentide.control.terms import ControlTerms
 
 MAX_MISSING = 64  # update numbers reported missing in one heartbeat
-MAX_JOIN_SLOWDOWN = 5.0  # factor on ``join_retry`` at most while no node answers
+MAX_JOIN_SLOWDOWN = 5.0  # upper bound of the factor on ``join_retry`` while no node answers
 
 
 @dataclass(frozen=True, slots=True)
--- a/martentide/versions.py
+++ b/martentide/versions.py
@@ -156,7 +156,7 @@
     )
 
 
-@click.command("replace-voter", help="Have member NEW vote in the place of voter OLD, which lost its books.")
+@click.command("replace-voter", help="Have member NEW vote in the place of voter OLD, which lost its state.")
 @click.argument("old")
 @click.argument("new")
 @OPERATOR_OPTION
