--- a/martentide/cli.py
+++ b/martentide/cli.py
@@ -227,5 +227,8 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run the command line; exits with 2 and one line on standard error if the configuration is invalid."""
+    """Run the command line.
+
+    Exits with 0 at a planned end, and with 2 and one line on standard error for an invalid configuration.
+    """
     top.main(args=None if arguments is None else list(arguments), prog_name="martentide")
--- a/martentide/client/client.py
+++ b/martentide/client/client.py
@@ -151,8 +151,9 @@
 
 
 class Client:
-    """Connects to the first of ``addresses`` that accepts it, and moves on only when its session is lost.
+    """Connects to the first of ``addresses`` that accepts it, and keeps to it after a broken stream.
 
+    It tries the next address if a connection fails while it has no session, or when the proxy goes away.
     ``tap`` is called with each message sent or received, for logs and tests.
     """
 
--- a/martentide/extproc/ledger.py
+++ b/martentide/extproc/ledger.py
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClosed:
-    """The request is closed; the module has to send no further verdict for it."""
+    """The request is closed; no further verdict of the module is needed for it."""
 
     key: int
 
--- a/martentide/extras.py
+++ b/martentide/extras.py
@@ -110,9 +110,7 @@
 
     listen: str
     services: tuple[str, ...] = ("decisions", "ext-proc")
-    own_links: bool = (
-        True  # the process also connects to the servers itself, for health checks and their state
-    )
+    own_links: bool = True  # also connect to the servers from this process, for health checks and their state
     limits: LimitsNode = LimitsNode()
     times: TimesNode = TimesNode()
     sessions: SessionsNode = SessionsNode()
--- a/martentide/learned/codec.py
+++ b/martentide/learned/codec.py
@@ -96,7 +96,7 @@
     if len(raw) < HEADER_BYTES:
         raise StateError(Fault.CUT, f"{len(raw)} bytes, expected a header of {HEADER_BYTES}")
     _, format_version, schema, found_print, sequence, saved_at, length = HEADER.unpack_from(raw)
-    if format_version != FORMAT_VERSION:  # checked first: another format may place the checksum elsewhere
+    if format_version != FORMAT_VERSION:  # before the checksum: another format may place it elsewhere
         raise StateError(Fault.OTHER_FORMAT, f"format {format_version}, expected {FORMAT_VERSION}")
     (head_sum,) = CRC_FIELD.unpack_from(raw, HEADER.size)
     if crc32c.crc32c(raw[: HEADER.size]) != head_sum:
--- a/martentide/learned/restore.py
+++ b/martentide/learned/restore.py
@@ -123,7 +123,10 @@
                 self.servers.pop(event.server, None)  # new evidence, which the decisions already use
 
     def _drop(self, server: Server, saved: ServerState) -> None:
-        """Drop at once the restored state that speaks against a server which answers quickly."""
+        """Drop the restored state that restricts calls to a server, because the server answers quickly.
+
+        It is dropped at once, without waiting for it to age.
+        """
         self.dropped += 1
         image, saved_image = server.image, saved.image
         if image is not None and saved_image is not None and image.hold_back <= saved_image.hold_back:
--- a/martentide/learned/schema.py
+++ b/martentide/learned/schema.py
@@ -110,7 +110,7 @@
     "probe_due": FieldPolicy(False, "probes are due at the start"),
 }
 CONTROLLER_FIELDS: dict[str, FieldPolicy] = {
-    "first_tries": FieldPolicy(True, "redials are recognized by number across a restart"),
+    "first_tries": FieldPolicy(True, "redials are recognized by number: a caller's attempts belong together"),
     "tries_of": FieldPolicy(False, "tenants' rates over 5 s"),
     "peer_rates": FieldPolicy(False, "sent by peers each second"),
     "inside_share": FieldPolicy(False, "as tries_of"),
--- a/martentide/learned/snapshot.py
+++ b/martentide/learned/snapshot.py
@@ -1,6 +1,7 @@
-"""Reads the learned state of a Controller in slices, so that many servers do not block the event loop.
+"""Reads the learned state of a Controller in slices.
 
-The record of a server is read in one step, so it is consistent. The record of an unchanged server is reused.
+Slices keep thousands of servers from blocking the event loop. The record of a server is read in one step, so
+it is consistent. The record of an unchanged server is reused.
 """
 
 from __future__ import annotations
--- a/martentide/net/extproc/decisions.py
+++ b/martentide/net/extproc/decisions.py
@@ -208,7 +208,7 @@
         while True:
             frame = await context.read()
             if frame is grpc.aio.EOF:
-                return  # also seen on a reset connection: only a Leave message ends the session
+                return  # also seen on a reset connection: only a Leave message ends the session at once
             at = unix_ms()
             try:
                 messages = [received for received in frame.messages if received.WhichOneof("kind") != "leave"]
@@ -245,9 +245,8 @@
         front_session = self.sessions[resumed.number]
         if front_session.writer is not None:
             front_session.writer.close(CloseReason.TAKEN_OVER)
-            front_session.front.stream_changed(
-                Stream.BROKEN
-            )  # the front asks again what was pending on the old stream
+            # The front asks again what was pending on the old stream.
+            front_session.front.stream_changed(Stream.BROKEN)
         if front_session.next_writer is not None:
             front_session.next_writer.close(CloseReason.TAKEN_OVER)
         front_session.next_writer = writer
