--- a/martentide/failover/evidence.py
+++ b/martentide/failover/evidence.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneCensus:
-    """One member's counts for a zone; those it never received anything from are excluded."""
+    """One member's counts for a zone, without servers and members it never received anything from."""
 
     servers: int
     silent_servers: int
--- a/martentide/fleet/events.py
+++ b/martentide/fleet/events.py
@@ -88,7 +88,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Stalled:
-    """This process didn't run for ``duration`` ms: it accuses no member of timeouts in that time."""
+    """This process didn't run for ``duration`` ms.
+
+    It raises its health multiplier and accuses no member of timeouts in that time.
+    """
 
     duration: float
 
--- a/martentide/interface.py
+++ b/martentide/interface.py
@@ -88,9 +88,9 @@
     ``over_share_worth`` (0 to 1) is the relative worth of a call above its tenant's share. ``lists_pushed``:
     list changes arrive without a request. ``max_attempts`` >= 1 is per call. ``max_hold_off`` >= 0 ms is the
     longest hold-off for a refused caller, 0 for none. ``release`` >= 0 ms is the wait after an attempt that
-    may still hold lines. ``answer_slack`` >= 0 ms after the deadline, a final answer still counts. A server
-    starts at ``cold_share`` (0 to 1) of its capacity and is warm within ``cold_time`` ms; it fails if it
-    receives more than ``fall_multiple`` (> 1) times its current capacity for ``fall_time`` ms.
+    may still hold lines. ``answer_slack`` >= 0 ms after the caller's time is up, a final answer still counts.
+    A server starts at ``cold_share`` (0 to 1) of its capacity and is warm within ``cold_time`` ms; it fails
+    if it receives more than ``fall_multiple`` (> 1) times its current capacity for ``fall_time`` ms.
     """
 
     proxies: int
--- a/martentide/overload/slow_start.py
+++ b/martentide/overload/slow_start.py
@@ -48,7 +48,7 @@
     """Return whether the ramp has ended for a proxy at position ``spread`` (0 to 1) among all proxies.
 
     If all proxies ended it at once, one held call from each of two hundred would form a queue that the server
-    cannot clear. Drawback: from the later proxies the server gets only its ramp share for a while.
+    cannot clear. Drawback: from the later proxies the server gets at most its usual share for a while.
     """
     return age >= settings.cold_time * (1.0 + RAMP_END_SPREAD * spread)
 
--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -39,7 +39,7 @@
 TOLERABLE_SHARE_OF_AIM = 0.6  # tolerable wait as a share of the shortest aim (or repeat interval, if shorter)
 FULL_HOLD_BACK = 0.7  # share held back after a refusal by a full processor
 MAX_HOLD_BACK = 0.98  # share; some calls must still be sent, since their answers carry the next report
-HOLD_BACK_DECAY = 0.9  # factor on an earlier share per answer without a wait: a server pause ends quickly
+HOLD_BACK_DECAY = 0.9  # factor on an earlier share per answer without a wait: server pauses end abruptly
 HOLD_BACK_HALF_LIFE = 1500.0  # ms in which an earlier, higher share halves once reports ask for less
 
 # ---- lines and choice of server -------------------------------------------------------------------------
@@ -52,13 +52,13 @@
 UNANSWERED_SHARE = 0.6  # of the tolerable wait: a server with an older unanswered set-up gets no more
 OVERTAKE_MARGIN = 60.0  # ms; a set-up sent this long before one that stands is lost: jitter is smaller
 MAX_UNANSWERED = 2  # unanswered set-ups per server, or this multiple of those offered in one SLOW_LAG
-BACKLOG_SHARE = 0.8  # of the throughput in that time that a proxy of a large fleet may have unanswered
+BACKLOG_SHARE = 0.8  # limit on unanswered set-ups in a large fleet: part of those served in UNANSWERED_SHARE
 SLOW_LAG = 150.0  # ms; a slower server gets in one such lag what it would usually get in SLOW_LAG
 TRIAL_GAP = 300.0  # ms before the first half-open probe of a suspect server; doubles with each failure
 COLD_AFTER_SILENCE = 6000.0  # ms without a connection after which a recovered server is treated as cold
 MAX_TRIAL_GAP = 2000.0  # ms between two half-open probes
 FAULT_WEIGHT = 0.3  # weight of one outcome in a server's moving average of faults
-MAX_ERRORS = 2  # error answers after which the call itself is asked faulty
+MAX_ERRORS = 2  # error answers after which the call itself is taken to be at fault
 FAULT_THRESHOLD = 0.4  # fault average above which a server is suspect: two errors in a row, not a single one
 TRIAL_REFERENCE_WAIT = 600.0  # ms of tolerable wait that probe times refer to; a shorter wait scales them
 TRIAL_SHARE = 0.3  # of a server's usual load from this proxy: rate of half-open probes in a large fleet
@@ -76,7 +76,7 @@
 MIN_TIMEOUT_LAGS = 3.0  # minimum attempt timeout, in multiples of the server's last lag, within the aim
 MIN_TIMEOUT_SHARE_OF_AIM = 0.5  # minimum attempt timeout as a share of the aim, if a second attempt fits in
 MAX_HELD_CALLS_PER_TICK = 400  # held calls tried in one tick
-ANSWER_MARGIN = 60.0  # ms before a call's deadline at which a held call is answered
+ANSWER_MARGIN = 60.0  # ms before the caller's time is up at which a held call is answered
 
 # ---- tenants and peers ----------------------------------------------------------------------------------
 TENANT_WINDOW = 5000.0  # ms over which a tenant's first tries are counted; also the expiry of peers' rates
@@ -132,7 +132,7 @@
     next_send_at: float = 0.0
     lines_paused_until: float = 0.0
     suspect: bool = False
-    silent: bool = False  # neither answers nor connections since it became suspect
+    silent: bool = False  # an attempt got no answer or no connection since it became suspect
     faults: float = 0.0
     suspect_from: float = 0.0
     trial_gap: float = 0.0
@@ -663,7 +663,7 @@
     # ---- health -----------------------------------------------------------------------------------------
 
     def _mark_suspect(self, now: float, server: Server) -> None:
-        """Restrict a failing or full server to half-open probes until one is answered quickly.
+        """Restrict a failing or full server to half-open probes after a pause, until one is answered quickly.
 
         With repeats, the floor of 1 set-up/s per proxy can keep a slow server full for good; one unanswered
         set-up per proxy bounds its queue. Drawback: after one lost call a server gets little traffic briefly.
--- a/martentide/simhost.py
+++ b/martentide/simhost.py
@@ -207,7 +207,7 @@
                     if count < 0 or position + count > len(lines):
                         raise WireError("CATALOG: fewer SERVER lines than it announces")
                     rows: list[ServerEntry] = []
-                    for number, line in lines[position : position + count]:  # noqa: B007 (used in the error message below)
+                    for number, line in lines[position : position + count]:  # noqa: B007 (for messages below)
                         inner, entry = split_line(line)
                         if inner != "SERVER":
                             raise WireError(f"{inner}: a SERVER line was expected")
