--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -20,11 +20,18 @@
 
 from martentide.net.links import unix_ms
 from martentide.settings import settings_from
-from martentide_lab.callers import Load
-from martentide_lab.checker import cold_sum
-from martentide_lab.proxy import Proxy, site_settings
-from martentide_lab.servers import COLD_SHARE, COLD_TIME, FALL_MULTIPLE, FALL_TIME, Board, SessionServer
-from martentide_lab.sim import Processor, Site
+from martentide_lab.callers import LoadGenerator
+from martentide_lab.checker import cold_start_load_beyond_chance
+from martentide_lab.proxy import ProxyProcess, site_settings
+from martentide_lab.servers import (
+    COLD_SHARE,
+    COLD_TIME_MS,
+    OVERLOAD_MULTIPLE,
+    OVERLOAD_TIME_MS,
+    DiscoveryServer,
+    SessionServer,
+)
+from martentide_lab.simulated_site import SimulatedServer, SimulatedSite
 
 SETTINGS = settings_from(site_settings(4))
 SHARES = (0.74, 0.05, 0.21)  # in the order of the settings' classes
@@ -40,68 +47,74 @@
     settings = dataclasses.replace(SETTINGS, proxies=proxies)
     window = settings.fall_multiple * settings.cold_share * settings.fall_time / 1000.0
     rate = allowed / window
-    servers = [Processor(f"s{at}", at, rate) for at in range(SERVERS)]
-    site = Site(settings, proxies, servers, seed)
+    servers = [SimulatedServer(f"s{at}", at, rate) for at in range(SERVERS)]
+    site = SimulatedSite(settings, proxies, servers, seed)
     site.now = START
-    site.controllers = [site.fresh(at) for at in range(proxies)]
+    site.controllers = [site.new_controller(at) for at in range(proxies)]
     homes = (AHEAD if case == "uneven" else 1.0, *[1.0] * (proxies - 1))
     end = START + REPLACED + settings.cold_time
-    site.offer(end, LOAD * SERVERS * rate, SHARES, homes)
+    site.offer_calls(end, LOAD * SERVERS * rate, SHARES, homes)
     if case == "surge":
         begin = START + REPLACED + 1_000.0
-        site.at(begin, lambda: site.offer(end, (SURGE - LOAD) * SERVERS * rate, SHARES))
+        site.schedule_at(begin, lambda: site.offer_calls(end, (SURGE - LOAD) * SERVERS * rate, SHARES))
     site.run(START + REPLACED)
-    cold = Processor("cold", 0, rate, started=site.now)
-    late = {"late": lambda at: 3_000.0, "apart": lambda at: site.dice.uniform(0.0, 5_000.0)}
+    cold = SimulatedServer("cold", 0, rate, started_at=site.now)
+    late = {"late": lambda at: 3_000.0, "apart": lambda at: site.rng.uniform(0.0, 5_000.0)}
     site.replace("s0", cold, late.get(case, lambda at: 500.0))
     if case == "restarts":  # a tenth at a time, all of them within the ramp
         for at in range(proxies):
             when = site.now + 1_000.0 + 1_000.0 * math.floor(10.0 * at / proxies)
-            site.at(when, lambda at=at: site.restart(at, lambda old, new: None))  # type: ignore[misc]
+            site.schedule_at(when, lambda at=at: site.restart(at, lambda old, new: None))  # type: ignore[misc]
     site.run(end)
-    worst = site.cold_sum(cold)
-    warm = [sum(1 for when in one.came if when > START + REPLACED) for one in servers[1:]]
-    return worst, len(cold.came) / max(1.0, statistics.fmean(warm))
+    worst = site.cold_start_load_beyond_chance(cold)
+    warm = [sum(1 for when in one.received_at if when > START + REPLACED) for one in servers[1:]]
+    return worst, len(cold.received_at) / max(1.0, statistics.fmean(warm))
 
 
 async def real(proxies: int, allowed: float, seed: int) -> tuple[float, float]:
     """The same on real processes: one with several times the mean, a quarter of them killed and started again
     in the ramp. The worst window over its bound, and the cold server's calls over the mean warm one's."""
-    rate = allowed / (FALL_MULTIPLE * COLD_SHARE * FALL_TIME / 1000.0)
+    rate = allowed / (OVERLOAD_MULTIPLE * COLD_SHARE * OVERLOAD_TIME_MS / 1000.0)
     servers = [SessionServer(at) for at in range(4)]
-    board, loads = Board(), list[tuple[Load, asyncio.Task[None]]]()
+    board, loads = DiscoveryServer(), list[tuple[LoadGenerator, asyncio.Task[None]]]()
     for server in servers:
-        server.script.rate = rate
+        server.behavior.rate = rate
         await server.start()
     await board.start()
-    fleet = [Proxy(board, servers, None, name=f"n{at}") for at in range(proxies)]
+    fleet = [ProxyProcess(board, servers, None, name=f"n{at}") for at in range(proxies)]
 
     async def begin(at: int) -> None:
-        fleet[at].fleet = proxies
+        fleet[at].proxy_count = proxies
         await fleet[at].start()
         share = (AHEAD if at == 0 else 1.0) / (proxies - 1 + AHEAD)
         classes = [kind.name for kind in SETTINGS.classes]
-        load = Load(
-            fleet[at].callers, classes, LOAD * 4 * rate * share, seed * 1000 + at, 3, SHARES, chance=True
+        load = LoadGenerator(
+            fleet[at].caller_address,
+            classes,
+            LOAD * 4 * rate * share,
+            seed * 1000 + at,
+            3,
+            SHARES,
+            poisson=True,
         )
         loads.append((load, asyncio.create_task(load.run())))
 
     await asyncio.gather(*(begin(at) for at in range(proxies)))
     await asyncio.sleep(REPLACED / 1000.0)
     cold = servers[0]
-    cold.script.cold_from = started = unix_ms()
-    board.tell([(cold, 0)], started=int(started))
+    cold.behavior.cold_start_at = started = unix_ms()
+    board.publish([(cold, 0)], started=int(started))
     for group in range(3):
         await asyncio.sleep(2.0)
         part = range(1 + group * proxies // 12, 1 + (group + 1) * proxies // 12)
         await asyncio.gather(*(fleet[at].kill() for at in part))
         await asyncio.gather(*(begin(at) for at in part))
-    await asyncio.sleep((started + COLD_TIME - unix_ms()) / 1000.0)
+    await asyncio.sleep((started + COLD_TIME_MS - unix_ms()) / 1000.0)
     for load, task in loads:
         await load.stop(task)
     await asyncio.gather(*(one.kill() for one in fleet))
-    worst = cold_sum(cold)
-    came = [sum(1 for one in server.arrivals if one.at > started) for server in servers]
+    worst = cold_start_load_beyond_chance(cold)
+    came = [sum(1 for one in server.received_set_ups if one.received_at > started) for server in servers]
     for server in servers:
         await server.stop()
     return worst, came[0] / max(1.0, statistics.fmean(came[1:]))
--- a/benchmarks/extproc.py
+++ b/benchmarks/extproc.py
@@ -31,11 +31,11 @@
 from martentide.client.client import ClientClosed
 from martentide.extproc.messages import FromFront, ToFront
 from martentide.net.links import unix_ms
-from martentide_lab.checker import Checker, check_servers
-from martentide_lab.fronts import EnvoyStream, Lines
-from martentide_lab.proxy import Proxy
+from martentide_lab.checker import ExternalProcessorChecker, check_servers
+from martentide_lab.fronts import EnvoyStream, UpstreamConnections
+from martentide_lab.proxy import ProxyProcess
 from martentide_lab.relay import Relay
-from martentide_lab.servers import DRAINING, GONE, READY, Board, SessionServer
+from martentide_lab.servers import DRAINING, GONE, READY, DiscoveryServer, SessionServer
 
 CLASSES = (("status-check", 0.74), ("envelope-prep", 0.21), ("qualified-sign", 0.05))
 WORKERS = 5  # processes that play fronts in the mixed part, two fronts each
@@ -102,8 +102,8 @@
     def __init__(self, servers: int, delay: float) -> None:
         self.servers = [SessionServer(number) for number in range(servers)]
         for server in self.servers:
-            server.script.delay = delay
-        self.board = Board()
+            server.behavior.delay = delay
+        self.board = DiscoveryServer()
         self.drained: dict[str, float] = {}
         self.all = list(self.servers)
 
@@ -123,13 +123,13 @@
 
     async def _replace(self, place: int) -> None:
         old, new = self.servers[place], SessionServer(len(self.all))
-        new.script.delay = old.script.delay
+        new.behavior.delay = old.behavior.delay
         await new.start()
         self.drained[old.name] = unix_ms()
-        self.board.tell([(old, DRAINING), (new, READY)], started=int(unix_ms()))
+        self.board.publish([(old, DRAINING), (new, READY)], started=int(unix_ms()))
         self.servers[place] = new
         self.all.append(new)
-        asyncio.get_running_loop().call_later(4.0, self.board.tell, [(old, GONE)])
+        asyncio.get_running_loop().call_later(4.0, self.board.publish, [(old, GONE)])
 
 
 def draw_class(dice: random.Random) -> str:
@@ -148,10 +148,10 @@
         self.address, self.breaks, self.warm = address, breaks, 0.0
         self.dice, self.seed = random.Random(seed), seed
         self.seen = Seen()
-        self.checkers = [Checker() for _ in range(fronts)]
+        self.checkers = [ExternalProcessorChecker() for _ in range(fronts)]
         self.relays = [Relay(address) for _ in range(fronts)]
         self.clients: list[Client] = []
-        self.lines = [Lines(seed * 100 + at + 1) for at in range(fronts)]
+        self.lines = [UpstreamConnections(seed * 100 + at + 1) for at in range(fronts)]
 
     async def one(self, at: int, begun: float, number: str) -> None:
         client, lines = self.clients[at], self.lines[at]
@@ -168,7 +168,9 @@
         except ClientClosed:
             self.seen.finals["closed"] += 1
 
-    async def _carry(self, call: Call, lines: Lines, name: str, begun: float, number: str) -> None:
+    async def _carry(
+        self, call: Call, lines: UpstreamConnections, name: str, begun: float, number: str
+    ) -> None:
         client = call.client
         breaks, up = client.breaks, client.connected.is_set()
         verdict = await call.next()
@@ -193,11 +195,11 @@
             self.seen.why[verdict.why.value] += 1
         for address, made in stood:
             await asyncio.sleep(self.dice.uniform(0.05, 0.4))
-            await lines.hang_up(address, made)
+            await lines.release(address, made)
             call.over()
 
-    def _tap(self, checker: Checker, message: FromFront | ToFront) -> None:
-        checker.tap(message, unix_ms())
+    def _tap(self, checker: ExternalProcessorChecker, message: FromFront | ToFront) -> None:
+        checker.observe(message, unix_ms())
 
     async def run(self, requests: int, rate: float) -> None:
         for at, (relay, checker) in enumerate(zip(self.relays, self.checkers, strict=True)):
@@ -216,7 +218,7 @@
                 await asyncio.sleep(left)
             at = number % len(self.clients)
             if self.dice.random() < self.breaks:
-                self.relays[at].cut()  # with all that is on it
+                self.relays[at].reset_connections()  # with all that is on it
             task = asyncio.create_task(self.one(at, begun, f"n{self.seed:x}-{number:x}"))
             running.add(task)
             task.add_done_callback(running.discard)
@@ -229,7 +231,7 @@
             lines.close()
 
 
-async def envoy(address: str, requests: int, rate: float, lines: Lines, seed: int) -> Seen:
+async def envoy(address: str, requests: int, rate: float, lines: UpstreamConnections, seed: int) -> Seen:
     """Requests by Envoy's service, open loop; 5% are reset before the verdict."""
     dice, seen = random.Random(seed), Seen()
 
@@ -274,7 +276,7 @@
             seen.finals["missing"] += 1
         if status == 200:
             await asyncio.sleep(dice.uniform(0.05, 0.4))
-            await lines.hang_up(where, call)
+            await lines.release(where, call)
         await stream.done()
 
     async with grpc.aio.insecure_channel(address) as channel:
@@ -330,7 +332,7 @@
         counts: Counter[str] = Counter()
         for checker in mixed.checkers:
             counts += checker.finish()
-        stories = [story for checker in mixed.checkers for story in checker.broken_rules]
+        stories = [story for checker in mixed.checkers for story in checker.violations]
         broke = sum(client.breaks for client in mixed.clients)
         print(json.dumps({**mixed.seen.dump(), "counts": counts, "stories": stories[:5], "breaks": broke}))
     elif kind == "own":
@@ -342,12 +344,13 @@
             await asyncio.gather(*(other(channel) for _ in range(beside)))
 
 
-async def mixed_by_workers(proxy: Proxy, requests: int, rate: float, workers: int, seed: int) -> Any:
+async def mixed_by_workers(proxy: ProxyProcess, requests: int, rate: float, workers: int, seed: int) -> Any:
     """The fronts in processes of their own: in one, they would measure each other's work. The first has all
     the breaks, 1% of all requests, and a relay in its path that makes them."""
     processes = [
         await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "benchmarks.extproc", "--worker", "mixed", "--address", proxy.address,
+            sys.executable, "-m", "benchmarks.extproc", "--worker", "mixed",
+            "--address", proxy.external_processor_address,
             "--requests", str(requests // workers), "--rate", str(rate / workers),
             "--name", str(seed * 10 + at),
             "--breaks", str(0.01 * workers if at == 0 else 0.0),
@@ -368,13 +371,14 @@
     return seen, counts, stories, breaks
 
 
-async def flat_out(proxy: Proxy, kind: str, requests: int, workers: int) -> tuple[float, float]:
+async def flat_out(proxy: ProxyProcess, kind: str, requests: int, workers: int) -> tuple[float, float]:
     """Decisions a second and the proxy's processor time for each, in ms."""
-    cpu, start = proxy.cpu(), time.monotonic()
+    cpu, start = proxy.processor_seconds(), time.monotonic()
     each = requests // workers
     processes = [
         await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "benchmarks.extproc", "--worker", kind, "--address", proxy.address,
+            sys.executable, "-m", "benchmarks.extproc", "--worker", kind,
+            "--address", proxy.external_processor_address,
             "--requests", str(each), "--name", f"{kind}-{at}-{os.getpid()}",
         )
         for at in range(workers)
@@ -383,18 +387,18 @@
     if any(codes):
         raise SystemExit(f"a worker failed: {codes}")
     taken = time.monotonic() - start
-    return each * workers / taken, (proxy.cpu() - cpu) * 1000.0 / (each * workers)
+    return each * workers / taken, (proxy.processor_seconds() - cpu) * 1000.0 / (each * workers)
 
 
 async def measure(requests: int, rate: float, memory: int, seed: int) -> dict[str, Any]:
     site = Site(4, delay=8.0)
     await site.start()
     result: dict[str, Any] = {"requests": requests}
-    async with Proxy(site.board, site.servers, EXTRAS) as proxy:
+    async with ProxyProcess(site.board, site.servers, EXTRAS) as proxy:
         trouble = asyncio.create_task(site.trouble(min(3.0, requests / rate / 5)))
         seen, counts, stories, breaks = await mixed_by_workers(proxy, requests, rate, WORKERS, seed)
-        envoy_lines = Lines(99)
-        beside = await envoy(proxy.address, requests // 5, rate / 5, envoy_lines, seed)
+        envoy_lines = UpstreamConnections(99)
+        beside = await envoy(proxy.external_processor_address, requests // 5, rate / 5, envoy_lines, seed)
         envoy_lines.close()
         trouble.cancel()
         at_servers, more = check_servers(site.all, site.drained)
@@ -429,16 +433,16 @@
             envoy_finals=dict(beside.finals),
         )
         for server in site.all:
-            server.keep_arrivals = False
-    async with Proxy(site.board, site.servers, EXTRAS) as proxy:
+            server.keep_received_set_ups = False
+    async with ProxyProcess(site.board, site.servers, EXTRAS) as proxy:
         await flat_out(proxy, "own", max(3000, memory // 20), 3)
-        settled_mb = proxy.resident()
+        settled_mb = proxy.resident_memory_mb()
         own_rate, own_cpu = await flat_out(proxy, "own", memory, 3)
         result.update(
             decisions_per_s=round(own_rate),
             cpu_ms_own=round(own_cpu, 3),
-            rss_mb=round(proxy.resident(), 1),
-            rss_growth_mb=round(proxy.resident() - settled_mb, 1),
+            rss_mb=round(proxy.resident_memory_mb(), 1),
+            rss_growth_mb=round(proxy.resident_memory_mb() - settled_mb, 1),
         )
         other_rate, other_cpu = await flat_out(proxy, "envoy", max(3000, memory // 20), 3)
         result.update(envoy_decisions_per_s=round(other_rate), cpu_ms_envoy=round(other_cpu, 3))
--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -22,11 +22,11 @@
 from martentide.overload.core import ABLATION_PARTS
 from martentide.settings import settings_from
 from martentide_lab.fleet.rig import Rig
+from martentide_lab.fleet.scenario import Scenario, Step
 from martentide_lab.fleet.simulated import SimulatedFleet
-from martentide_lab.fleet.story import Script, Step
 from martentide_lab.proxy import CLASSES, site_settings
 from martentide_lab.servers import SessionServer
-from martentide_lab.sim import Processor, Site
+from martentide_lab.simulated_site import SimulatedServer, SimulatedSite
 
 RATE, USE = 20.0, 0.8  # set-ups/s of a server, and the share of it that is planned
 SHARES = (0.74, 0.05, 0.21)  # of the classes
@@ -112,28 +112,30 @@
     surge = (Step(1000 * BEGIN, "surge", (SURGE,)), Step(1000 * (BEGIN + SPAN), "surge", (1.0,)))
     more = (Step(1000 * (BEGIN + at), verb, tuple(rest)) for at, verb, *rest in FAULTS[fault])
     steps = tuple(sorted((*surge, *more), key=lambda step: step.at))
-    script = Script(
+    script = Scenario(
         proxies=processes, servers=servers, seconds=END, seed=seed, rate=USE * capacity, steps=steps
     )
-    async with Rig(script, fleet=extra is not None, extra=extra or "", redials=REDIALS, shares=SHARES) as rig:
+    async with Rig(
+        script, with_fleet=extra is not None, extra_settings=extra or "", redials=REDIALS, shares=SHARES
+    ) as rig:
         for server in rig.servers:
-            server.script.rate, server.keep_arrivals = RATE, True
+            server.behavior.rate, server.keep_received_set_ups = RATE, True
         if extra is not None:
-            await rig.until(rig.whole, 60.0)
+            await rig.wait_until(rig.is_converged, 60.0)
         await rig.play()
         shift = rig.loop.time() * 1000.0 - rig.now()
-        begin = rig.played_at + shift + 1000 * BEGIN
+        begin = rig.scenario_started_at + shift + 1000 * BEGIN
         await asyncio.sleep(0.5)
-        told = [(name, story) for name, load in rig.all_loads for story in load.stories]
-        stories = [(story.kind, story.began, story.stood_at) for _, story in told]
-        broken = rig.broken()
+        told = [(name, story) for name, load in rig.all_load_generators for story in load.redialed_calls]
+        stories = [(story.class_name, story.started_at, story.stood_at) for _, story in told]
+        broken = rig.violations()
         for line in broken[:5]:
             print(line, file=sys.stderr)
         seen = {
-            **figures(stories, [story.tries for _, story in told], begin, capacity),
-            "set_ups": float(sum(len(server.arrivals) for server in rig.servers)),
+            **figures(stories, [story.dials for _, story in told], begin, capacity),
+            "set_ups": float(sum(len(server.received_set_ups) for server in rig.servers)),
             "further_share": further(rig.servers) / max(1, len(told)),
-            "tests": float(sum(len(server.tests) for server in rig.servers)),
+            "tests": float(sum(len(server.health_checks) for server in rig.servers)),
             "rules_broken": float(len(broken)),
         }
         homes = [name for name, _ in told]
@@ -142,30 +144,34 @@
 
 def further(servers: Iterable[SessionServer]) -> int:
     """Attempts beyond the first of each call, by what came to the servers."""
-    came = Counter(one.call for server in servers for one in server.arrivals)
+    came = Counter(one.call for server in servers for one in server.received_set_ups)
     return sum(count - 1 for count in came.values())
 
 
 def simulated(proxies: int, servers: int, variant: str, seed: int) -> tuple[dict[str, float], Chances]:
     settings = dataclasses.replace(settings_from(site_settings(servers)), proxies=proxies)
-    machines = [Processor(f"s{at}", at, RATE) for at in range(servers)]
-    site = Site(settings, proxies, machines, seed)
+    machines = [SimulatedServer(f"s{at}", at, RATE) for at in range(servers)]
+    site = SimulatedSite(settings, proxies, machines, seed)
     if variant != "alone":
         without = frozenset({variant.removeprefix("without-")} & set(ABLATION_PARTS))
-        site.join(SimulatedFleet(proxies, seed, wire=False), sheds=variant != "duty", without=without)
+        site.join_fleet(
+            SimulatedFleet(proxies, seed, encode_datagrams=False),
+            overload_control=variant != "duty",
+            without=without,
+        )
     planned = USE * RATE * servers
-    site.offer(1000 * END, planned, SHARES)
+    site.offer_calls(1000 * END, planned, SHARES)
     site.now = 1000 * BEGIN
-    site.offer(1000 * (BEGIN + SPAN), planned * (SURGE - 1.0), SHARES)
+    site.offer_calls(1000 * (BEGIN + SPAN), planned * (SURGE - 1.0), SHARES)
     site.now = 0.0
     site.run(1000 * END + 3_000.0)
     kinds = [kind.name for kind in settings.classes]
-    stories = [(kinds[one.kind], one.began, one.stood_at) for one in site.stories]
-    tries = [one.tries for one in site.stories]
-    homes = [str(one.home) for one in site.stories]
+    stories = [(kinds[one.class_index], one.started_at, one.stood_at) for one in site.calls]
+    tries = [one.dials for one in site.calls]
+    homes = [str(one.home_proxy) for one in site.calls]
     seen = figures(stories, tries, 1000 * BEGIN, RATE * servers)
     chances = chances_of(stories, homes, 1000 * BEGIN)
-    return {**seen, "set_ups": float(len(site.sent))}, chances
+    return {**seen, "set_ups": float(len(site.sent_set_ups))}, chances
 
 
 Chances = dict[str, list[float]]  # by proxy: whether each call of the least class was served in time
--- a/benchmarks/fleet_rules.py
+++ b/benchmarks/fleet_rules.py
@@ -26,10 +26,10 @@
 from martentide.agreement.core import LeaseTimings
 from martentide.net.fleet.show import QueryError, propose
 from martentide.net.links import unix_ms
-from martentide_lab.fleet.agreeing import AgreeingFleet, rule_set
 from martentide_lab.fleet.faults import Link
 from martentide_lab.fleet.rig import Rig
-from martentide_lab.fleet.story import Script, Step
+from martentide_lab.fleet.scenario import Scenario, Step
+from martentide_lab.fleet.simulated_agreement import SimulatedAgreementFleet, rule_set
 from martentide_lab.proxy import CLASSES
 
 LIMIT = 60.0  # s for what has to come
@@ -74,7 +74,7 @@
     puts.append(one)
     said = {"rules": rules(one.server, one.attempts, bad), "base": -1, "by": one.token, "why": "measured"}
     try:
-        verdict = await asyncio.to_thread(propose, rig.proxies[name].operator, said, 16.0)
+        verdict = await asyncio.to_thread(propose, rig.proxies[name].operator_address, said, 16.0)
         one.heard, one.done, one.number = unix_ms(), verdict["done"], verdict["number"]
     except (QueryError, KeyError, ValueError) as error:
         one.refused = "classes" in str(error)
@@ -85,18 +85,18 @@
     """One proposal a gap, at whichever member runs; a tenth are bad."""
     while True:
         await asyncio.sleep(GAP)
-        up = [name for name in rig.proxies if rig.proxies[name].operator]
+        up = [name for name in rig.proxies if rig.proxies[name].operator_address]
         if up:
             await put(rig, puts, dice.choice(up), dice.random() < 0.1)
 
 
 async def faults(rig: Rig, count: int, dice: random.Random) -> Counter[str]:
     """So many faults, each mended soon after; two may overlap."""
-    names = rig.script.names()
+    names = rig.scenario.names()
     kinds: Counter[str] = Counter()
 
     async def do(verb: str, *arguments: object) -> None:
-        await rig.do(Step(0.0, verb, arguments))
+        await rig.execute_step(Step(0.0, verb, arguments))
 
     async def one() -> None:
         kind = dice.choice(("kill", "stop", "split", "cut", "loss", "clock", "starve", "delay"))
@@ -146,18 +146,18 @@
 def safe_spans(rig: Rig) -> dict[str, list[tuple[float, float]]]:
     """By member, when it was on safe rules (Unix ms), until it acted on a version again."""
     shift = unix_ms() - rig.now()
-    spans: dict[str, list[tuple[float, float]]] = {name: [] for name in rig.script.names()}
+    spans: dict[str, list[tuple[float, float]]] = {name: [] for name in rig.scenario.names()}
     since: dict[str, float | None] = dict.fromkeys(spans)
     for event in rig.log:
         if event.kind not in ("started", "version"):
             continue
         safe = event.kind == "started" or event.fields["rules"] == "safe"
-        begin = since[event.who]
+        begin = since[event.observer]
         if safe and begin is None:
-            since[event.who] = event.at + shift
+            since[event.observer] = event.at + shift
         elif not safe and begin is not None:
-            spans[event.who].append((begin, event.at + shift + 50.0))
-            since[event.who] = None
+            spans[event.observer].append((begin, event.at + shift + 50.0))
+            since[event.observer] = None
     for name, begin in since.items():
         if begin is not None:
             spans[name].append((begin, unix_ms()))
@@ -169,11 +169,11 @@
     against, until the next one was proposed; how often that was after the bound; how often at all."""
     against: list[float] = []
     safe = safe_spans(rig)
-    owners = {call: name for name, load in rig.all_loads for call in load.calls}
+    owners = {call: name for name, load in rig.all_load_generators for call in load.calls}
     came: dict[bytes, list[float]] = {}
     for server in rig.servers:
-        for arrival in server.arrivals:
-            came.setdefault(arrival.call, []).append(arrival.at)
+        for arrival in server.received_set_ups:
+            came.setdefault(arrival.call, []).append(arrival.received_at)
     twice = [min(times) for times in came.values() if len(times) > 1]
     for one in [one for one in puts if one.done]:
         # What it forbids stays forbidden until a version that allows it again is proposed.
@@ -182,10 +182,12 @@
         if one.attempts == 1:
             against += [at - one.heard for at in twice if one.heard < at < until]
         until = min((other.at for other in later if other.server != one.server), default=unix_ms())
-        for arrival in rig.servers[one.server].arrivals:
+        for arrival in rig.servers[one.server].received_set_ups:
             spans = safe.get(owners.get(arrival.call, ""), [])
-            if one.heard < arrival.at < until and not any(a <= arrival.at <= b for a, b in spans):
-                against.append(arrival.at - one.heard)
+            if one.heard < arrival.received_at < until and not any(
+                a <= arrival.received_at <= b for a, b in spans
+            ):
+                against.append(arrival.received_at - one.heard)
     return max(against, default=0.0), sum(at > BOUND for at in against), len(against)
 
 
@@ -208,7 +210,7 @@
     shift = unix_ms() - rig.now()
     for event in rig.log:
         if event.kind == "version" and event.fields["number"] == number and not event.fields["joint"]:
-            first.setdefault(event.who, event.at + shift - since)
+            first.setdefault(event.observer, event.at + shift - since)
     return max(first.values()) if set(first) >= set(rig.proxies) else -1.0
 
 
@@ -220,11 +222,11 @@
 def unavailable(rig: Rig, begin: float, end: float) -> float:
     """Mean s a member that runs was on safe rules in the span, by its own log."""
     total = 0.0
-    for name in rig.script.names():
+    for name in rig.scenario.names():
         safe_since: float | None = begin
         for event in rig.log:
-            if event.who != name or event.at < begin or event.at > end:
-                if event.who == name and event.at < begin and event.kind == "version":
+            if event.observer != name or event.at < begin or event.at > end:
+                if event.observer == name and event.at < begin and event.kind == "version":
                     safe_since = begin if event.fields["rules"] == "safe" else None
                 continue
             if event.kind == "version":
@@ -241,7 +243,7 @@
                 safe_since = event.at
         if safe_since is not None:
             total += end - safe_since
-    return round(total / 1_000.0 / rig.script.proxies, 2)
+    return round(total / 1_000.0 / rig.scenario.proxies, 2)
 
 
 def worth(stories: list[Any], begin: float, end: float) -> float:
@@ -249,27 +251,29 @@
     aims = {name: aim for name, _, aim, _ in CLASSES}
     asked = got = 0.0
     for one in stories:
-        if begin <= one.began < end:
-            asked += worths[one.kind]
-            if one.stood_at is not None and one.stood_at - one.began <= aims[one.kind]:
-                got += worths[one.kind]
+        if begin <= one.started_at < end:
+            asked += worths[one.class_name]
+            if one.stood_at is not None and one.stood_at - one.started_at <= aims[one.class_name]:
+                got += worths[one.class_name]
     return round(got / asked, 3) if asked else 1.0
 
 
 async def real(processes: int, voters: int, count: int, calm: int, seed: int) -> dict[str, Any]:
     dice = random.Random(seed)
-    script = Script(proxies=processes, servers=SERVERS, zones=3, seed=seed, rate=12.0 * processes)
+    script = Scenario(proxies=processes, servers=SERVERS, zones=3, seed=seed, rate=12.0 * processes)
     folder = Path(tempfile.mkdtemp(prefix="martentide-rules-"))
     names = script.names()
     listed = " ".join(f'"{name}"' for name in names[:voters])
     extra = {name: f'agreement {{ voters {listed}; folder "{folder}/{name}" }}' for name in names}
     clocks = dict.fromkeys(names, 0.0)
-    async with Rig(script, extra=extra, clocks=clocks, redials=2, base=Link(jitter=2.0)) as rig:
+    async with Rig(
+        script, extra_settings=extra, clock_offsets=clocks, redials=2, base=Link(jitter=2.0)
+    ) as rig:
         NAMES[:] = [server.name for server in rig.servers]
         for server in rig.servers:
-            server.keep_arrivals = True
-        await rig.do(Step(0.0, "server", ("s0", "error")))
-        await rig.until(rig.whole, LIMIT)
+            server.keep_received_set_ups = True
+        await rig.execute_step(Step(0.0, "server", ("s0", "error")))
+        await rig.wait_until(rig.is_converged, LIMIT)
         puts: list[Put] = []
         async with asyncio.timeout(LIMIT):
             while not (puts and puts[-1].done):  # until there is a leader
@@ -282,26 +286,35 @@
         began, clock = rig.now(), rig.loop.time() * 1_000.0
         proposing = asyncio.create_task(keep_proposing(rig, puts, dice))
         kinds = await faults(rig, count, dice)
-        ended, faulty = rig.now(), worth([s for _, load in rig.all_loads for s in load.stories], clock,
-                                         rig.loop.time() * 1_000.0)  # fmt: skip
+        ended, faulty = rig.now(), worth(
+            [s for _, load in rig.all_load_generators for s in load.redialed_calls], clock,
+            rig.loop.time() * 1_000.0)  # fmt: skip
         await asyncio.sleep(6.0)
         proposing.cancel()
         await asyncio.gather(proposing, return_exceptions=True)
-        await rig.until(rig.whole, LIMIT)
-        await rig.do(Step(0.0, "server", ("s0", "well")))
+        await rig.wait_until(rig.is_converged, LIMIT)
+        await rig.execute_step(Step(0.0, "server", ("s0", "well")))
         # What safe rules serve: one member is cut off from the others, and from nothing else.
         alone = names[-1]
-        await rig.do(Step(0.0, "split", (alone, ",".join(names[:-1]))))
+        await rig.execute_step(Step(0.0, "split", (alone, ",".join(names[:-1]))))
         await asyncio.sleep(BOUND / 1_000.0)
         since = rig.loop.time() * 1_000.0
         await asyncio.sleep(SAFE_FOR)
         until = rig.loop.time() * 1_000.0 - 1_500.0
-        safe = worth([s for name, load in rig.all_loads if name == alone for s in load.stories], since, until)
-        full = worth([s for name, load in rig.all_loads if name != alone for s in load.stories], since, until)
-        await rig.do(Step(0.0, "heal"))
-        calls = [arrival.call for one in rig.servers for arrival in one.arrivals]
+        safe = worth(
+            [s for name, load in rig.all_load_generators if name == alone for s in load.redialed_calls],
+            since,
+            until,
+        )
+        full = worth(
+            [s for name, load in rig.all_load_generators if name != alone for s in load.redialed_calls],
+            since,
+            until,
+        )
+        await rig.execute_step(Step(0.0, "heal"))
+        calls = [arrival.call for one in rig.servers for arrival in one.received_set_ups]
         lost, two = books(rig, puts)
-        broken = rig.broken()
+        broken = rig.violations()
         longest, stale, came = contradictions(rig, puts)  # keeps this process for seconds, callers and all
         for line in broken[:10]:
             print(line, file=sys.stderr)
@@ -323,21 +336,21 @@
 
 def simulated(members: int, voters: int, seed: int) -> dict[str, Any]:
     """Twenty versions without faults: how long they take, what the leader says and hears."""
-    fleet = AgreeingFleet(members, seed, voters, base=Link(delay=1.0, jitter=2.0))
-    for name in fleet.nodes:
+    fleet = SimulatedAgreementFleet(members, seed, voters, base=Link(delay=1.0, jitter=2.0))
+    for name in fleet.members:
         fleet.start(name)
     fleet.run(4_000.0)
-    fleet.words_said.clear()
+    fleet.sent_messages.clear()
     begin = fleet.now
     for at in range(20):
         fleet.propose(f"n{members - 1}", rule_set(1 + at % 3))
         fleet.run(fleet.now + 1_000.0)
     span = (fleet.now - begin) / 1_000.0
-    leader = max(fleet.words_said, key=lambda name: fleet.words_said[name][0])
-    said, size = fleet.words_said[leader]
-    others = [fleet.words_said[name][0] / span for name in fleet.words_said if name not in fleet.voters]
+    leader = max(fleet.sent_messages, key=lambda name: fleet.sent_messages[name][0])
+    said, size = fleet.sent_messages[leader]
+    others = [fleet.sent_messages[name][0] / span for name in fleet.sent_messages if name not in fleet.voters]
     return {
-        "members": members, "in_force": sum(one.done for one in fleet.voiced),
+        "members": members, "in_force": sum(one.done for one in fleet.results),
         "leader_words_s": round(said / span, 1), "leader_bytes_s": round(size / span),
         "member_words_s": round(max(others), 1), "broken": len(fleet.finish()),
     }  # fmt: skip
--- a/benchmarks/fleet_tests_duty.py
+++ b/benchmarks/fleet_tests_duty.py
@@ -19,11 +19,11 @@
 from martentide.net.links import unix_ms
 from martentide.settings import settings_from
 from martentide_lab.fleet.rig import Rig
+from martentide_lab.fleet.scenario import Scenario, Step
 from martentide_lab.fleet.simulated import SimulatedFleet
-from martentide_lab.fleet.story import Script, Step
 from martentide_lab.proxy import site_settings
 from martentide_lab.servers import DRAINING, READY, SessionServer
-from martentide_lab.sim import Processor, Site
+from martentide_lab.simulated_site import SimulatedServer, SimulatedSite
 
 RATE = 120.0  # calls a second, all proxies together
 SETTLE, SEEN = 6.0, 12.0  # s: before counting, and counted
@@ -38,41 +38,43 @@
 def back_after(rig: Rig, server: SessionServer, since: float) -> tuple[float, int]:
     """When the last of the proxies sent a call there again, in ms, and how many did."""
     first: dict[str, float] = {}
-    for arrival in server.arrivals:
-        if arrival.at >= since:
-            owner = next((name for name, load in rig.loads.items() if arrival.call in load.calls), None)
+    for arrival in server.received_set_ups:
+        if arrival.received_at >= since:
+            owner = next(
+                (name for name, load in rig.load_generators.items() if arrival.call in load.calls), None
+            )
             if owner is not None:
-                first.setdefault(owner, arrival.at - since)
+                first.setdefault(owner, arrival.received_at - since)
     return (max(first.values()) if first else -1.0), len(first)
 
 
 async def real(processes: int, fleet: bool, seen: float, seed: int) -> dict[str, Any]:
-    script = Script(proxies=processes, servers=5, rate=RATE, seed=seed)
-    async with Rig(script, fleet=fleet) as rig:
+    script = Scenario(proxies=processes, servers=5, rate=RATE, seed=seed)
+    async with Rig(script, with_fleet=fleet) as rig:
         hung, mute, cold = rig.servers[0], rig.servers[1], rig.servers[2]
         if fleet:
-            await rig.until(rig.whole, 60.0)
+            await rig.wait_until(rig.is_converged, 60.0)
         await asyncio.sleep(2.0)
-        await rig.do(Step(0, "server", ("s0", "hung")))
-        await rig.do(Step(0, "server", ("s1", "mute")))
+        await rig.execute_step(Step(0, "server", ("s0", "hung")))
+        await rig.execute_step(Step(0, "server", ("s1", "mute")))
         await asyncio.sleep(SETTLE)
-        rig.board.tell([(cold, DRAINING)])
-        rig.board.tell([(cold, READY)], started=int(unix_ms()))
+        rig.discovery.publish([(cold, DRAINING)])
+        rig.discovery.publish([(cold, READY)], started=int(unix_ms()))
         begin = unix_ms()
         await asyncio.sleep(seen)
         end = unix_ms()
         figures = {
-            "tests_hung": rate(hung.tests, begin, end),
-            "tests_mute": rate(mute.tests, begin, end),
-            "tests_cold": rate(cold.tests, begin, end),
-            "set_ups_hung": rate([one.at for one in hung.arrivals], begin, end),
-            "set_ups_mute": rate([one.at for one in mute.arrivals], begin, end),
+            "tests_hung": rate(hung.health_checks, begin, end),
+            "tests_mute": rate(mute.health_checks, begin, end),
+            "tests_cold": rate(cold.health_checks, begin, end),
+            "set_ups_hung": rate([one.received_at for one in hung.received_set_ups], begin, end),
+            "set_ups_mute": rate([one.received_at for one in mute.received_set_ups], begin, end),
         }
         since = unix_ms()
-        await rig.do(Step(0, "server", ("s0", "well")))
+        await rig.execute_step(Step(0, "server", ("s0", "well")))
         await asyncio.sleep(BACK)
         last, count = back_after(rig, hung, since)
-        broken = [line for line in rig.broken() if not line.startswith(("late", "missing"))]
+        broken = [line for line in rig.violations() if not line.startswith(("late", "missing"))]
         for line in broken[:10]:
             print(line, file=sys.stderr)
         return {**figures, "back_s": round(last / 1000.0, 2), "back": count, "rules_broken": len(broken)}
@@ -80,18 +82,18 @@
 
 def simulated(proxies: int, fleet: bool, seed: int) -> dict[str, Any]:
     settings = dataclasses.replace(settings_from(site_settings(8)), proxies=proxies)
-    servers = [Processor(f"s{at}", at, 20.0) for at in range(8)]
-    site = Site(settings, proxies, servers, seed)
+    servers = [SimulatedServer(f"s{at}", at, 20.0) for at in range(8)]
+    site = SimulatedSite(settings, proxies, servers, seed)
     if fleet:
-        site.join(SimulatedFleet(proxies, seed, wire=False))
-    site.offer(30_000.0, 90.0, (0.74, 0.05, 0.21))
+        site.join_fleet(SimulatedFleet(proxies, seed, encode_datagrams=False))
+    site.offer_calls(30_000.0, 90.0, (0.74, 0.05, 0.21))
     site.run(5_000.0)
-    servers[0].hung = servers[0].deaf = servers[1].hung = True
+    servers[0].ignore_set_ups = servers[0].ignore_health_checks = servers[1].ignore_set_ups = True
     site.run(30_000.0)
     figures = {}
     for name, one in (("hung", servers[0]), ("mute", servers[1])):
-        figures[f"tests_{name}"] = rate(one.tests, 10_000.0, 30_000.0)
-        figures[f"set_ups_{name}"] = rate(one.came, 10_000.0, 30_000.0)
+        figures[f"tests_{name}"] = rate(one.health_checks, 10_000.0, 30_000.0)
+        figures[f"set_ups_{name}"] = rate(one.received_at, 10_000.0, 30_000.0)
     return {**figures, "served": round(site.served(10_000.0, 27_000.0), 3)}
 
 
--- a/benchmarks/learned_benefit.py
+++ b/benchmarks/learned_benefit.py
@@ -24,7 +24,7 @@
 from martentide.rules import Controller
 from martentide.settings import settings_from
 from martentide_lab.proxy import site_settings
-from martentide_lab.sim import Processor, Site
+from martentide_lab.simulated_site import SimulatedServer, SimulatedSite
 
 SETTINGS = dataclasses.replace(settings_from(site_settings(4)), proxies=6)
 SHARES = (0.74, 0.05, 0.21)  # in the order of the settings' classes
@@ -34,15 +34,15 @@
 
 
 def day(seed: int, keep: bool) -> dict[str, float]:
-    servers = [Processor(f"s{at}", at, RATE) for at in range(4)]
-    servers[0].slow = 4.0
-    site = Site(SETTINGS, SETTINGS.proxies, servers, seed)
+    servers = [SimulatedServer(f"s{at}", at, RATE) for at in range(4)]
+    servers[0].slowdown = 4.0
+    site = SimulatedSite(SETTINGS, SETTINGS.proxies, servers, seed)
     site.now = START
-    site.controllers = [site.fresh(at) for at in range(SETTINGS.proxies)]
+    site.controllers = [site.new_controller(at) for at in range(SETTINGS.proxies)]
     end = START + RESTART + SEEN
-    site.offer(end, PLANNED, SHARES)
+    site.offer_calls(end, PLANNED, SHARES)
     site.run(START + RESTART - 2_000.0)
-    cold = Processor("s9", 3, RATE, started=site.now)
+    cold = SimulatedServer("s9", 3, RATE, started_at=site.now)
     site.replace("s3", cold)
     site.run(START + RESTART - 500.0)
     kept = [write_state(take(one, site.now), fingerprint(SETTINGS)) for one in site.controllers]
@@ -56,19 +56,19 @@
 
         site.restart(at, give)
     site.run(end + 3_000.0)
-    after = [name for when, name in site.sent if START + RESTART <= when < START + RESTART + 3_000.0]
+    after = [name for when, name in site.sent_set_ups if START + RESTART <= when < START + RESTART + 3_000.0]
     return {
         "worth": site.served(START + RESTART, end),
         "slow": float(after.count("s0")),
         "cold": float(after.count("s9")),
-        "cold_use": site.cold_use(cold),
+        "cold_use": site.cold_start_load(cold),
     }
 
 
 def cost(servers: int) -> dict[str, float]:
     """Of one save: the longest slice on the loop, the whole snapshot, and the bytes."""
-    few = [Processor(f"s{at}", at, RATE) for at in range(servers)]
-    site = Site(SETTINGS, 1, few, 1)
+    few = [SimulatedServer(f"s{at}", at, RATE) for at in range(servers)]
+    site = SimulatedSite(SETTINGS, 1, few, 1)
     controller, shots = site.controllers[0], Snapshots()
     for at, server in enumerate(controller.servers.values()):
         server.wait, server.lag, server.least_lag = float(at % 50), 20.0, 12.0
--- a/benchmarks/learned_kills.py
+++ b/benchmarks/learned_kills.py
@@ -23,9 +23,9 @@
 
 from martentide.learned.codec import StateError, read_state
 from martentide.learned.files import OLD, STATE
-from martentide_lab.callers import Load
-from martentide_lab.proxy import Proxy
-from martentide_lab.servers import Board, SessionServer
+from martentide_lab.callers import LoadGenerator
+from martentide_lab.proxy import ProxyProcess
+from martentide_lab.servers import DiscoveryServer, SessionServer
 
 EXTRAS = """
 learned-state {{
@@ -49,7 +49,7 @@
     return best, spoilt
 
 
-async def one_life(proxy: Proxy, folder: Path, dice: random.Random, counts: dict[str, int]) -> float:
+async def one_life(proxy: ProxyProcess, folder: Path, dice: random.Random, counts: dict[str, int]) -> float:
     """Start, check what the start said against the files, load, kill. Returns the ms that reading took."""
     before, spoilt = on_disk(folder)
     counts["half_seen"] += spoilt
@@ -66,7 +66,9 @@
         counts["bad"] += 1
         print("BAD", start, "expected", expected, line)
     counts["last_good" if start != "nothing" else "none"] += 1
-    load = Load(proxy.callers, ("status-check", "qualified-sign"), 120.0, dice.getrandbits(32))
+    load = LoadGenerator(
+        proxy.caller_address, ("status-check", "qualified-sign"), 120.0, dice.getrandbits(32)
+    )
     task = asyncio.create_task(load.run())
     if dice.random() < 0.1:
         await asyncio.sleep(0.0)  # before the first save
@@ -78,8 +80,8 @@
             await asyncio.sleep(0)
     else:
         await asyncio.sleep(dice.uniform(0.02, 0.3))
-    proxy.send(signal.SIGKILL)
-    await proxy.ended()
+    proxy.send_signal(signal.SIGKILL)
+    await proxy.wait_until_ended()
     await load.stop(task)
     proxy.log.clear()
     return taken
@@ -89,13 +91,13 @@
     dice = random.Random(seed)
     folder = Path(tempfile.mkdtemp(prefix="martentide-state-"))
     counts = dict.fromkeys(("last_good", "none", "bad", "half_seen", "failed_starts"), 0)
-    servers, board = [SessionServer(number) for number in range(4)], Board()
+    servers, board = [SessionServer(number) for number in range(4)], DiscoveryServer()
     for server in servers:
         await server.start()
     await board.start()
-    servers[0].script.hold_back = 0.5
+    servers[0].behavior.hold_back = 0.5
     times = []
-    proxy = Proxy(board, servers, EXTRAS.format(folder=folder))
+    proxy = ProxyProcess(board, servers, EXTRAS.format(folder=folder))
     for number in range(kills):
         if number % 25 == 0:  # now and then from nothing
             for name in os.listdir(folder):
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -17,8 +17,8 @@
 import click
 
 from martentide.codec.messages import Code, Type, body_length, read_message, write_message
-from martentide_lab.proxy import Proxy
-from martentide_lab.servers import Board, SessionServer
+from martentide_lab.proxy import ProxyProcess
+from martentide_lab.servers import DiscoveryServer, SessionServer
 
 LIMIT, OF = 10.0, 0.9  # s in which so many must be ready
 PROBE_AGAIN = 0.005  # s
@@ -37,25 +37,25 @@
         await asyncio.sleep(PROBE_AGAIN)
 
 
-async def restart(proxy: Proxy) -> tuple[float, float, float]:
+async def restart(proxy: ProxyProcess) -> tuple[float, float, float]:
     """Seconds to the first line, to ``serving`` and to the passed test."""
     begin = time.monotonic()
     first: list[float] = []
     proxy.log.clear()
-    proxy.watcher = lambda _, line: first.append(time.monotonic() - begin) if not first else None
+    proxy.on_log_line = lambda _, line: first.append(time.monotonic() - begin) if not first else None
     await proxy.start()
     serving = time.monotonic() - begin
-    await passed(proxy.callers)
+    await passed(proxy.caller_address)
     return first[0], serving, time.monotonic() - begin
 
 
 async def measure(fleet: int, share: float, servers: int) -> list[tuple[float, float, float]]:
     stand_ins = [SessionServer(at) for at in range(servers)]
-    board = Board()
+    board = DiscoveryServer()
     for one in stand_ins:
         await one.start()
     await board.start()
-    proxies = [Proxy(board, stand_ins, None, name=f"n{at}") for at in range(fleet)]
+    proxies = [ProxyProcess(board, stand_ins, None, name=f"n{at}") for at in range(fleet)]
     for proxy in proxies:
         await proxy.start()
     times: list[tuple[float, float, float]] = []
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -34,7 +34,7 @@
 def services_of(proxies: int) -> int:
     """As many members in each service, and so as much to tell a subscriber, as at the planned size."""
     planned = Layout()
-    return max(planned.called + 1, round(proxies * planned.services / planned.proxies))
+    return max(planned.called_services + 1, round(proxies * planned.services / planned.proxies))
 
 
 def numbers(text: str) -> list[int]:
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -13,8 +13,8 @@
 
 from benchmarks.scale.results import Row
 from martentide.codec.messages import Code, Type, read_message, split, write_message
-from martentide_lab.proxy import Proxy
-from martentide_lab.servers import Board, Script, SessionServer
+from martentide_lab.proxy import ProxyProcess
+from martentide_lab.servers import DiscoveryServer, ServerBehavior, SessionServer
 
 SECONDS, WARM = 10.0, 1.0
 SERVER_DELAY = 1.0  # ms that the stand-in takes for an answer
@@ -26,7 +26,7 @@
     """The session server's process: tells its port, and serves until it is ended."""
 
     async def run() -> None:
-        server = SessionServer(0, Script(delay=SERVER_DELAY), keep_arrivals=False)
+        server = SessionServer(0, ServerBehavior(delay=SERVER_DELAY), keep_received_set_ups=False)
         await server.start()
         told.send(server.port)
         await asyncio.Event().wait()
@@ -88,15 +88,15 @@
     process = multiprocessing.get_context("spawn").Process(target=serve, args=(theirs,), daemon=True)
     process.start()
     port = ours.recv()
-    server, board = SessionServer(0), Board()
+    server, board = SessionServer(0), DiscoveryServer()
     server.port = port
     await board.start()
     rows: list[Row] = []
     try:
-        async with Proxy(board, [server], None) as proxy:
+        async with ProxyProcess(board, [server], None) as proxy:
             for rate in rates:
                 direct, late = await offer(f"127.0.0.1:{port}", rate, seed)
-                through, late_through = await offer(proxy.callers, rate, seed + 1)
+                through, late_through = await offer(proxy.caller_address, rate, seed + 1)
                 rows.append(row(rate, direct, through, max(late, late_through)))
     finally:
         process.terminate()
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -10,9 +10,9 @@
 import time
 
 from benchmarks.scale.results import Row
-from martentide_lab.control.processes import ControlNodes, status, until_attached
-from martentide_lab.proxy import Proxy
-from martentide_lab.servers import Board, SessionServer
+from martentide_lab.control.processes import ControlNodes, control_status, wait_until_attached
+from martentide_lab.proxy import ProxyProcess
+from martentide_lab.servers import DiscoveryServer, SessionServer
 
 SECONDS = 15.0
 SERVICES, CALLED = 6, 4
@@ -20,33 +20,35 @@
 STOP = 5.0  # s that a node stands still
 
 
-async def started(count: int, board: Board, server: SessionServer, nodes: ControlNodes | None) -> list[Proxy]:
+async def started(
+    count: int, board: DiscoveryServer, server: SessionServer, nodes: ControlNodes | None
+) -> list[ProxyProcess]:
     proxies = []
     for at in range(count):
         service = f"s{at % SERVICES}"
         calls = [f"s{(at + step) % SERVICES}" for step in range(1, CALLED + 1)]
         extras = None if nodes is None else nodes.extras(f"z{at % 3}", service, calls)
-        proxies.append(Proxy(board, [server], extras, operated=True, name=f"p{at}", peers=True))
+        proxies.append(ProxyProcess(board, [server], extras, with_operator=True, name=f"p{at}", peers=True))
     for proxy in proxies:
         await proxy.start()
     return proxies
 
 
-async def used(proxies: list[Proxy]) -> tuple[float, float]:
+async def used(proxies: list[ProxyProcess]) -> tuple[float, float]:
     """Share of a core and MB of one proxy, on the mean, over a while in calm."""
-    before = sum(proxy.cpu() for proxy in proxies)
+    before = sum(proxy.processor_seconds() for proxy in proxies)
     await asyncio.sleep(SECONDS)
-    share = (sum(proxy.cpu() for proxy in proxies) - before) / SECONDS / len(proxies)
-    return share, sum(proxy.resident() for proxy in proxies) / len(proxies)
+    share = (sum(proxy.processor_seconds() for proxy in proxies) - before) / SECONDS / len(proxies)
+    return share, sum(proxy.resident_memory_mb() for proxy in proxies) / len(proxies)
 
 
-async def until_all_hold(proxies: list[Proxy], wanted: dict[str, set[str]]) -> None:
+async def until_all_hold(proxies: list[ProxyProcess], wanted: dict[str, set[str]]) -> None:
     """Until each proxy holds just the members of the services that it subscribed to."""
     async with asyncio.timeout(LIMIT):
         for proxy in proxies:
             while True:
                 held: dict[str, set[str]] = {}
-                for one in (await status(proxy))["entries"]:
+                for one in (await control_status(proxy))["entries"]:
                     held.setdefault(one["service"], set()).update(one["members"])
                 if held and all(held[service] == wanted[service] for service in held):
                     break
@@ -54,7 +56,7 @@
 
 
 async def measure(count: int, control: int) -> Row:
-    server, board = SessionServer(0), Board()
+    server, board = SessionServer(0), DiscoveryServer()
     await server.start()
     await board.start()
     plain = await started(count, board, server, None)
@@ -70,7 +72,7 @@
     for at, proxy in enumerate(proxies):
         wanted.setdefault(f"s{at % SERVICES}", set()).add(proxy.name)
     try:
-        await until_attached(proxies, LIMIT)
+        await wait_until_attached(proxies, LIMIT)
         await until_all_hold(proxies, wanted)
         nodes_before = {name: nodes.usage(name)[0] for name in nodes.names}
         bytes_before = await sent_and_received(proxies)
@@ -81,31 +83,31 @@
         begun = time.monotonic()
         await nodes.kill("c0")
         await asyncio.sleep(2.5)
-        await until_attached(proxies, LIMIT)
+        await wait_until_attached(proxies, LIMIT)
         await until_all_hold(proxies, wanted)
         killed = time.monotonic() - begun
         await nodes.start("c0")
-        nodes.send("c1", signal.SIGSTOP)
+        nodes.send_signal("c1", signal.SIGSTOP)
         await asyncio.sleep(STOP)
-        nodes.send("c1", signal.SIGCONT)
+        nodes.send_signal("c1", signal.SIGCONT)
         begun = time.monotonic()
-        await until_attached(proxies, LIMIT)
+        await wait_until_attached(proxies, LIMIT)
         await until_all_hold(proxies, wanted)
         stopped = time.monotonic() - begun
         for name in list(nodes.processes):
             await nodes.kill(name)
         for proxy in proxies:
-            await proxy.logged("tier-alone")
+            await proxy.wait_for_log_line("tier-alone")
         for name in nodes.names:
             await nodes.start(name)
         begun = time.monotonic()
-        await until_attached(proxies, LIMIT)
+        await wait_until_attached(proxies, LIMIT)
         await until_all_hold(proxies, wanted)
         back = time.monotonic() - begun
     finally:
         for proxy in proxies:
             await proxy.kill()
-        await nodes.end()
+        await nodes.kill_all()
         await server.stop()
         await board.stop()
     return {
@@ -124,11 +126,11 @@
     }
 
 
-async def sent_and_received(proxies: list[Proxy]) -> float:
+async def sent_and_received(proxies: list[ProxyProcess]) -> float:
     """Bytes of all datagrams so far, headers included."""
     total = 0.0
     for proxy in proxies:
-        counts = (await status(proxy))["counts"]
+        counts = (await control_status(proxy))["counts"]
         total += counts.get("sent_bytes", 0) + counts.get("received_bytes", 0)
         total += 28 * (counts.get("sent", 0) + counts.get("received", 0))
     return total
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -13,25 +13,25 @@
 def measure(members: int, seed: int = 1) -> Row:
     """Each member says one entry a second that counts for four."""
     fleet = SimulatedFleet(members, seed, base=Link(delay=1.0, jitter=2.0))
-    fleet.acquaint()
+    fleet.start_acquainted()
 
     def publish(name: str) -> None:
         fleet.publish(name, KIND, bytes(BODY), LIFE)
-        fleet.later(1_000.0, lambda: publish(name))
+        fleet.schedule(1_000.0, lambda: publish(name))
 
-    for name in fleet.nodes:
-        fleet.later(fleet.dice.uniform(0.0, 1_000.0), lambda name=name: publish(name))  # type: ignore[misc]
+    for name in fleet.members:
+        fleet.schedule(fleet.rng.uniform(0.0, 1_000.0), lambda name=name: publish(name))  # type: ignore[misc]
     fleet.run(WARM * 1_000.0)
-    sent = sum(node.sent for node in fleet.nodes.values())
+    sent = sum(node.sent_bytes for node in fleet.members.values())
     missing = wanted = 0
     for _ in range(SECONDS):
         fleet.run(fleet.now + 1_000.0)
-        for node in fleet.nodes.values():
+        for node in fleet.members.values():
             assert node.core is not None
-            held = sum(1 for _ in node.core.state_entries_of(KIND, node.clock(fleet.now)))
+            held = sum(1 for _ in node.core.state_entries_of(KIND, node.own_time(fleet.now)))
             wanted += members - 1
             missing += members - 1 - held
-    total = sum(node.sent for node in fleet.nodes.values()) - sent
+    total = sum(node.sent_bytes for node in fleet.members.values()) - sent
     return {
         "members": members,
         "missing_share": round(missing / wanted, 4),
--- a/benchmarks/scale/tier.py
+++ b/benchmarks/scale/tier.py
@@ -51,14 +51,14 @@
             while self.tier.now < look:
                 self.tier.run(min(look, self.tier.now + DETECT_EVERY))
                 self._detect()
-            self.checker.look(self.sample)
+            self.checker.check(self.sample)
             if self.calm:
                 self._sample()
 
     def until_whole(self, name: str, limit: float) -> None:
         """Go on until every living proxy has its lease; the time of it, or the limit's breach."""
         begun = self.tier.now
-        while not self.checker.whole() and self.tier.now - begun < limit * 1_000.0:
+        while not self.checker.all_attached() and self.tier.now - begun < limit * 1_000.0:
             self.tier.run(self.tier.now + 200.0)
         self.heal[name] = (self.tier.now - begun) / 1_000.0
 
@@ -136,7 +136,7 @@
         "loss": loss,
         "bytes_per_s_proxy": round(mean, 1),
         "bytes_per_s_proxy_p99": round(percentile(rates, 0.99), 1),
-        "most_bytes_in_a_second": max(one.most_in_window for one in proxies),
+        "most_bytes_in_a_second": max(one.max_bytes_per_second for one in proxies),
         "state_age_p50_s": round(percentile(day.ages, 0.5) / 1_000.0, 3),
         "state_age_p99_s": round(percentile(day.ages, 0.99) / 1_000.0, 3),
         "missing_share": round(day.missing / max(1, day.wanted), 5),
@@ -179,7 +179,13 @@
         tier.start_proxy(proxy)
     day.until_whole("zone back", 60.0)
     day.run(2.0)
-    _fault(day, "region back", lambda: tier.cut(*tier.places("r2")), 14.0, tier.fleet.network.heal)
+    _fault(
+        day,
+        "region back",
+        lambda: tier.cut_network(*tier.split_by_region("r2")),
+        14.0,
+        tier.fleet.network.heal,
+    )
     first = [one.name for one in tier.infos]
     _fault(day, "node killed", lambda: tier.kill_node(first[0]), 0.0, lambda: None)
     tier.start_node(first[0])
@@ -201,12 +207,12 @@
 
 
 def _fault(day: Day, name: str, begin: Callable[[], None], seconds: float, end: Callable[[], None]) -> None:
-    day.checker.disturbed()
+    day.checker.record_fault()
     begin()
     day.run(seconds)
     end()
-    day.checker.disturbed()
+    day.checker.record_fault()
     day.run(3.0)
     day.until_whole(name, 60.0)
     day.heal[name] += 3.0
-    day.checker.disturbed()
+    day.checker.record_fault()
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -29,9 +29,9 @@
     write_message,
     write_release,
 )
-from martentide_lab.call_ledger import CallFault, CallLedger, arrived_bytes_are_read
-from martentide_lab.proxy import Proxy
-from martentide_lab.servers import Board, Script, SessionServer
+from martentide_lab.call_ledger import CallFault, CallLedger, read_pending_bytes
+from martentide_lab.proxy import ProxyProcess
+from martentide_lab.servers import DiscoveryServer, ServerBehavior, SessionServer
 
 TIME_LEFT = 2.5  # s a caller waits
 LATE = 0.5  # s beyond it in which an answer is still waited for, to tell a late one from none
@@ -105,7 +105,7 @@
         writer.write(message[:cut])  # in two pieces, so that some are half read as a connection moves
         await asyncio.sleep(self.rng.uniform(0.0, 0.005))
         writer.write(message[cut:])
-        self.ledger.written(call, self.loop.time() * 1000.0)
+        self.ledger.record_set_up(call, self.loop.time() * 1000.0)
         answer = await self._answer(reader, writer, call)
         if answer.type != Type.ANSWER:
             self.counts["turned_away"] += 1
@@ -130,17 +130,17 @@
         hearing = self.loop.create_task(self._hear(reader, call))
         await asyncio.wait({hearing}, timeout=TIME_LEFT)
         if not hearing.done():
-            await arrived_bytes_are_read()
+            await read_pending_bytes()
         if hearing.done():
             answer = hearing.result()
-            self.ledger.final(call)
+            self.ledger.record_final_answer(call)
             return answer
         self.ledger.expire(call)
         writer.write(write_release(call, Cause.NORMAL))
         try:
             async with asyncio.timeout(LATE):
                 await hearing
-            self.ledger.final(call)
+            self.ledger.record_final_answer(call)
         except EOFError:
             pass
         raise TimeoutError
@@ -168,15 +168,17 @@
         await asyncio.sleep(0.05)
         for call in list(server.standing):
             if rng.random() < 0.1:
-                server.finish(call)
+                server.end_call(call)
 
 
 def two_out(servers: list[SessionServer]) -> int:
     """Calls that had a second attempt out while the first was not over."""
     spans: dict[bytes, list[tuple[float, float]]] = {}
     for server in servers:
-        for one in server.arrivals:
-            spans.setdefault(one.call, []).append((one.at, one.over if one.over is not None else one.at))
+        for one in server.received_set_ups:
+            spans.setdefault(one.call, []).append(
+                (one.received_at, one.ended_at if one.ended_at is not None else one.received_at)
+            )
     return sum(
         any(later[0] < earlier[1] for earlier, later in zip(sorted(times), sorted(times)[1:], strict=False))
         for times in spans.values()
@@ -185,26 +187,26 @@
 
 async def measure(upgrades: int, seed: int, shared: bool) -> dict[str, Any]:
     rng = random.Random(seed)
-    servers = [SessionServer(number, Script(mute_share=MUTE_SHARE)) for number in (0, 1)]
-    board, ledger = Board(), CallLedger()
+    servers = [SessionServer(number, ServerBehavior(ignored_share=MUTE_SHARE)) for number in (0, 1)]
+    board, ledger = DiscoveryServer(), CallLedger()
     for server in servers:
         await server.start()
     await board.start()
     counts: Counter[str] = Counter()
-    proxy = Proxy(board, servers, None, operated=True, temporary=not shared)
+    proxy = ProxyProcess(board, servers, None, with_operator=True, with_temporary_directory=not shared)
     await proxy.start()
-    callers = [Caller(proxy.callers, at + 1, at < KEPT, counts, ledger) for at in range(KEPT + FRESH)]
+    callers = [Caller(proxy.caller_address, at + 1, at < KEPT, counts, ledger) for at in range(KEPT + FRESH)]
     tasks = [asyncio.create_task(caller.run()) for caller in callers]
     ending = [asyncio.create_task(end_calls(server, rng)) for server in servers]
     descriptors, resident, failed = 0, 0.0, 0
     for _ in range(upgrades):
         await asyncio.sleep(rng.uniform(0.2, 0.6))
-        new = await proxy.successor()
+        new = await proxy.start_successor()
         await asyncio.sleep(rng.uniform(0.0, 0.1))
-        descriptors = max(descriptors, proxy.descriptors() + new.descriptors())
-        resident = max(resident, proxy.resident() + new.resident())
-        proxy.send(signal.SIGTERM)
-        failed += await proxy.ended() != 0
+        descriptors = max(descriptors, proxy.open_descriptors() + new.open_descriptors())
+        resident = max(resident, proxy.resident_memory_mb() + new.resident_memory_mb())
+        proxy.send_signal(signal.SIGTERM)
+        failed += await proxy.wait_until_ended() != 0
         await proxy.kill()
         proxy = new
     await asyncio.sleep(0.3)
--- a/martentide_lab/checker.py
+++ b/martentide_lab/checker.py
@@ -26,100 +26,106 @@
     Welcomed,
     Withdrawn,
 )
-from martentide_lab.servers import COLD_TIME, FALL_MULTIPLE, FALL_TIME, SessionServer
+from martentide_lab.servers import COLD_TIME_MS, OVERLOAD_MULTIPLE, OVERLOAD_TIME_MS, SessionServer
 
-DRAIN_GRACE = 2_050.0  # ms, with what sockets take
-RELEASE_WAIT = 200.0  # ms
+DRAIN_GRACE_MS = 2_050.0  # ms, with what sockets take
+RELEASE_WAIT_MS = 200.0  # ms
 
 
 @dataclass(slots=True)
-class Story:
+class RequestRecord:
     """All that was said of one request, in order."""
 
-    asked: float
-    left: float | None
-    finals: int = 0
+    asked_at: float
+    time_left: float | None
+    final_answers: int = 0
     attempts: set[int] = field(default_factory=set)
-    out: int | None = None
+    attempt_out: int | None = None
     cancelled: bool = False
-    lost: bool = False  # its stream broke before the final: the front asked anew or settled it
-    told: list[str] = field(default_factory=list)
+    stream_broken: bool = False  # its stream broke before the final: the front asked anew or settled it
+    messages: list[str] = field(default_factory=list)
 
 
-class Checker:
+class ExternalProcessorChecker:
     """One for each front: its requests' numbers are its own."""
 
     def __init__(self) -> None:
-        self.stories: dict[int, Story] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.counts: Counter[str] = Counter()
-        self.broken_rules: list[str] = []
+        self.violations: list[str] = []
 
-    def tap(self, message: FromFront | ToFront, now: float) -> None:
+    def observe(self, message: FromFront | ToFront, now: float) -> None:
         if isinstance(message, Welcomed):
-            for request, story in self.stories.items():
+            for request, story in self.requests.items():
                 if request in message.standing:
-                    story.finals = 1  # said again: the first may have been lost
-                elif not story.finals and request not in message.routed:
-                    story.lost = True
+                    story.final_answers = 1  # said again: the first may have been lost
+                elif not story.final_answers and request not in message.routed:
+                    story.stream_broken = True
             return
         if isinstance(message, Ask):
-            self.stories[message.request] = Story(now, message.time_left)
+            self.requests[message.request] = RequestRecord(now, message.time_left)
             return
-        known = self.stories.get(message.request)
+        known = self.requests.get(message.request)
         if known is None:
             self._broken("unasked", message.request, "a message about a request that was never asked")
             return
-        known.told.append(f"{now:.1f} {message}")
+        known.messages.append(f"{now:.1f} {message}")
         if isinstance(message, Route):
             self._route(known, message)
         else:
             self._other(known, message, now)
 
-    def _route(self, story: Story, route: Route) -> None:
-        if story.finals:
+    def _route(self, story: RequestRecord, route: Route) -> None:
+        if story.final_answers:
             self._broken("doubled", route.request, "a route behind the final")
         if route.attempt in story.attempts:
             return  # said once more after a break
-        if story.out is not None and not story.cancelled:
+        if story.attempt_out is not None and not story.cancelled:
             self._broken("two_out", route.request, "a second attempt while one is out")
         story.attempts.add(route.attempt)
-        story.out = route.attempt
+        story.attempt_out = route.attempt
 
-    def _other(self, story: Story, message: FromFront | ToFront, now: float) -> None:
+    def _other(self, story: RequestRecord, message: FromFront | ToFront, now: float) -> None:
         match message:
             case Cancel():
-                story.cancelled, story.out = True, None
+                story.cancelled, story.attempt_out = True, None
             case Outcome():
-                story.out = None
+                story.attempt_out = None
             case Withdrawn():
-                if not message.if_unused and story.out == message.attempt:
-                    story.out = None
+                if not message.if_unused and story.attempt_out == message.attempt:
+                    story.attempt_out = None
             case Refused() | Failed() | Cancelled() | Standing():
-                story.finals += 1
-                if story.finals > 1:
+                story.final_answers += 1
+                if story.final_answers > 1:
                     self._broken("doubled", message.request, "a second final")
-                if story.left is not None and now > story.asked + story.left and not story.cancelled:
-                    self._broken("late", message.request, f"a final {now - story.asked:.1f} ms after the ask")
+                if (
+                    story.time_left is not None
+                    and now > story.asked_at + story.time_left
+                    and not story.cancelled
+                ):
+                    self._broken(
+                        "late", message.request, f"a final {now - story.asked_at:.1f} ms after the ask"
+                    )
 
     def _broken(self, rule: str, request: int, what: str) -> None:
         self.counts[rule] += 1
-        told = self.stories[request].told if request in self.stories else []
-        self.broken_rules.append(f"{rule}: request {request}: {what}: " + " | ".join(told))
+        told = self.requests[request].messages if request in self.requests else []
+        self.violations.append(f"{rule}: request {request}: {what}: " + " | ".join(told))
 
     def finish(self) -> Counter[str]:
         """At the end, when all is answered: each request has its final, or its stream broke before."""
-        for request, story in self.stories.items():
-            if not story.finals and not story.lost:
+        for request, story in self.requests.items():
+            if not story.final_answers and not story.stream_broken:
                 self._broken("missing", request, "no final")
         return self.counts
 
 
-def check_repeats(
+def check_retries(
     servers: Iterable[SessionServer], first_tries: int, share: float, members: int, each: float
 ) -> list[str]:
     """Further attempts over the whole fleet, by what came to the servers: no more than ``share`` of the
     callers' first tries, and ``each`` for every process that ever ran."""
-    came: Counter[bytes] = Counter(one.call for server in servers for one in server.arrivals)
+    came: Counter[bytes] = Counter(one.call for server in servers for one in server.received_set_ups)
     further = sum(count - 1 for count in came.values())
     most = share * first_tries + each * members
     if further > most:
@@ -127,28 +133,33 @@
     return []
 
 
-def cold_use(server: SessionServer) -> float:
+def cold_start_load(server: SessionServer) -> float:
     """The most that came to a cold server in a window of the fall-over time, over what the rule allows."""
-    begin = server.script.cold_from
+    begin = server.behavior.cold_start_at
     if begin is None:
         return 0.0
-    times = sorted(one.at for one in server.arrivals if begin <= one.at <= begin + COLD_TIME)
+    times = sorted(
+        one.received_at for one in server.received_set_ups if begin <= one.received_at <= begin + COLD_TIME_MS
+    )
     most = 0.0
     for last, when in enumerate(times):
-        count = sum(when - FALL_TIME < at <= when for at in times[: last + 1])
-        allowed = FALL_MULTIPLE * server.script.capacity(when) * FALL_TIME / 1_000.0
+        count = sum(when - OVERLOAD_TIME_MS < at <= when for at in times[: last + 1])
+        allowed = OVERLOAD_MULTIPLE * server.behavior.capacity(when) * OVERLOAD_TIME_MS / 1_000.0
         most = max(most, count / allowed)
     return most
 
 
-def cold_sum(server: SessionServer) -> float:
-    """As ``cold_use``, over what the rule allows, twice its deviation and two more: over 1 is no chance."""
-    begin = server.script.cold_from or 0.0
-    times = sorted(one.at for one in server.arrivals if begin <= one.at <= begin + COLD_TIME)
+def cold_start_load_beyond_chance(server: SessionServer) -> float:
+    """As ``cold_start_load``, over what the rule allows, twice its deviation and two more: over 1 is no
+    chance."""
+    begin = server.behavior.cold_start_at or 0.0
+    times = sorted(
+        one.received_at for one in server.received_set_ups if begin <= one.received_at <= begin + COLD_TIME_MS
+    )
     most = 0.0
     for last, when in enumerate(times):
-        count = sum(when - FALL_TIME < at <= when for at in times[: last + 1])
-        allowed = FALL_MULTIPLE * server.script.capacity(when) * FALL_TIME / 1_000.0
+        count = sum(when - OVERLOAD_TIME_MS < at <= when for at in times[: last + 1])
+        allowed = OVERLOAD_MULTIPLE * server.behavior.capacity(when) * OVERLOAD_TIME_MS / 1_000.0
         most = max(most, count / (allowed + 2.0 * math.sqrt(allowed) + 2.0))
     return most
 
@@ -166,12 +177,12 @@
     by_number: dict[bytes, list[tuple[float, float, bool]]] = {}
     for server in servers:
         told = drained.get(server.name)
-        for one in server.arrivals:
-            if told is not None and one.at > told + DRAIN_GRACE:
+        for one in server.received_set_ups:
+            if told is not None and one.received_at > told + DRAIN_GRACE_MS:
                 counts["wrong_server"] += 1
-                stories.append(f"wrong_server: {server.name} drains since {one.at - told:.0f} ms")
-            over = float("inf") if one.over is None else one.over
-            by_number.setdefault(one.number, []).append((one.at, over, one.stood))
+                stories.append(f"wrong_server: {server.name} drains since {one.received_at - told:.0f} ms")
+            over = float("inf") if one.ended_at is None else one.ended_at
+            by_number.setdefault(one.number, []).append((one.received_at, over, one.stood))
     for number, spans in by_number.items():
         spans.sort()
         for (_, over, _), (begun, _, _) in itertools.pairwise(spans):
--- a/martentide_lab/control/invariants.py
+++ b/martentide_lab/control/invariants.py
@@ -18,68 +18,70 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class TierBounds:
     """ms, bytes and shares that the invariants state."""
 
-    found: float = 6_000.0  # for a death to be known, or a new member
-    settled: float = 10_000.0  # after a fault, before which nothing is asked of whom it met
-    bytes_window: int = 2_000
+    detection: float = 6_000.0  # for a death to be known, or a new member
+    settling: float = 10_000.0  # after a fault, before which nothing is asked of whom it met
+    bytes_per_second: int = 2_000
     load_bound: float = 1.25
-    moves: int = 12  # leases of one life over a whole play: more, and it goes to and fro
-    home: float = 14_000.0  # after a fault, for proxies to be back at their region's nodes
+    leases_per_incarnation: int = 12  # leases of one life over a whole play: more, and it goes to and fro
+    return_home: float = 14_000.0  # after a fault, for proxies to be back at their region's nodes
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class TierViolation:
     rule: str
     at: float
-    who: str
+    subject: str
     text: str
 
     def __str__(self) -> str:
-        return f"{self.rule}: {self.who} at {self.at / 1000:.1f} s: {self.text}"
+        return f"{self.rule}: {self.subject} at {self.at / 1000:.1f} s: {self.text}"
 
 
 @dataclass
 class TierChecker:
-    """``look`` is called now and then while the simulation runs; ``calm_since`` by whoever plays faults."""
+    """``check`` is called now and then while the simulation runs; ``calm_since`` by whoever plays faults."""
 
     tier: SimulatedTier
-    limits: Limits = field(default_factory=Limits)
+    bounds: TierBounds = field(default_factory=TierBounds)
     calm_since: float = 0.0  # of the tier and the network; proxies that come and go are no fault
-    broken: list[Broken] = field(default_factory=list)
-    lacking: dict[tuple[str, str, str], float] = field(default_factory=dict)  # since when, by who lacks whom
+    violations: list[TierViolation] = field(default_factory=list)
+    missing_since: dict[tuple[str, str, str], float] = field(
+        default_factory=dict
+    )  # since when, by who lacks whom
 
-    def disturbed(self) -> None:
+    def record_fault(self) -> None:
         """A fault of nodes or the network begins, ends, or goes on."""
         self.calm_since = self.tier.now
 
-    def look(self, sample: list[SimulatedProxy]) -> None:
+    def check(self, sample: list[SimulatedProxy]) -> None:
         now = self.tier.now
         for proxy in sample:
             if proxy.client is not None:
                 self._past_end(proxy, now)
                 if self._settled(proxy, now):
                     self._members(proxy, now)
-        if now - self.calm_since > self.limits.settled:
+        if now - self.calm_since > self.bounds.settling:
             self._load(now)
 
     def _settled(self, proxy: SimulatedProxy, now: float) -> bool:
         if proxy.attached_at is None:
             return False
-        return now - max(self.calm_since, proxy.since, proxy.attached_at) > self.limits.settled
+        return now - max(self.calm_since, proxy.changed_at, proxy.attached_at) > self.bounds.settling
 
     def _past_end(self, proxy: SimulatedProxy, now: float) -> None:
         """By the last datagram that came to the proxy at all: nothing can be newer than that."""
         core = proxy.client
         assert core is not None
-        silent = now - proxy.heard_at
+        silent = now - proxy.received_at
         if silent <= self.tier.terms.entry_ttl + TURN:
             return
         for service in core.info.services:
             if core.state(service, now):
                 text = f"{service} is offered {silent:.0f} ms after the last word of any node"
-                self.broken.append(Broken("past-end", now, proxy.info.name, text))
+                self.violations.append(TierViolation("past-end", now, proxy.info.name, text))
 
     def _members(self, proxy: SimulatedProxy, now: float) -> None:
         core = proxy.client
@@ -87,8 +89,10 @@
         if not core.attached:
             return
         if core.node not in core.home_nodes:  # there it is told sums of its own region
-            if now - max(self.calm_since, proxy.since) > self.limits.home:
-                self.broken.append(Broken("away", now, proxy.info.name, f"its lease is at {core.node}"))
+            if now - max(self.calm_since, proxy.changed_at) > self.bounds.return_home:
+                self.violations.append(
+                    TierViolation("away", now, proxy.info.name, f"its lease is at {core.node}")
+                )
             return
         for service in core.info.services:
             held = {
@@ -98,7 +102,7 @@
                 for member in entry.members
             }
             for other in self.tier.by_service.get(service, ()):
-                if other.info.region != proxy.info.region or now - other.since <= self.limits.found:
+                if other.info.region != proxy.info.region or now - other.changed_at <= self.bounds.detection:
                     continue
                 lives = other.client is not None
                 lacked = lives and other.info.name not in held and self._settled(other, now)
@@ -110,33 +114,35 @@
     def _lasts(self, key: tuple[str, str, str], lacked: bool, now: float) -> bool:
         """Whether the member has been lacked at each look for as long as it may be."""
         if not lacked:
-            self.lacking.pop(key, None)
+            self.missing_since.pop(key, None)
             return False
-        return now - self.lacking.setdefault(key, now) > self.limits.found
+        return now - self.missing_since.setdefault(key, now) > self.bounds.detection
 
     def _break(self, rule: str, now: float, proxy: SimulatedProxy, other: SimulatedProxy) -> None:
-        text = f"{other.info.name} is so for {now - other.since:.0f} ms"
-        self.broken.append(Broken(rule, now, proxy.info.name, text))
+        text = f"{other.info.name} is so for {now - other.changed_at:.0f} ms"
+        self.violations.append(TierViolation(rule, now, proxy.info.name, text))
 
     def _load(self, now: float) -> None:
         by_region: dict[str, list[int]] = {}
         for core in self.tier.nodes.values():
             by_region.setdefault(core.region, []).append(len(core.leases))
         for region, leases in by_region.items():
-            most = max(self.tier.terms.min_bound, self.limits.load_bound * sum(leases) / len(leases)) + 1
+            most = max(self.tier.terms.min_bound, self.bounds.load_bound * sum(leases) / len(leases)) + 1
             if max(leases) > most:
                 text = f"{max(leases)} leases at one node, {most:.0f} at most"
-                self.broken.append(Broken("load", now, region, text))
+                self.violations.append(TierViolation("load", now, region, text))
 
-    def whole(self) -> bool:
+    def all_attached(self) -> bool:
         """Whether every living proxy holds a lease."""
         return all(one.client.attached for one in self.tier.proxies.values() if one.client is not None)
 
-    def finish(self) -> list[Broken]:
+    def finish(self) -> list[TierViolation]:
         for proxy in self.tier.proxies.values():
-            if proxy.moves > self.limits.moves * proxy.lives:
-                self.broken.append(Broken("flaps", self.tier.now, proxy.info.name, f"{proxy.moves} leases"))
-            if proxy.most_in_window > self.limits.bytes_window:
-                text = f"{proxy.most_in_window} bytes in a second"
-                self.broken.append(Broken("bytes", self.tier.now, proxy.info.name, text))
-        return self.broken
+            if proxy.lease_count > self.bounds.leases_per_incarnation * proxy.incarnations:
+                self.violations.append(
+                    TierViolation("flaps", self.tier.now, proxy.info.name, f"{proxy.lease_count} leases")
+                )
+            if proxy.max_bytes_per_second > self.bounds.bytes_per_second:
+                text = f"{proxy.max_bytes_per_second} bytes in a second"
+                self.violations.append(TierViolation("bytes", self.tier.now, proxy.info.name, text))
+        return self.violations
--- a/martentide_lab/control/layout.py
+++ b/martentide_lab/control/layout.py
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Sizes; ``called`` services are drawn for each proxy beside its own."""
+    """Sizes; ``called_services`` services are drawn for each proxy beside its own."""
 
     proxies: int = 4_700
     nodes: int = 10
     regions: int = 4
     zones: int = 13
     services: int = 210
-    called: int = 10
+    called_services: int = 10
 
     def zone(self, at: int) -> str:
         return f"z{at % self.zones}"
@@ -42,6 +42,6 @@
     def proxy(self, at: int, rng: random.Random) -> ProxyInfo:
         zone = self.zone(at)
         service = f"s{at // self.zones % self.services}"
-        others = rng.sample(range(self.services), min(self.called, self.services))
+        others = rng.sample(range(self.services), min(self.called_services, self.services))
         services = frozenset({service, *(f"s{other}" for other in others)})
         return ProxyInfo(f"p{at}", self.region_of_zone(zone), zone, service, services)
--- a/martentide_lab/control/processes.py
+++ b/martentide_lab/control/processes.py
@@ -15,9 +15,9 @@
 
 import psutil
 
-from martentide_lab.proxy import ROOT, START_LIMIT, Proxy
+from martentide_lab.proxy import PROJECT_ROOT, START_TIMEOUT_S, ProxyProcess
 
-FLEET = "tier"
+FLEET_NAME = "tier"
 
 
 def free_ports(count: int) -> list[int]:
@@ -37,7 +37,7 @@
         self.names = [f"c{at}" for at in range(count)]
         self.folder = Path(tempfile.mkdtemp(prefix="martentide-control-"))
         pairs = zip(self.names, ports[::2], ports[1::2], strict=True)
-        self.lines = "\n".join(
+        self.node_settings = "\n".join(
             f'{name} region="r0" address="127.0.0.1:{port}" gossip="127.0.0.1:{gossip}"'
             for name, port, gossip in pairs
         )
@@ -47,22 +47,23 @@
         """The extras of a proxy."""
         called = " ".join(json.dumps(one) for one in calls)
         return (
-            f'control-tier {{\n fleet "{FLEET}"\n region "r0"\n zone "{zone}"\n service "{service}"\n'
-            f" calls {called}\n nodes {{\n{self.lines}\n }}\n}}"
+            f'control-tier {{\n fleet "{FLEET_NAME}"\n region "r0"\n zone "{zone}"\n service "{service}"\n'
+            f" calls {called}\n nodes {{\n{self.node_settings}\n }}\n}}"
         )
 
     async def start(self, name: str) -> None:
         path = self.folder / f"{name}.kdl"
         path.write_text(
-            f'control-node {{\n fleet "{FLEET}"\n name "{name}"\n nodes {{\n{self.lines}\n }}\n}}'
+            f'control-node {{\n fleet "{FLEET_NAME}"\n name "{name}"\n '
+            f"nodes {{\n{self.node_settings}\n }}\n}}"
         )
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-B", "-m", "martentide", "control", "--extras", str(path),
-            cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+            cwd=PROJECT_ROOT, stderr=asyncio.subprocess.PIPE,
         )  # fmt: skip
         self.processes[name] = process
         assert process.stderr is not None
-        async with asyncio.timeout(START_LIMIT):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while b"control-serving" not in (line := await process.stderr.readline()):
                 if not line:
                     raise RuntimeError(f"control node {name} ended")
@@ -72,7 +73,7 @@
         while await stream.readline():
             pass
 
-    def send(self, name: str, number: signal.Signals) -> None:
+    def send_signal(self, name: str, number: signal.Signals) -> None:
         self.processes[name].send_signal(number)
 
     async def kill(self, name: str) -> None:
@@ -80,7 +81,7 @@
         process.kill()
         await process.wait()
 
-    async def end(self) -> None:
+    async def kill_all(self) -> None:
         for name in list(self.processes):
             await self.kill(name)
 
@@ -91,20 +92,20 @@
         return float(times.user + times.system), float(process.memory_info().rss) / 1e6
 
 
-async def status(proxy: Proxy) -> dict[str, Any]:
+async def control_status(proxy: ProxyProcess) -> dict[str, Any]:
     """What the proxy says of its lease and of what it holds."""
 
     def ask() -> dict[str, Any]:
-        with urllib.request.urlopen(f"http://{proxy.operator}/control/fleet", timeout=5) as answer:
+        with urllib.request.urlopen(f"http://{proxy.operator_address}/control/fleet", timeout=5) as answer:
             told: dict[str, Any] = json.load(answer)
         return told
 
     return await asyncio.to_thread(ask)
 
 
-async def until_attached(proxies: list[Proxy], limit: float) -> None:
+async def wait_until_attached(proxies: list[ProxyProcess], limit: float) -> None:
     """Until all hold a lease; raises TimeoutError."""
     async with asyncio.timeout(limit):
         for proxy in proxies:
-            while (await status(proxy))["state"] != "attached":
+            while (await control_status(proxy))["state"] != "attached":
                 await asyncio.sleep(0.1)
--- a/martentide_lab/control/simulated.py
+++ b/martentide_lab/control/simulated.py
@@ -49,27 +49,27 @@
 
     info: ProxyInfo
     client: ControlClient | None = None
-    lives: int = 0
-    since: float = 0.0  # of this life, or of its end
+    incarnations: int = 0
+    changed_at: float = 0.0  # of this life, or of its end
     capacity: int = 100
     pressure: int = 0
     bytes_in: int = 0
     bytes_out: int = 0
-    lately: deque[tuple[float, int]] = field(default_factory=deque)
-    lately_sum: int = 0
-    most_in_window: int = 0
+    recent_datagrams: deque[tuple[float, int]] = field(default_factory=deque)
+    recent_bytes: int = 0
+    max_bytes_per_second: int = 0
     attached_at: float | None = None
-    heard_at: float = 0.0  # of any datagram of a node
-    alone: int = 0
-    moves: int = 0  # leases taken
+    received_at: float = 0.0  # of any datagram of a node
+    isolations: int = 0
+    lease_count: int = 0  # leases taken
 
-    def count(self, now: float, size: int) -> None:
+    def count_bytes(self, now: float, size: int) -> None:
         """Bytes of one datagram, to or from it; both count towards its bound."""
-        self.lately.append((now, size))
-        self.lately_sum += size
-        while self.lately[0][0] <= now - WINDOW:
-            self.lately_sum -= self.lately.popleft()[1]
-        self.most_in_window = max(self.most_in_window, self.lately_sum)
+        self.recent_datagrams.append((now, size))
+        self.recent_bytes += size
+        while self.recent_datagrams[0][0] <= now - WINDOW:
+            self.recent_bytes -= self.recent_datagrams.popleft()[1]
+        self.max_bytes_per_second = max(self.max_bytes_per_second, self.recent_bytes)
 
 
 class SimulatedTier:
@@ -90,13 +90,13 @@
         self.infos = layout.node_infos()
         self.nodes: dict[str, ControlNode] = {}
         self.node_bytes = dict.fromkeys((info.name for info in self.infos), 0)
-        self.stopped: dict[str, list[Callable[[], None]]] = {}
+        self.queued_events: dict[str, list[Callable[[], None]]] = {}
         self.proxies: dict[str, SimulatedProxy] = {}
         for at in range(layout.proxies):
             info = layout.proxy(at, self.rng)
             self.proxies[info.name] = SimulatedProxy(info)
         pressed = round(pressed_share * layout.services)
-        self.pressed = {f"s{at}" for at in self.rng.sample(range(layout.services), pressed)}
+        self.pressed_services = {f"s{at}" for at in self.rng.sample(range(layout.services), pressed)}
         self.by_service: dict[str, list[SimulatedProxy]] = {}
         for proxy in self.proxies.values():
             self.by_service.setdefault(proxy.info.service, []).append(proxy)
@@ -124,15 +124,15 @@
     def kill_node(self, name: str) -> None:
         self.fleet.kill(name)
         self.nodes.pop(name, None)
-        self.stopped.pop(name, None)
+        self.queued_events.pop(name, None)
 
     def stop_node(self, name: str) -> None:
         self.fleet.stop(name)
-        self.stopped[name] = []
+        self.queued_events[name] = []
 
     def continue_node(self, name: str) -> None:
-        waiting = self.stopped.pop(name, [])
-        self.fleet.wake(name)
+        waiting = self.queued_events.pop(name, [])
+        self.fleet.resume(name)
         for event in waiting:
             event()
         if (core := self.nodes.get(name)) is not None:
@@ -141,8 +141,8 @@
     def start_proxy(self, proxy: SimulatedProxy) -> None:
         if proxy.client is not None:
             return
-        proxy.lives += 1
-        proxy.since, proxy.attached_at = self.now, None
+        proxy.incarnations += 1
+        proxy.changed_at, proxy.attached_at = self.now, None
         proxy.client = ControlClient(
             proxy.info, self.infos, self.terms, self.rng.getrandbits(48), self.now
         )  # fmt: skip
@@ -150,7 +150,7 @@
 
     def kill_proxy(self, proxy: SimulatedProxy) -> None:
         if proxy.client is not None:
-            proxy.client, proxy.since, proxy.attached_at = None, self.now, None
+            proxy.client, proxy.changed_at, proxy.attached_at = None, self.now, None
 
     def end_proxy(self, proxy: SimulatedProxy) -> None:
         """A planned end, which the node is told of."""
@@ -158,13 +158,13 @@
             self._feed_proxy(proxy, client.Depart())
             self.kill_proxy(proxy)
 
-    def cut(self, here: Iterable[str], there: Iterable[str]) -> None:
+    def cut_network(self, here: Iterable[str], there: Iterable[str]) -> None:
         """Nothing passes between the two groups of zones and control nodes."""
         one, other = list(here), list(there)
         self.fleet.network.set(one, other, cut=True)
         self.fleet.network.set(other, one, cut=True)
 
-    def places(self, region: str) -> tuple[list[str], list[str]]:
+    def split_by_region(self, region: str) -> tuple[list[str], list[str]]:
         """Zones and control nodes of a region, and all others."""
         inside = self.layout.zones_of(region) + [one.name for one in self.infos if one.region == region]
         every = [f"z{at}" for at in range(self.layout.zones)] + [one.name for one in self.infos]
@@ -180,10 +180,10 @@
             self._feed_proxy(proxy, client.Due())
         if not core.departed:
             due = max(core.due, self.now + 1.0)
-            self.fleet.later(due - self.now, lambda: self._proxy_due(proxy, core))
+            self.fleet.schedule(due - self.now, lambda: self._proxy_due(proxy, core))
 
     def _move_pressure(self, proxy: SimulatedProxy) -> None:
-        if proxy.info.service in self.pressed:
+        if proxy.info.service in self.pressed_services:
             moved = proxy.pressure + self.rng.randrange(-150, 151)
             proxy.pressure = min(900, max(0, moved))
         self._feed_proxy(proxy, client.OwnState(proxy.capacity, proxy.pressure))
@@ -197,31 +197,31 @@
                     self._to_node(proxy, name, message)
                 case client.Attached():
                     proxy.attached_at = self.now
-                    proxy.moves += 1
+                    proxy.lease_count += 1
                 case client.Isolated():
-                    proxy.alone += 1
+                    proxy.isolations += 1
 
     def _to_node(self, proxy: SimulatedProxy, name: str, message: ToNode) -> None:
         assert isinstance(message, Join | Heartbeat | Leave)
         size = len(encode_control(message)) + FRAMING
         proxy.bytes_out += size
-        proxy.count(self.now, size)
-        for fate in self.fleet.network.fates((proxy.info.zone, name), self.rng):
-            if not fate.damaged:
+        proxy.count_bytes(self.now, size)
+        for fate in self.fleet.network.deliveries((proxy.info.zone, name), self.rng):
+            if not fate.corrupted:
                 event = FromProxy(message, proxy.info.name)
-                self.fleet.later(fate.delay, lambda event=event: self._feed_node(name, event))  # type: ignore[misc]
+                self.fleet.schedule(fate.delay, lambda event=event: self._feed_node(name, event))  # type: ignore[misc]
 
     # ---- control nodes ----------------------------------------------------------------------------------
 
     def _node_due(self, name: str, core: ControlNode) -> None:
-        if self.nodes.get(name) is not core or name in self.stopped:
+        if self.nodes.get(name) is not core or name in self.queued_events:
             return
         self._feed_node(name, node.Due())
-        self.fleet.later(max(1.0, core.due - self.now), lambda: self._node_due(name, core))
+        self.fleet.schedule(max(1.0, core.due - self.now), lambda: self._node_due(name, core))
 
     def _feed_node(self, name: str, event: node.Event) -> None:
-        if name in self.stopped:
-            self.stopped[name].append(lambda: self._feed_node(name, event))
+        if name in self.queued_events:
+            self.queued_events[name].append(lambda: self._feed_node(name, event))
             return
         core = self.nodes.get(name)
         if core is None:
@@ -231,22 +231,22 @@
                 case SendToProxy(address, message):
                     self._to_proxy(name, str(address), message)
                 case SendToPeer(to, between):
-                    self.fleet.feed(name, SendPayload(to, encode_control(between)))
+                    self.fleet.handle_event(name, SendPayload(to, encode_control(between)))
 
     def _to_proxy(self, name: str, address: str, message: ToProxy) -> None:
         proxy = self.proxies[address]
         size = len(encode_control(message)) + FRAMING
         self.node_bytes[name] += size
-        life = proxy.lives
-        for fate in self.fleet.network.fates((name, proxy.info.zone), self.rng):
-            if not fate.damaged:
-                self.fleet.later(fate.delay, lambda: self._at_proxy(proxy, life, message, size))
+        life = proxy.incarnations
+        for fate in self.fleet.network.deliveries((name, proxy.info.zone), self.rng):
+            if not fate.corrupted:
+                self.fleet.schedule(fate.delay, lambda: self._at_proxy(proxy, life, message, size))
 
     def _at_proxy(self, proxy: SimulatedProxy, life: int, message: ToProxy, size: int) -> None:
         proxy.bytes_in += size
-        proxy.count(self.now, size)
-        proxy.heard_at = self.now
-        if proxy.lives == life:
+        proxy.count_bytes(self.now, size)
+        proxy.received_at = self.now
+        if proxy.incarnations == life:
             self._feed_proxy(proxy, client.FromNode(message))
 
     def _observe(self, name: str, action: Action) -> None:
--- a/martentide_lab/fleet/__main__.py
+++ b/martentide_lab/fleet/__main__.py
@@ -13,8 +13,8 @@
 
 from martentide.fleet.wire import State
 from martentide_lab.fleet.rig import Rig
-from martentide_lab.fleet.search import play, search, shrink
-from martentide_lab.fleet.story import Script, ScriptError, Step, load_script, read_script
+from martentide_lab.fleet.scenario import Scenario, ScenarioError, Step, load_scenario, parse_scenario
+from martentide_lab.fleet.search import play_steps, search, shrink
 
 DEMO = """
 fleet proxies=4 servers=4 zones=3 seconds=30 seed=1 rate=60
@@ -33,19 +33,22 @@
     pass
 
 
-def script_of(path: str | None) -> Script:
+def script_of(path: str | None) -> Scenario:
     try:
-        return load_script(path) if path else read_script(DEMO, "the small script")
-    except ScriptError as error:
+        return load_scenario(path) if path else parse_scenario(DEMO, "the small script")
+    except ScenarioError as error:
         click.echo(f"martentide_lab.fleet: {error}", err=True)
         sys.exit(2)
 
 
 def table(rig: Rig) -> Table:
     """Who holds whom for what, and what callers were told."""
-    names = rig.script.names()
-    last = next((step for step in reversed(rig.script.steps) if step.at <= rig.now() - rig.played_at), None)
-    shown = Table(title=f"{(rig.now() - rig.played_at) / 1000:5.1f} s  {last or ''}")
+    names = rig.scenario.names()
+    last = next(
+        (step for step in reversed(rig.scenario.steps) if step.at <= rig.now() - rig.scenario_started_at),
+        None,
+    )
+    shown = Table(title=f"{(rig.now() - rig.scenario_started_at) / 1000:5.1f} s  {last or ''}")
     shown.add_column("proxy")
     shown.add_column("zone")
     for name in names:
@@ -55,11 +58,15 @@
     for name in names:
         cells = []
         for about in names:
-            held = rig.held.get(name, {}).get(about)
+            held = rig.views.get(name, {}).get(about)
             state = None if held is None or name not in rig.proxies else State(held)
             cells.append("" if state is None else f"[{STYLES[state]}]{state.name.lower()}[/]")
-        load = rig.loads.get(name)
-        told = ("-", "-") if load is None else (str(load.told["answer"]), str(load.told["release"]))
+        load = rig.load_generators.get(name)
+        told = (
+            ("-", "-")
+            if load is None
+            else (str(load.answer_counts["answer"]), str(load.answer_counts["release"]))
+        )
         up = name if name in rig.proxies else f"[red]{name} down[/]"
         shown.add_row(up, rig.zone(name), *cells, *told)
     return shown
@@ -74,13 +81,15 @@
 
     async def go() -> list[str]:
         with Live(console=console, refresh_per_second=4) as live:
-            async with Rig(chosen, fleet=not alone, show=lambda rig: live.update(table(rig))) as rig:
+            async with Rig(
+                chosen, with_fleet=not alone, on_progress=lambda rig: live.update(table(rig))
+            ) as rig:
                 await rig.play()
                 live.update(table(rig))
-                broken = rig.broken()
+                broken = rig.violations()
                 if broken:
                     live.stop()
-                    console.print(rig.story(200), markup=False)
+                    console.print(rig.recent_events(200), markup=False)
                 return broken
 
     broken = asyncio.run(go())
@@ -94,13 +103,13 @@
     sys.exit(1)
 
 
-def report_shortest(console: Console, script: Script, broken: list[str]) -> None:
+def report_shortest(console: Console, script: Scenario, broken: list[str]) -> None:
     """The shortest script that breaks the same in simulated time, where the fault is the fleet's."""
     rules = {line.split(":")[0] for line in broken}
     until = script.seconds * 1000.0
 
     def fails(steps: Sequence[Step]) -> bool:
-        return bool(rules & {one.rule for one in play(script.proxies, script.seed, steps, until)[0]})
+        return bool(rules & {one.rule for one in play_steps(script.proxies, script.seed, steps, until)[0]})
 
     if fails(script.steps):
         shortest = "\n".join(map(str, shrink(script.steps, fails)))
@@ -115,7 +124,7 @@
 @click.argument("script")
 def simulate(script: str) -> None:
     chosen = script_of(script)
-    broken, log = play(chosen.proxies, chosen.seed, chosen.steps, chosen.seconds * 1000.0)
+    broken, log = play_steps(chosen.proxies, chosen.seed, chosen.steps, chosen.seconds * 1000.0)
     for event in log:
         click.echo(str(event))
     for one in broken:
--- a/martentide_lab/fleet/faults.py
+++ b/martentide_lab/fleet/faults.py
@@ -22,11 +22,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fate:
-    """One arrival: after ``delay`` ms, with a byte changed where ``damaged``."""
+class Delivery:
+    """One arrival: after ``delay`` ms, with a byte changed where ``corrupted``."""
 
     delay: float
-    damaged: bool
+    corrupted: bool
 
 
 class Network:
@@ -48,7 +48,7 @@
                     pair = (source, target)
                     self.links[pair] = replace(self.link(pair), **figures)  # type: ignore[arg-type]
 
-    def all(self, **figures: float | bool) -> None:
+    def set_all(self, **figures: float | bool) -> None:
         """Change what all links have."""
         self.base = replace(self.base, **figures)  # type: ignore[arg-type]
         self.links = {pair: replace(one, **figures) for pair, one in self.links.items()}  # type: ignore[arg-type]
@@ -58,19 +58,19 @@
         self.links.clear()
         self.base = replace(self.base, cut=False)
 
-    def fates(self, pair: Pair, dice: random.Random) -> list[Fate]:
+    def deliveries(self, pair: Pair, dice: random.Random) -> list[Delivery]:
         """What becomes of one datagram: no arrival, one, or two."""
         one = self.link(pair)
         if one.cut or dice.random() < one.loss:
             return []
         copies = 2 if one.duplicate and dice.random() < one.duplicate else 1
         return [
-            Fate(one.delay + one.jitter * dice.random(), bool(one.damage) and dice.random() < one.damage)
+            Delivery(one.delay + one.jitter * dice.random(), bool(one.damage) and dice.random() < one.damage)
             for _ in range(copies)
         ]
 
 
-def damaged(data: bytes, dice: random.Random) -> bytes:
+def corrupt(data: bytes, dice: random.Random) -> bytes:
     """The datagram with one byte changed."""
     at = dice.randrange(len(data))
     return data[:at] + bytes((data[at] ^ dice.randrange(1, 256),)) + data[at + 1 :]
--- a/martentide_lab/fleet/ghost.py
+++ b/martentide_lab/fleet/hollow_member.py
@@ -13,16 +13,16 @@
 from martentide_lab.fleet.hub import Hub
 
 
-class Ghost(asyncio.DatagramProtocol):
-    """``change`` turns each datagram into the bytes that go out; None: as the frame writes it."""
+class HollowMember(asyncio.DatagramProtocol):
+    """``transform`` turns each datagram into the bytes that go out; None: as the frame writes it."""
 
     def __init__(
         self,
         name: str,
         fleet: str = "rig",
-        change: Callable[[Frame, Datagram], bytes] | None = None,
+        transform: Callable[[Frame, Datagram], bytes] | None = None,
     ) -> None:
-        self.name, self.frame, self.change = name, Frame(fleet), change
+        self.name, self.frame, self.transform = name, Frame(fleet), transform
         self.loop = asyncio.get_running_loop()
         self.core: Membership | None = None
         self.transport: asyncio.DatagramTransport | None = None
@@ -34,7 +34,7 @@
         self.transport, _ = await self.loop.create_datagram_endpoint(
             lambda: self, local_addr=("127.0.0.1", 0)
         )
-        hub.settle(self.name, self.transport.get_extra_info("sockname"))
+        hub.set_member_address(self.name, self.transport.get_extra_info("sockname"))
         now = self.loop.time() * 1000.0
         self.core = Membership(self.name, "varna", told, seeds, Terms(), 1, now)
         self._arm()
@@ -54,7 +54,7 @@
         for action in self.core.handle(self.loop.time() * 1000.0, event):
             if isinstance(action, Send):
                 said = action.datagram
-                data = self.frame.write(said) if self.change is None else self.change(self.frame, said)
+                data = self.frame.write(said) if self.transform is None else self.transform(self.frame, said)
                 self.transport.sendto(data, action.address)
         self._arm()
 
--- a/martentide_lab/fleet/invariants.py
+++ b/martentide_lab/fleet/invariants.py
@@ -1,9 +1,10 @@
 """What must hold in a fleet, read from the log of what was done to processes and what *others* saw of them.
 
-    found-dead     a process that is killed, or left, is known as such to every other within ``Limits.found``
+    found-dead     a process that is killed, or left, is known as such to every other within
+                   ``Bounds.detection``
     not-accused    a process that runs, and that an observer can reach, is not taken for dead by it
     not-raised     one that was killed is not alive again without having been started
-    one-fleet      ``Limits.healed`` after the last fault all that run know each other, and nobody else
+    one-fleet      ``Bounds.healing`` after the last fault all that run know each other, and nobody else
     one-name       of two processes under one name at most one speaks
 
 A process is *disturbed* while it is stopped or cut off, and for a while after: nothing is asked of it then.
@@ -16,32 +17,32 @@
 from typing import Any
 
 from martentide.fleet.wire import State
-from martentide_lab.fleet.story import Event, split_names
+from martentide_lab.fleet.scenario import Event, split_names
 from martentide_lab.servers import SessionServer
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class Bounds:
     """ms"""
 
-    found: float = 8_000.0
-    settled: float = 6_000.0  # without a disturbance, after which two are owed the truth of each other
-    healed: float = 8_000.0
-    stop: float = 700.0  # a shorter stop must not be taken for a death
+    detection: float = 8_000.0
+    settling: float = 6_000.0  # without a disturbance, after which two are owed the truth of each other
+    healing: float = 8_000.0
+    suspension: float = 700.0  # a shorter stop must not be taken for a death
     loss: float = 0.25  # share of datagrams lost, beyond which a false accusation is no fault
     delay: float = 40.0  # ms one way on all links, beyond which probes come too late
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class Violation:
     rule: str
     at: float
-    who: str
-    about: str
+    observer: str
+    subject: str
     text: str
 
     def __str__(self) -> str:
-        return f"{self.rule}: {self.at / 1000:.3f} s: {self.who} about {self.about}: {self.text}"
+        return f"{self.rule}: {self.at / 1000:.3f} s: {self.observer} about {self.subject}: {self.text}"
 
 
 @dataclass(slots=True)
@@ -55,11 +56,11 @@
 
 
 @dataclass
-class Checker:
+class FleetChecker:
     """Fed the log in order; ``finish`` gives what was broken."""
 
     names: Sequence[str]
-    limits: Limits = field(default_factory=Limits)
+    bounds: Bounds = field(default_factory=Bounds)
 
     def __post_init__(self) -> None:
         self.processes: dict[str, Process] = {}
@@ -71,26 +72,26 @@
         self.last_fault = 0.0
         self.owed: list[tuple[float, str, str, int, float]] = []  # due, observer, about, life, since
         self.ended: dict[int, float] = {}  # lives that are over
-        self.broken: list[Broken] = []
+        self.violations: list[Violation] = []
 
-    def check(self, log: Iterable[Event], end: float) -> list[Broken]:
+    def check(self, log: Iterable[Event], end: float) -> list[Violation]:
         for event in sorted(log, key=lambda event: event.at):
-            self.take(event)
+            self.handle_event(event)
         return self.finish(end)
 
     # ---- the log ----------------------------------------------------------------------------------------
 
-    def take(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         self._pay(event.at)
         match event.kind:
             case "started":
-                self.processes[event.about] = Process(event.fields["life"], event.at)
-                self.views[event.about] = {}
+                self.processes[event.subject] = Process(event.fields["life"], event.at)
+                self.views[event.subject] = {}
                 self.last_fault = event.at
             case "killed" | "left":
                 self._ended(event)
             case "stopped" | "starved":
-                if (one := self.processes.get(event.about)) is not None:
+                if (one := self.processes.get(event.subject)) is not None:
                     one.stopped = event.at
                     self.last_fault = event.at
             case "continued" | "fed":
@@ -100,27 +101,27 @@
             case "member":
                 self._seen(event)
             case "displaced":
-                if (one := self.processes.get(event.who)) is not None:
+                if (one := self.processes.get(event.observer)) is not None:
                     one.disturbed = float("inf")  # it has no say any more
 
     def _ended(self, event: Event) -> None:
-        one = self.processes.get(event.about)
+        one = self.processes.get(event.subject)
         if one is None or one.ended is not None:
             return
         one.ended, one.left = event.at, event.kind == "left"
         self.ended[one.life] = event.at
         self.last_fault = event.at
         for name in self.names:
-            held = self.views[name].get(event.about)
-            if name != event.about and self._runs(name) and held is not None and held[1] < State.DEAD:
-                due = event.at + self.limits.found
+            held = self.views[name].get(event.subject)
+            if name != event.subject and self._runs(name) and held is not None and held[1] < State.DEAD:
+                due = event.at + self.bounds.detection
                 if held[0] == one.life:
-                    self.owed.append((due, name, event.about, one.life, event.at))
+                    self.owed.append((due, name, event.subject, one.life, event.at))
 
     def _continued(self, event: Event) -> None:
-        one = self.processes.get(event.about)
+        one = self.processes.get(event.subject)
         if one is not None and one.stopped is not None:
-            if event.at - one.stopped > self.limits.stop:
+            if event.at - one.stopped > self.bounds.suspension:
                 one.disturbed = event.at
                 self.last_fault = event.at
             one.stopped = None
@@ -128,11 +129,11 @@
     def _fault(self, event: Event) -> None:
         arguments: Sequence[Any] = event.fields.get("arguments", ())
         self.last_fault = event.at
-        match event.about:
+        match event.subject:
             case "split" | "cut":
                 here, there = (split_names(text) for text in arguments)
                 pairs = {(a, b) for a in here for b in there}
-                if event.about == "split":
+                if event.subject == "split":
                     pairs |= {(b, a) for a, b in pairs}
                 for pair in pairs:
                     self.cut[pair] = True
@@ -141,11 +142,11 @@
                     self.cut_until[pair] = event.at
                 self.cut.clear()
             case "loss":
-                if self.loss > self.limits.loss:
+                if self.loss > self.bounds.loss:
                     self.loss_until = event.at
                 self.loss = arguments[0]
             case "delay":
-                if self.delay > self.limits.delay:
+                if self.delay > self.bounds.delay:
                     self.loss_until = event.at
                 self.delay = arguments[0]
 
@@ -158,25 +159,25 @@
         one = self.processes.get(name)
         if one is None or one.ended is not None:
             return False
-        if one.stopped is not None and at - one.stopped > self.limits.stop:
+        if one.stopped is not None and at - one.stopped > self.bounds.suspension:
             return False
-        return at - one.disturbed > self.limits.settled and at - one.since > 0
+        return at - one.disturbed > self.bounds.settling and at - one.since > 0
 
     def _reach(self, a: str, b: str, at: float) -> bool:
         """Whether both have heard each other all the time, by whatever way: no link at either is cut."""
         cut_now = any(a in pair or b in pair for pair in self.cut)
         lately = any(
-            at - until <= self.limits.settled for pair, until in self.cut_until.items() if {a, b} & set(pair)
+            at - until <= self.bounds.settling for pair, until in self.cut_until.items() if {a, b} & set(pair)
         )
         lossy = (
-            self.loss > self.limits.loss
-            or self.delay > self.limits.delay
-            or at - self.loss_until <= self.limits.settled
+            self.loss > self.bounds.loss
+            or self.delay > self.bounds.delay
+            or at - self.loss_until <= self.bounds.settling
         )
         return not (cut_now or lately or lossy)
 
     def _seen(self, event: Event) -> None:
-        who, about, state, life = event.who, event.about, event.fields["state"], event.fields["life"]
+        who, about, state, life = event.observer, event.subject, event.fields["state"], event.fields["life"]
         old = self.views[who].get(about)
         self.views[who][about] = (life, state)
         one = self.processes.get(about)
@@ -186,7 +187,7 @@
             if calm and self._reach(who, about, event.at):
                 self._break("not-accused", event, event.fields.get("evidence", ""))
         ended = self.ended.get(life)
-        late = ended is not None and event.at - ended > self.limits.found
+        late = ended is not None and event.at - ended > self.bounds.detection
         if (
             late
             and state < State.DEAD
@@ -196,7 +197,7 @@
             self._break("not-raised", event, f"it ended {event.at - (ended or 0.0):.0f} ms before")
 
     def _break(self, rule: str, event: Event, text: str) -> None:
-        self.broken.append(Broken(rule, event.at, event.who, event.about, text))
+        self.violations.append(Violation(rule, event.at, event.observer, event.subject, text))
 
     # ---- what is owed ------------------------------------------------------------------------------------
 
@@ -206,22 +207,22 @@
             observer = self.processes.get(name)
             if observer is None or observer.ended is not None or observer.since > since:
                 continue
-            if observer.stopped is not None or observer.disturbed > since - self.limits.settled:
+            if observer.stopped is not None or observer.disturbed > since - self.bounds.settling:
                 continue
             held = self.views[name].get(about)
             if held is not None and held[0] == life and held[1] < State.DEAD:
                 text = f"ended at {since / 1000:.3f} s and still held for alive"
-                self.broken.append(Broken("found-dead", due, name, about, text))
+                self.violations.append(Violation("found-dead", due, name, about, text))
 
-    def finish(self, end: float) -> list[Broken]:
+    def finish(self, end: float) -> list[Violation]:
         self._pay(end)
         if (
-            end - self.last_fault < self.limits.healed
+            end - self.last_fault < self.bounds.healing
             or self.cut
-            or self.loss > self.limits.loss
-            or self.delay > self.limits.delay
+            or self.loss > self.bounds.loss
+            or self.delay > self.bounds.delay
         ):
-            return self.broken
+            return self.violations
         up = {
             name
             for name, one in self.processes.items()
@@ -232,14 +233,14 @@
             if held != up - {name}:
                 lacking, beyond = sorted(up - {name} - held), sorted(held - up)
                 text = f"does not know {lacking}, holds {beyond} for alive"
-                self.broken.append(Broken("one-fleet", end, name, "", text))
-        return self.broken
+                self.violations.append(Violation("one-fleet", end, name, "", text))
+        return self.violations
 
 
 def check_withdrawn(server: SessionServer, since: float, bound: float) -> list[str]:
     """``withdrawn``: a server that a version takes away gets nothing new later than ``bound`` ms after
     somebody heard that it is in force (Unix ms), by what came to the server itself."""
-    late = [one.at - since for one in server.arrivals if one.at > since + bound]
+    late = [one.received_at - since for one in server.received_set_ups if one.received_at > since + bound]
     return [f"withdrawn: {len(late)} set-ups came up to {max(late):.0f} ms after"] if late else []
 
 
@@ -250,8 +251,8 @@
     in force (Unix ms), and before ``until``, gets no more of them; by what came to all servers together."""
     times: dict[bytes, list[float]] = {}
     for server in servers:
-        for one in server.arrivals:
-            times.setdefault(one.call, []).append(one.at)
+        for one in server.received_set_ups:
+            times.setdefault(one.call, []).append(one.received_at)
     late = [min(at) - since for at in times.values() if since + bound < min(at) < until and len(at) > most]
     return (
         [f"attempts: {len(late)} calls got more than {most}, up to {max(late):.0f} ms after"] if late else []
--- a/martentide_lab/fleet/story.py
+++ b/martentide_lab/fleet/scenario.py
@@ -40,10 +40,10 @@
     "surge-at": ("NAMES", "SHARE"),  # at some members only
     "upgrade": ("NAMES",),  # a second process takes over
 }
-SERVER_WORDS = ("hung", "mute", "well", "full", "error", "gone", "back")
+SERVER_STATES = ("hung", "mute", "well", "full", "error", "gone", "back")
 
 
-class ScriptError(Exception):
+class ScenarioError(Exception):
     """A script can't be played; the text is one line with place, found and expected."""
 
 
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True)
-class Script:
+class Scenario:
     proxies: int = 4
     servers: int = 4
     zones: int = 3
@@ -84,29 +84,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """``who`` saw or did it; ``about`` whom it concerns."""
+    """``observer`` saw or did it; ``subject`` whom it concerns."""
 
     at: float
     kind: str
-    who: str
-    about: str = ""
+    observer: str
+    subject: str = ""
     fields: dict[str, Any] = field(default_factory=dict)
 
     def __str__(self) -> str:
         more = " ".join(f"{name}={value}" for name, value in self.fields.items())
-        return f"{self.at / 1000:8.3f}  {self.who:<10} {self.kind:<14} {self.about:<10} {more}".rstrip()
+        return (
+            f"{self.at / 1000:8.3f}  {self.observer:<10} {self.kind:<14} {self.subject:<10} {more}".rstrip()
+        )
 
 
 def split_names(text: str) -> list[str]:
     return [name for name in text.split(",") if name]
 
 
-def read_script(text: str, path: str) -> Script:
-    """Raises ScriptError."""
+def parse_scenario(text: str, path: str) -> Scenario:
+    """Raises ScenarioError."""
     try:
         document = ckdl.parse(text)
     except ckdl.ParseError as error:
-        raise ScriptError(f"{path}: {error}") from None
+        raise ScenarioError(f"{path}: {error}") from None
     head: dict[str, Any] = {}
     steps: list[Step] = []
     for number, node in enumerate(document.nodes, 1):
@@ -115,51 +117,51 @@
             for name, value in node.properties.items():
                 known = {"proxies", "servers", "zones", "seconds", "seed", "rate"}
                 if name not in known or type(value) not in (int, float) or value < 0:
-                    raise ScriptError(f"{where}: {name}={value!r}: expected a number for {sorted(known)}")
+                    raise ScenarioError(f"{where}: {name}={value!r}: expected a number for {sorted(known)}")
                 head[name] = value if name in ("seconds", "rate") else int(value)
         elif node.name == "at":
             steps.append(_step(node.args, where))
         else:
-            raise ScriptError(f"{where}: expected fleet or at, found {node.name}")
-    script = Script(**head, steps=tuple(sorted(steps, key=lambda step: step.at)))
+            raise ScenarioError(f"{where}: expected fleet or at, found {node.name}")
+    script = Scenario(**head, steps=tuple(sorted(steps, key=lambda step: step.at)))
     _check_names(script, path)
     return script
 
 
 def _step(arguments: Sequence[Any], where: str) -> Step:
     if len(arguments) < 2 or type(arguments[0]) not in (int, float) or arguments[0] < 0:
-        raise ScriptError(f"{where}: expected seconds and a verb, found {list(arguments)!r}")
+        raise ScenarioError(f"{where}: expected seconds and a verb, found {list(arguments)!r}")
     at, verb, *rest = arguments
     if verb not in VERBS:
-        raise ScriptError(f"{where}: expected one of {', '.join(VERBS)}, found {verb!r}")
+        raise ScenarioError(f"{where}: expected one of {', '.join(VERBS)}, found {verb!r}")
     wanted = VERBS[verb]
     if len(rest) != len(wanted):
-        raise ScriptError(f"{where}: {verb} takes {' '.join(wanted) or 'nothing'}, found {rest!r}")
+        raise ScenarioError(f"{where}: {verb} takes {' '.join(wanted) or 'nothing'}, found {rest!r}")
     for kind, value in zip(wanted, rest, strict=True):
         if kind in ("NAMES", "WORD") and not isinstance(value, str):
-            raise ScriptError(f"{where}: expected {kind}, found {value!r}")
+            raise ScenarioError(f"{where}: expected {kind}, found {value!r}")
         if kind == "SHARE" and (type(value) not in (int, float) or not 0 <= value <= 10):
-            raise ScriptError(f"{where}: expected a share, found {value!r}")
+            raise ScenarioError(f"{where}: expected a share, found {value!r}")
         if kind == "MS" and (type(value) not in (int, float) or not 0 <= value <= 60_000):
-            raise ScriptError(f"{where}: expected milliseconds, found {value!r}")
+            raise ScenarioError(f"{where}: expected milliseconds, found {value!r}")
         if kind == "S" and (type(value) not in (int, float) or abs(value) > 1e7):
-            raise ScriptError(f"{where}: expected seconds, found {value!r}")
-        if kind == "WORD" and value not in SERVER_WORDS:
-            raise ScriptError(f"{where}: expected one of {', '.join(SERVER_WORDS)}, found {value!r}")
+            raise ScenarioError(f"{where}: expected seconds, found {value!r}")
+        if kind == "WORD" and value not in SERVER_STATES:
+            raise ScenarioError(f"{where}: expected one of {', '.join(SERVER_STATES)}, found {value!r}")
     return Step(at * 1000.0, verb, tuple(rest))
 
 
-def _check_names(script: Script, path: str) -> None:
+def _check_names(script: Scenario, path: str) -> None:
     known = {*script.names(), *(f"s{at}" for at in range(script.servers)), "board", "callers"}
     for step in script.steps:
         for kind, value in zip(VERBS[step.verb], step.arguments, strict=True):
             for name in split_names(value) if kind == "NAMES" else ():
                 if name not in known:
-                    raise ScriptError(f"{path}: {step}: no such member or server: {name}")
+                    raise ScenarioError(f"{path}: {step}: no such member or server: {name}")
 
 
-def load_script(path: str) -> Script:
+def load_scenario(path: str) -> Scenario:
     try:
-        return read_script(Path(path).read_text(), path)
+        return parse_scenario(Path(path).read_text(), path)
     except (OSError, UnicodeDecodeError) as error:
-        raise ScriptError(f"{path}: {error}") from None
+        raise ScenarioError(f"{path}: {error}") from None
--- a/martentide_lab/fleet/search.py
+++ b/martentide_lab/fleet/search.py
@@ -6,30 +6,30 @@
 from collections.abc import Callable, Iterator, Sequence
 
 from martentide_lab.fleet.faults import Link
-from martentide_lab.fleet.invariants import Broken, Checker
+from martentide_lab.fleet.invariants import FleetChecker, Violation
+from martentide_lab.fleet.scenario import Event, Step
 from martentide_lab.fleet.simulated import SimulatedFleet
-from martentide_lab.fleet.story import Event, Step
 
-END = 40_000.0  # ms a script lasts
-QUIET = 12_000.0  # at its end, in which all is to come right
-FIRST = 3_000.0  # before the first fault
+SCENARIO_MS = 40_000.0  # ms a script lasts
+QUIET_MS = 12_000.0  # at its end, in which all is to come right
+FIRST_FAULT_MS = 3_000.0  # before the first fault
 
 
-def play(
-    members: int, seed: int, steps: Sequence[Step], until: float = END, base: Link | None = None
-) -> tuple[list[Broken], list[Event]]:
+def play_steps(
+    members: int, seed: int, steps: Sequence[Step], until: float = SCENARIO_MS, base: Link | None = None
+) -> tuple[list[Violation], list[Event]]:
     """What the script breaks, and the log of it."""
     fleet = SimulatedFleet(members, seed, base=base)
     log = fleet.play(tuple(steps), until)
-    return Checker(list(fleet.nodes)).check(log, until), log
+    return FleetChecker(list(fleet.members)).check(log, until), log
 
 
-def random_steps(seed: int, members: int, until: float = END - QUIET) -> list[Step]:
+def random_steps(seed: int, members: int, until: float = SCENARIO_MS - QUIET_MS) -> list[Step]:
     """Faults of all kinds up to ``until``; what is cut, stopped or lossy then is mended there."""
     dice = random.Random(seed)
     names = [f"n{at}" for at in range(members)]
     steps: list[Step] = []
-    when = FIRST
+    when = FIRST_FAULT_MS
     while (when := when + dice.expovariate(1 / 1_500.0)) < until:
         name = dice.choice(names)
         match dice.randrange(10):
@@ -82,15 +82,15 @@
         size = max(1, size // 2)
 
 
-def search(seeds: range, members: int) -> Iterator[tuple[int, list[Step], list[Broken]]]:
+def search(seeds: range, members: int) -> Iterator[tuple[int, list[Step], list[Violation]]]:
     """Each seed's script that breaks something, at its shortest."""
     for seed in seeds:
         steps = random_steps(seed, members)
-        broken, _ = play(members, seed, steps)
+        broken, _ = play_steps(members, seed, steps)
         if broken:
             rule = broken[0].rule
 
             def fails(fewer: Sequence[Step], seed: int = seed, rule: str = rule) -> bool:
-                return any(one.rule == rule for one in play(members, seed, fewer)[0])
+                return any(one.rule == rule for one in play_steps(members, seed, fewer)[0])
 
             yield seed, shrink(steps, fails), broken
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -26,41 +26,41 @@
 from martentide.fleet.events import Event as CoreEvent
 from martentide.fleet.terms import Terms
 from martentide.fleet.wire import Datagram, DatagramError, Frame, Kind
-from martentide_lab.fleet.faults import Link, Network, damaged
-from martentide_lab.fleet.story import Event, Step, split_names
+from martentide_lab.fleet.faults import Link, Network, corrupt
+from martentide_lab.fleet.scenario import Event, Step, split_names
 from martentide_lab.simulation import Simulation
 
-MOST_WAITING = 200  # datagrams that the socket of a stopped process holds
+MAX_QUEUED_DATAGRAMS = 200  # datagrams that the socket of a stopped process holds
 # By which members' clocks run apart: within the core's MAX_CLOCK_DRIFT.
-PACES = (0.0, 0.0004, -0.0004, 0.0002, -0.0001)
+CLOCK_DRIFTS = (0.0, 0.0004, -0.0004, 0.0002, -0.0001)
 Address = tuple[str, int]
 
 
 @dataclass
-class Node:
-    """One process: its core, and the clock it reads (``offset``, ``pace``)."""
+class SimulatedMember:
+    """One process: its core, and the clock it reads (``clock_offset``, ``clock_rate``)."""
 
     name: str
     zone: str
     address: Address
-    offset: float
+    clock_offset: float
     core: Membership | None = None
     stopped: bool = False
-    waiting: list[bytes | Datagram] = field(default_factory=list)
+    queued: list[bytes | Datagram] = field(default_factory=list)
     due: float = 0.0  # what the queue holds for it
-    sent: int = 0  # bytes
-    datagrams: int = 0
-    lives: int = 0
-    starving: int = 0  # the life that is kept from the processor
-    pace: float = 1.0  # ms of its clock in one of the true ones
+    sent_bytes: int = 0  # bytes
+    sent_datagrams: int = 0
+    incarnations: int = 0
+    starved_incarnation: int = 0  # the life that is kept from the processor
+    clock_rate: float = 1.0  # ms of its clock in one of the true ones
     counts: Counter[str] = field(default_factory=Counter)
 
-    def clock(self, now: float) -> float:
-        return now * self.pace + self.offset
+    def own_time(self, now: float) -> float:
+        return now * self.clock_rate + self.clock_offset
 
-    def true(self, own: float) -> float:
+    def true_time(self, own: float) -> float:
         """The time at which its clock shows that."""
-        return (own - self.offset) / self.pace
+        return (own - self.clock_offset) / self.clock_rate
 
 
 class SimulatedFleet(Simulation):
@@ -75,168 +75,170 @@
         zones: int = 3,
         seeds: int = 3,
         name: str = "f",
-        wire: bool = True,  # False: datagrams go as they are, which is quicker; damaged ones are lost
+        encode_datagrams: bool = True,  # False: datagrams go as they are (quicker); damaged ones are lost
     ) -> None:
         super().__init__()
-        self.wire = wire
-        self.dice = random.Random(seed)
+        self.encode_datagrams = encode_datagrams
+        self.rng = random.Random(seed)
         self.terms = terms or Terms()
         self.network = Network(base or Link(delay=1.0, jitter=2.0))
         self.frame = Frame(name)
         self.log: list[Event] = []
         self.observers: list[Callable[[str, Action], None]] = []
-        self.nodes: dict[str, Node] = {}
-        self.at: dict[Address, str] = {}
+        self.members: dict[str, SimulatedMember] = {}
+        self.names_by_address: dict[Address, str] = {}
         self.seeds = tuple(("127.0.0.1", 20_000 + at) for at in range(seeds))
         for at in range(members):
             address = ("127.0.0.1", 20_000 + at)
-            offset = self.dice.uniform(0, 1e7)
-            pace = 1.0 + PACES[at % len(PACES)]
-            self.nodes[f"n{at}"] = Node(f"n{at}", f"z{at % zones}", address, offset, pace=pace)
-            self.at[address] = f"n{at}"
+            offset = self.rng.uniform(0, 1e7)
+            pace = 1.0 + CLOCK_DRIFTS[at % len(CLOCK_DRIFTS)]
+            self.members[f"n{at}"] = SimulatedMember(
+                f"n{at}", f"z{at % zones}", address, offset, clock_rate=pace
+            )
+            self.names_by_address[address] = f"n{at}"
 
     # ---- time -------------------------------------------------------------------------------------------
 
     def play(self, steps: tuple[Step, ...], until: float) -> list[Event]:
         """All members start at once; then the steps; the log of it all."""
         for step in steps:
-            self.later(step.at - self.now, lambda step=step: self.do(step))  # type: ignore[misc]
-        for name in self.nodes:
+            self.schedule(step.at - self.now, lambda step=step: self.execute_step(step))  # type: ignore[misc]
+        for name in self.members:
             self.start(name)
         self.run(until)
         return self.log
 
-    def acquaint(self) -> None:
+    def start_acquainted(self) -> None:
         """All start, and know each other from the first moment: where the cold start is not the question."""
-        for name in self.nodes:
+        for name in self.members:
             self.start(name)
-        words = [node.core.me for node in self.nodes.values() if node.core is not None]
-        for name, node in self.nodes.items():
+        words = [node.core.me for node in self.members.values() if node.core is not None]
+        for name, node in self.members.items():
             assert node.core is not None
             teller = words[0] if words[0].name != name else words[1]
             rest = [word for word in words if word.name != name]
-            self.feed(
+            self.handle_event(
                 name, DatagramReceived(Datagram(Kind.MISSING, teller, node.core.me.life, 0, members=rest))
             )
 
     # ---- processes --------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
-        node = self.nodes[name]
+        node = self.members[name]
         if node.core is not None:
             return
-        node.lives += 1
-        node.stopped, node.starving = False, 0
-        node.waiting.clear()
-        now = node.clock(self.now)
+        node.incarnations += 1
+        node.stopped, node.starved_incarnation = False, 0
+        node.queued.clear()
+        now = node.own_time(self.now)
         node.core = Membership(
-            name, node.zone, node.address, self.seeds, self.terms, self.dice.getrandbits(48), now
+            name, node.zone, node.address, self.seeds, self.terms, self.rng.getrandbits(48), now
         )
         self._log("started", name, name, life=node.core.me.life)
         self._schedule(node)
 
     def kill(self, name: str) -> None:
-        node = self.nodes[name]
+        node = self.members[name]
         if node.core is not None:
             node.core = None
             self._log("killed", name, name)
 
     def term(self, name: str) -> None:
-        node = self.nodes[name]
+        node = self.members[name]
         if node.core is not None:
-            self.feed(name, Depart())
+            self.handle_event(name, Depart())
             node.core = None
             self._log("left", name, name)
 
     def stop(self, name: str) -> None:
-        node = self.nodes[name]
-        self.satisfy(name)
+        node = self.members[name]
+        self.unstarve(name)
         if node.core is not None and not node.stopped:
             node.stopped = True
             self._log("stopped", name, name)
 
-    def wake(self, name: str) -> None:
-        node = self.nodes[name]
-        if node.core is None or not node.stopped or node.starving:
+    def resume(self, name: str) -> None:
+        node = self.members[name]
+        if node.core is None or not node.stopped or node.starved_incarnation:
             return
         self._log("continued", name, name)
         self._run_on(node)
 
-    def _run_on(self, node: Node) -> None:
+    def _run_on(self, node: SimulatedMember) -> None:
         """The process runs again, with what lay in its socket meanwhile."""
         node.stopped = False
-        waiting, node.waiting = node.waiting, []
-        if self.dice.random() < 0.5:  # the loop may turn to its timers or to its sockets first
-            self.feed(node.name, Due())
+        waiting, node.queued = node.queued, []
+        if self.rng.random() < 0.5:  # the loop may turn to its timers or to its sockets first
+            self.handle_event(node.name, Due())
         for data in waiting:
             self._arrive(node.name, data)
-        self.feed(node.name, Due())
+        self.handle_event(node.name, Due())
 
     def starve(self, name: str) -> None:
-        """Kept from the processor nine tenths of the time, until ``satisfy``."""
-        node = self.nodes[name]
-        if node.core is None or node.stopped or node.starving:
+        """Kept from the processor nine tenths of the time, until ``unstarve``."""
+        node = self.members[name]
+        if node.core is None or node.stopped or node.starved_incarnation:
             return
-        node.starving = node.lives
+        node.starved_incarnation = node.incarnations
         self._log("starved", name, name)
-        self._pause(node, node.lives)
+        self._pause(node, node.incarnations)
 
-    def satisfy(self, name: str) -> None:
-        node = self.nodes[name]
-        if node.starving:
-            node.starving = 0
+    def unstarve(self, name: str) -> None:
+        node = self.members[name]
+        if node.starved_incarnation:
+            node.starved_incarnation = 0
             if node.core is not None:
                 self._run_on(node)
                 self._log("fed", name, name)
 
-    def _pause(self, node: Node, life: int) -> None:
-        if node.starving == life and node.core is not None:
+    def _pause(self, node: SimulatedMember, life: int) -> None:
+        if node.starved_incarnation == life and node.core is not None:
             node.stopped = True
-            self.later(250.0, lambda: self._breathe(node, life))
+            self.schedule(250.0, lambda: self._breathe(node, life))
 
-    def _breathe(self, node: Node, life: int) -> None:
-        if node.starving == life and node.core is not None:
+    def _breathe(self, node: SimulatedMember, life: int) -> None:
+        if node.starved_incarnation == life and node.core is not None:
             self._run_on(node)
-            self.later(30.0, lambda: self._pause(node, life))
+            self.schedule(30.0, lambda: self._pause(node, life))
 
-    def feed(self, name: str, event: CoreEvent) -> None:
-        node = self.nodes[name]
+    def handle_event(self, name: str, event: CoreEvent) -> None:
+        node = self.members[name]
         if node.core is None:
             return
         if node.stopped:
             return
-        for action in node.core.handle(node.clock(self.now), event):
+        for action in node.core.handle(node.own_time(self.now), event):
             self._act(node, action)
         self._schedule(node)
 
     def publish(self, name: str, kind: int, body: bytes, end: int = 10_000) -> None:
-        self.feed(name, Publish(kind, 1, end, body))
+        self.handle_event(name, Publish(kind, 1, end, body))
 
-    def _schedule(self, node: Node) -> None:
+    def _schedule(self, node: SimulatedMember) -> None:
         core = node.core
         if core is None or core.displaced:
             return
-        due = max(self.now, node.true(core.due)) + 0.01  # rounding must not bring it before its time
+        due = max(self.now, node.true_time(core.due)) + 0.01  # rounding must not bring it before its time
         if node.due <= self.now or due < node.due:
             node.due = due
-            self.later(due - self.now, lambda: self._due(node, core, due))
+            self.schedule(due - self.now, lambda: self._due(node, core, due))
 
-    def _due(self, node: Node, core: Membership, due: float) -> None:
+    def _due(self, node: SimulatedMember, core: Membership, due: float) -> None:
         if node.core is not core or node.due != due or node.stopped:
             return
         node.due = 0.0
-        self.feed(node.name, Due())
+        self.handle_event(node.name, Due())
 
-    def _act(self, node: Node, action: Action) -> None:
+    def _act(self, node: SimulatedMember, action: Action) -> None:
         match action:
             case Send(address, datagram):
-                if not self.wire:
-                    node.datagrams += 1
+                if not self.encode_datagrams:
+                    node.sent_datagrams += 1
                     self._carry(node.name, address, datagram)
                     return
                 data = self.frame.write(datagram)
-                node.sent += len(data) + 28  # with the headers of IP and UDP
-                node.datagrams += 1
+                node.sent_bytes += len(data) + 28  # with the headers of IP and UDP
+                node.sent_datagrams += 1
                 node.counts["largest"] = max(node.counts["largest"], len(data))
                 self._carry(node.name, address, data)
             case Changed(word, old, by, evidence):
@@ -254,47 +256,47 @@
             observe(node.name, action)
 
     def _carry(self, source: str, address: Address, data: bytes | Datagram) -> None:
-        target = self.at.get(address)
+        target = self.names_by_address.get(address)
         if target is None:
             return
-        for fate in self.network.fates((source, target), self.dice):
+        for fate in self.network.deliveries((source, target), self.rng):
             body = data
-            if fate.damaged:
-                body = damaged(data, self.dice) if isinstance(data, bytes) else b""
-            self.later(fate.delay, lambda body=body: self._arrive(target, body))  # type: ignore[misc]
+            if fate.corrupted:
+                body = corrupt(data, self.rng) if isinstance(data, bytes) else b""
+            self.schedule(fate.delay, lambda body=body: self._arrive(target, body))  # type: ignore[misc]
 
     def _arrive(self, name: str, data: bytes | Datagram) -> None:
-        node = self.nodes[name]
+        node = self.members[name]
         if node.core is None:
             return
         if node.stopped:
-            if len(node.waiting) < MOST_WAITING:
-                node.waiting.append(data)
+            if len(node.queued) < MAX_QUEUED_DATAGRAMS:
+                node.queued.append(data)
             return
         if isinstance(data, Datagram):
-            self.feed(name, DatagramReceived(data))
+            self.handle_event(name, DatagramReceived(data))
             return
         try:
             said = self.frame.read(data)
         except DatagramError as error:
             node.counts[error.why.value] += 1
             return
-        self.feed(name, DatagramReceived(said))
+        self.handle_event(name, DatagramReceived(said))
 
     def _log(self, kind: str, who: str, about: str, **fields: object) -> None:
         self.log.append(Event(self.now, kind, who, about, fields))
 
     # ---- faults -----------------------------------------------------------------------------------------
 
-    def do(self, step: Step) -> None:
+    def execute_step(self, step: Step) -> None:
         """Carry out one step of a script; those that have no meaning here are passed over."""
         one: dict[str, Callable[[str], None]] = {
             "kill": self.kill, "term": self.term, "start": self.start, "stop": self.stop,
-            "continue": self.wake, "starve": self.starve, "feed": self.satisfy,
+            "continue": self.resume, "starve": self.starve, "feed": self.unstarve,
         }  # fmt: skip
         if step.verb in one:
             for name in split_names(step.arguments[0]):
-                if name in self.nodes:
+                if name in self.members:
                     one[step.verb](name)
         else:
             apply_to_network(self.network, step)
@@ -312,10 +314,10 @@
         case ("heal",):
             network.heal()
         case ("loss", share):
-            network.all(loss=share)
+            network.set_all(loss=share)
         case ("delay", span, jitter):
-            network.all(delay=span, jitter=jitter)
+            network.set_all(delay=span, jitter=jitter)
         case ("duplicate", share):
-            network.all(duplicate=share)
+            network.set_all(duplicate=share)
         case ("damage", share):
-            network.all(damage=share)
+            network.set_all(damage=share)
--- a/martentide_lab/fleet/agreeing.py
+++ b/martentide_lab/fleet/simulated_agreement.py
@@ -30,9 +30,9 @@
 from martentide.agreement.messages import encode
 from martentide.agreement.ruleset import RuleSet, contradictions, encode_rules, rules_from
 from martentide_lab.fleet.faults import Link
+from martentide_lab.fleet.scenario import Step
 from martentide_lab.fleet.search import random_steps
-from martentide_lab.fleet.simulated import Node, SimulatedFleet
-from martentide_lab.fleet.story import Step
+from martentide_lab.fleet.simulated import SimulatedFleet, SimulatedMember
 
 
 def rule_set(attempts: int, repeat: str = "keyed", state: str = "ready") -> bytes:
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class Voiced:
+class ProposalResult:
     """What one proposer heard."""
 
     request: str
@@ -55,7 +55,7 @@
     at: float
 
 
-class AgreeingFleet(SimulatedFleet):
+class SimulatedAgreementFleet(SimulatedFleet):
     """Each member has an agreement core beside the fleet's; the first ``voters`` vote."""
 
     def __init__(
@@ -67,36 +67,38 @@
         base: Link | None = None,
         kind: type[Agreement] = Agreement,
     ) -> None:
-        super().__init__(members, seed, base=base, wire=False)
-        self.agreement_terms, self.kind = terms or LeaseTimings(), kind
+        super().__init__(members, seed, base=base, encode_datagrams=False)
+        self.agreement_terms, self.core_type = terms or LeaseTimings(), kind
         self.voters = [f"n{at}" for at in range(voters)]
         self.agreements: dict[str, Agreement] = {}
         self.disks: dict[str, VoterState] = {}
-        self.words: dict[str, list[tuple[str, bytes]]] = {}  # that lie in the sockets of stopped processes
-        self.voiced: list[Voiced] = []
-        self.forced: dict[int, str] = {}  # by version, what it holds, by whoever acted on it first
-        self.broken: list[str] = []
-        self.refuse: dict[str, str] = {}  # members that turn versions down, and why
-        self.safe_ms: dict[str, float] = dict.fromkeys(self.nodes, 0.0)
-        self.words_said: dict[str, tuple[int, int]] = {}  # and their bytes, by who said them
-        self.looked = 0.0
-        self.requests = itertools.count(1)
-        self.turns: dict[str, float] = {}
+        self.queued_messages: dict[
+            str, list[tuple[str, bytes]]
+        ] = {}  # that lie in the sockets of stopped processes
+        self.results: list[ProposalResult] = []
+        self.requests_in_force: dict[int, str] = {}  # by version, what it holds, by whoever acted on it first
+        self.violations: list[str] = []
+        self.rejections: dict[str, str] = {}  # members that turn versions down, and why
+        self.safe_ms: dict[str, float] = dict.fromkeys(self.members, 0.0)
+        self.sent_messages: dict[str, tuple[int, int]] = {}  # and their bytes, by who said them
+        self.checked_at = 0.0
+        self.request_numbers = itertools.count(1)
+        self.timers: dict[str, float] = {}
         self.verdicts: dict[tuple[bytes, bytes], list[str]] = {}
 
     # ---- processes --------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
-        fresh = self.nodes[name].core is None
+        fresh = self.members[name].core is None
         super().start(name)
         if not fresh:
             return
-        node = self.nodes[name]
+        node = self.members[name]
         assert node.core is not None
-        self.words[name] = []
-        self.agreements[name] = self.kind(
-            name, node.core.me.life, self.voters, self.agreement_terms, self.dice.getrandbits(48),
-            node.clock(self.now), self.disks.get(name),
+        self.queued_messages[name] = []
+        self.agreements[name] = self.core_type(
+            name, node.core.me.life, self.voters, self.agreement_terms, self.rng.getrandbits(48),
+            node.own_time(self.now), self.disks.get(name),
         )  # fmt: skip
         self._wake_later(name)
 
@@ -112,36 +114,39 @@
         super().term(name)
         self.agreements.pop(name, None)
 
-    def _run_on(self, node: Node) -> None:
+    def _run_on(self, node: SimulatedMember) -> None:
         super()._run_on(node)
-        words, self.words[node.name] = self.words.get(node.name, []), []
+        words, self.queued_messages[node.name] = self.queued_messages.get(node.name, []), []
         for sender, body in words:
-            self.agree(node.name, Received(sender, body))
+            self.handle_agreement_event(node.name, Received(sender, body))
         self._wake_later(node.name)
 
     # ---- events -----------------------------------------------------------------------------------------
 
-    def agree(self, name: str, event: AgreementEvent) -> None:
-        one, node = self.agreements.get(name), self.nodes[name]
+    def handle_agreement_event(self, name: str, event: AgreementEvent) -> None:
+        one, node = self.agreements.get(name), self.members[name]
         if one is None or node.core is None or node.stopped:
             return
-        for action in one.handle(node.clock(self.now), event):
+        for action in one.handle(node.own_time(self.now), event):
             match action:
                 case Send(to, word):
                     body = encode(word)
-                    said, size = self.words_said.get(name, (0, 0))
-                    self.words_said[name] = (said + 1, size + len(body))
+                    said, size = self.sent_messages.get(name, (0, 0))
+                    self.sent_messages[name] = (said + 1, size + len(body))
                     self._carry_word(name, to, body)
                 case Persist(kept):
                     self.disks[name] = kept
                 case Check(version):
-                    checked = Checked(version.number, self.refuse.get(name, ""))
-                    self.later(self.dice.uniform(1.0, 40.0), functools.partial(self.agree, name, checked))
+                    checked = Checked(version.number, self.rejections.get(name, ""))
+                    self.schedule(
+                        self.rng.uniform(1.0, 40.0),
+                        functools.partial(self.handle_agreement_event, name, checked),
+                    )
                 case ApplyRules(rules, number, joint, _):
                     self._log("act", name, name, number=number, joint=joint, safe=rules is None)
                 case ProposalResolved(request, done, number, text):
                     self._log("answered", name, name, request=request, done=done, number=number, text=text)
-                    self.voiced.append(Voiced(request, done, number, self.now))
+                    self.results.append(ProposalResult(request, done, number, self.now))
                 case LogEvent(what, detail):
                     self._log(what, name, name, detail=detail)
         self._look()
@@ -149,43 +154,43 @@
 
     def propose(self, name: str, rules: bytes, base: int = -1) -> str:
         one = self.agreements.get(name)
-        number = str(next(self.requests))
-        if one is None or self.nodes[name].stopped:
+        number = str(next(self.request_numbers))
+        if one is None or self.members[name].stopped:
             return ""
-        self.agree(name, Propose(number, base, rules, "somebody", "a test"))
+        self.handle_agreement_event(name, Propose(number, base, rules, "somebody", "a test"))
         return f"{name}/{one.process_id}/{number}"
 
-    def put(self, name: str, rules: bytes) -> None:
+    def propose_and_forget(self, name: str, rules: bytes) -> None:
         self.propose(name, rules)
 
     def _wake_later(self, name: str) -> None:
-        one, node = self.agreements.get(name), self.nodes[name]
+        one, node = self.agreements.get(name), self.members[name]
         if one is None:
             return
-        due = max(self.now, node.true(one.next_deadline)) + 0.01
-        if not self.now < self.turns.get(name, 0.0) <= due:
-            self.turns[name] = due
-            self.later(due - self.now, lambda: self._turn(name, one, due))
+        due = max(self.now, node.true_time(one.next_deadline)) + 0.01
+        if not self.now < self.timers.get(name, 0.0) <= due:
+            self.timers[name] = due
+            self.schedule(due - self.now, lambda: self._turn(name, one, due))
 
     def _turn(self, name: str, one: Agreement, due: float) -> None:
-        if self.agreements.get(name) is one and self.turns.get(name) == due:
-            self.turns[name] = 0.0
-            self.agree(name, TimerExpired())
+        if self.agreements.get(name) is one and self.timers.get(name) == due:
+            self.timers[name] = 0.0
+            self.handle_agreement_event(name, TimerExpired())
 
     def _carry_word(self, source: str, target: str, body: bytes) -> None:
-        if target not in self.nodes:
+        if target not in self.members:
             return
-        for fate in self.network.fates((source, target), self.dice):
-            if not fate.damaged:
-                self.later(fate.delay, lambda: self._arrive_word(source, target, body))
+        for fate in self.network.deliveries((source, target), self.rng):
+            if not fate.corrupted:
+                self.schedule(fate.delay, lambda: self._arrive_word(source, target, body))
 
     def _arrive_word(self, source: str, target: str, body: bytes) -> None:
-        node = self.nodes[target]
+        node = self.members[target]
         if node.core is not None and node.stopped:
-            self.words.setdefault(target, []).append((source, body))
-            del self.words[target][256:]
+            self.queued_messages.setdefault(target, []).append((source, body))
+            del self.queued_messages[target][256:]
         else:
-            self.agree(target, Received(source, body))
+            self.handle_agreement_event(target, Received(source, body))
 
     # ---- what must hold -----------------------------------------------------------------------------------
 
@@ -193,8 +198,8 @@
         """By what each acts that runs and whose lease holds; none on safe rules, which contradict nothing."""
         found = {}
         for name, one in self.agreements.items():
-            node = self.nodes[name]
-            if node.core is not None and not node.stopped and one.lease_valid(node.clock(self.now)):
+            node = self.members[name]
+            if node.core is not None and not node.stopped and one.lease_valid(node.own_time(self.now)):
                 rules = one.rules()
                 if rules is not None:
                     found[name] = rules
@@ -202,9 +207,9 @@
 
     def _look(self) -> None:
         acting = self.acting()
-        span, self.looked = self.now - self.looked, self.now
+        span, self.checked_at = self.now - self.checked_at, self.now
         for name in self.agreements:
-            if name not in acting and not self.nodes[name].stopped:
+            if name not in acting and not self.members[name].stopped:
                 self.safe_ms[name] += span
         known = {encode_rules(rules): (name, rules) for name, rules in acting.items()}
         for (one, (name, mine)), (other, (peer, theirs)) in itertools.combinations(known.items(), 2):
@@ -212,45 +217,49 @@
             if key not in self.verdicts:
                 self.verdicts[key] = contradictions(mine, theirs)
             if self.verdicts[key]:
-                self.broken.append(
+                self.violations.append(
                     f"no-contradiction: {self.now:.0f} ms: {name} and {peer}: {self.verdicts[key][0]}"
                 )
         for name in acting:
             version = self.agreements[name].known_state.in_force
-            held = self.forced.setdefault(version.number, version.request)
+            held = self.requests_in_force.setdefault(version.number, version.request)
             if held != version.request:
-                self.broken.append(f"one-order: {self.now:.0f} ms: {name}: two versions {version.number}")
+                self.violations.append(f"one-order: {self.now:.0f} ms: {name}: two versions {version.number}")
 
     def finish(self) -> list[str]:
         """Also that no version is lost of which a proposer heard that it is in force."""
         newest = max((one.known_state.in_force.number for one in self.agreements.values()), default=0)
-        for one in self.voiced:
+        for one in self.results:
             if (
                 one.done
                 and one.number
-                and (one.number > newest or self.forced.get(one.number, one.request) != one.request)
+                and (
+                    one.number > newest or self.requests_in_force.get(one.number, one.request) != one.request
+                )
             ):
-                self.broken.append(f"not-lost: version {one.number} of {one.request}, the newest is {newest}")
-        return self.broken
+                self.violations.append(
+                    f"not-lost: version {one.number} of {one.request}, the newest is {newest}"
+                )
+        return self.violations
 
 
 def play_random(
     seed: int, members: int = 5, kind: type[Agreement] = Agreement, steps: Sequence[Step] | None = None
-) -> AgreeingFleet:
+) -> SimulatedAgreementFleet:
     """Random faults and random proposals; in the end all is mended and one more has to come into force."""
     dice = random.Random(seed)
-    fleet = AgreeingFleet(members, seed, base=Link(delay=2.0, jitter=8.0, loss=0.02), kind=kind)
+    fleet = SimulatedAgreementFleet(members, seed, base=Link(delay=2.0, jitter=8.0, loss=0.02), kind=kind)
     chosen = random_steps(seed, members, 24_000.0) if steps is None else steps
     for step in chosen:
-        fleet.later(step.at, functools.partial(fleet.do, step))
-    names = list(fleet.nodes)
+        fleet.schedule(step.at, functools.partial(fleet.execute_step, step))
+    names = list(fleet.members)
     when = 1_500.0
     while (when := when + dice.expovariate(1 / 700.0)) < 24_000.0:
         rules = rule_set(
             dice.randint(1, 3), dice.choice(["keyed", "once-only"]), dice.choice(["ready", "gone"])
         )
         name = dice.choice(names)
-        fleet.later(when, functools.partial(fleet.put, name, rules))
+        fleet.schedule(when, functools.partial(fleet.propose_and_forget, name, rules))
     for name in names:
         fleet.start(name)
     fleet.run(24_000.0)
@@ -260,7 +269,7 @@
         fleet.run(34_000.0 + 1_000.0 * at)
         fleet.propose(names[-1], rule_set(9))
     fleet.run(40_000.0)
-    if not any(one.done and one.at > 34_000.0 for one in fleet.voiced):
-        fleet.broken.append("live: nothing came into force after all was mended")
+    if not any(one.done and one.at > 34_000.0 for one in fleet.results):
+        fleet.violations.append("live: nothing came into force after all was mended")
     fleet.finish()
     return fleet
--- a/martentide_lab/fronts.py
+++ b/martentide_lab/fronts.py
@@ -1,7 +1,8 @@
 """Stand-in front proxies: they carry set-ups to session servers themselves and ask for the decisions.
 
-``Lines`` are a front's own connections to the servers; ``RawFront`` speaks the own service frame by frame, so
-that a test can break its rules; ``EnvoyStream`` plays one request as Envoy's ext_proc filter would.
+``UpstreamConnections`` are a front's own connections to the servers; ``RawFrontProxy`` speaks the own service
+frame by frame, so that a test can break its rules; ``EnvoyStream`` plays one request as Envoy's ext_proc
+filter would.
 """
 
 from __future__ import annotations
@@ -34,19 +35,19 @@
 PROCESS = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 
 
-class Lines:
+class UpstreamConnections:
     """One connection to each session server, shared by all set-ups of a front."""
 
     def __init__(self, seed: int = 1) -> None:
         self.writers: dict[str, asyncio.StreamWriter] = {}
-        self.dials: dict[str, asyncio.Lock] = {}
+        self.dial_tasks: dict[str, asyncio.Lock] = {}
         self.waiting: dict[bytes, asyncio.Future[Message]] = {}
         self.standing: dict[bytes, str] = {}
         self.ids = itertools.count(seed << 40)
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def _writer(self, address: str) -> asyncio.StreamWriter:
-        async with self.dials.setdefault(address, asyncio.Lock()):
+        async with self.dial_tasks.setdefault(address, asyncio.Lock()):
             writer = self.writers.get(address)
             if writer is None or writer.is_closing():
                 host, _, port = address.rpartition(":")
@@ -112,7 +113,7 @@
         full = message.text(Code.NOTE) == "all_trunks_busy"
         return Attempt(ending, full, report), call
 
-    async def hang_up(self, address: str, call: bytes) -> None:
+    async def release(self, address: str, call: bytes) -> None:
         (await self._writer(address)).write(write_release(call, Cause.NORMAL))
 
     def close(self) -> None:
@@ -122,7 +123,7 @@
             writer.close()
 
 
-class RawFront:
+class RawFrontProxy:
     """One stream of the own service, frame by frame."""
 
     def __init__(self, address: str) -> None:
@@ -132,7 +133,7 @@
         self.token = b""
         self.lock = asyncio.Lock()
 
-    async def __aenter__(self) -> RawFront:
+    async def __aenter__(self) -> RawFrontProxy:
         return self
 
     async def __aexit__(
--- a/martentide_lab/proxy.py
+++ b/martentide_lab/proxy.py
@@ -15,10 +15,10 @@
 
 import psutil
 
-from martentide_lab.servers import Board, SessionServer
+from martentide_lab.servers import DiscoveryServer, SessionServer
 
-ROOT = Path(__file__).parent.parent
-START_LIMIT = 20.0  # s
+PROJECT_ROOT = Path(__file__).parent.parent
+START_TIMEOUT_S = 20.0  # s
 CLASSES = (("status-check", 1.0, 1500.0, 9000.0), ("qualified-sign", 6.0, 1000.0, 6000.0),
            ("envelope-prep", 2.0, 1200.0, 9000.0))  # fmt: skip
 
@@ -62,59 +62,65 @@
     }  # fmt: skip
 
 
-class Proxy:
-    """One running program. ``log`` holds its lines; ``address`` is the external processor's."""
+class ProxyProcess:
+    """One running program. ``log`` holds its lines; ``external_processor_address`` is the external
+    processor's."""
 
     def __init__(
         self,
-        board: Board,
+        discovery: DiscoveryServer,
         servers: Sequence[SessionServer],
         extras: str | None,
-        operated: bool = False,
+        with_operator: bool = False,
         folder: Path | None = None,
-        temporary: bool = True,  # whether the program has a $TMPDIR, in which a successor finds it
+        with_temporary_directory: bool = True,  # the program has a $TMPDIR, in which a successor finds it
         name: str = "n0",
-        via: Mapping[str, str]
+        address_overrides: Mapping[str, str]
         | None = None,  # by server or "board": the address told instead of the true one
         **limits: Any,
     ) -> None:
-        self.name, self.via, self.limits = name, via or {}, limits
-        self.board, self.servers, self.extras, self.operated = board, servers, extras, operated
+        self.name, self.address_overrides, self.limits = name, address_overrides or {}, limits
+        self.discovery, self.servers, self.extras, self.with_operator = (
+            discovery,
+            servers,
+            extras,
+            with_operator,
+        )
         self.environment: dict[str, str] = {}  # beside the usual
-        self.temporary, self.listen = temporary, "127.0.0.1:0"
-        self.fleet = 1  # proxies that the settings tell of
+        self.with_temporary_directory, self.listen = with_temporary_directory, "127.0.0.1:0"
+        self.proxy_count = 1  # proxies that the settings tell of
         self.folder = folder or Path(tempfile.mkdtemp(prefix="martentide-"))
         self.process: asyncio.subprocess.Process | None = None
         self.log: list[str] = []
-        self.heard = asyncio.Event()
-        self.address = self.callers = self.operator = ""
+        self.log_line_received = asyncio.Event()
+        self.external_processor_address = self.caller_address = self.operator_address = ""
         self.reader: asyncio.Task[None] | None = None
-        self.watcher: Callable[[Proxy, str], None] | None = None  # told of each line
+        self.on_log_line: Callable[[ProxyProcess, str], None] | None = None  # told of each line
 
-    async def __aenter__(self) -> Proxy:
+    async def __aenter__(self) -> ProxyProcess:
         await self.start()
         return self
 
     async def __aexit__(self, *_: object) -> None:
         await self.kill()
 
-    def write(self, extras: str | None) -> None:
+    def write_extras(self, extras: str | None) -> None:
         if extras is not None:
             (self.folder / "extras.kdl").write_text(extras)
 
     async def start(self) -> None:
-        known = [endpoint(server, self.via.get(server.name)) for server in self.servers]
+        known = [endpoint(server, self.address_overrides.get(server.name)) for server in self.servers]
         config = {
             "name": self.name, "listen": self.listen, "seed": f"{zlib.crc32(self.name.encode()):016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "board": self.via.get("board", self.board.address),
-            **({"operator": "127.0.0.1:0"} if self.operated else {}),
+            "board": self.address_overrides.get("board", self.discovery.address),
+            **({"operator": "127.0.0.1:0"} if self.with_operator else {}),
             "known": {"rev": 1, "notices": [
                 {"rev": 1, "pool": {"index": 1, "snapshot": True, "endpoints": known}}]},
-            "settings": {**site_settings(len(self.servers), **self.limits), "n_instances": self.fleet},
+            "settings": {**site_settings(len(self.servers), **self.limits), "n_instances": self.proxy_count},
         }  # fmt: skip
         (self.folder / "config.json").write_text(json.dumps(config))
-        self.write(self.extras)
+        self.write_extras(self.extras)
         command = [sys.executable, "-B", "-m", "martentide", "serve"]
         command += ["--config", str(self.folder / "config.json")]
         if self.extras is not None:
@@ -122,29 +128,33 @@
         environment = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
         environment.pop("TMPDIR", None)
         environment |= self.environment
-        if self.temporary:
+        if self.with_temporary_directory:
             environment["TMPDIR"] = str(self.folder)
         self.process = await asyncio.create_subprocess_exec(
-            *command, cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE, limit=1024 * 1024
+            *command, cwd=PROJECT_ROOT, env=environment, stderr=asyncio.subprocess.PIPE, limit=1024 * 1024
         )
         self.reader = asyncio.create_task(self._read())
-        line = await self.logged("serving ")
-        self.callers = line.split("address=")[1].split()[0]
-        if self.operated:
-            self.operator = (await self.logged("operator-listening ")).split("address=")[1].split()[0]
-            await self.logged("state=in-service")
+        line = await self.wait_for_log_line("serving ")
+        self.caller_address = line.split("address=")[1].split()[0]
+        if self.with_operator:
+            self.operator_address = (
+                (await self.wait_for_log_line("operator-listening ")).split("address=")[1].split()[0]
+            )
+            await self.wait_for_log_line("state=in-service")
         if self.extras is not None and "external-processor" in self.extras:
-            self.address = (await self.logged("external-processor ")).split("address=")[1].split()[0]
+            self.external_processor_address = (
+                (await self.wait_for_log_line("external-processor ")).split("address=")[1].split()[0]
+            )
 
-    async def successor(self) -> Proxy:
+    async def start_successor(self) -> ProxyProcess:
         """A second process of the same configuration and folder, started beside this one."""
-        other = Proxy(
-            self.board, self.servers, self.extras, self.operated, self.folder, self.temporary, self.name,
-            self.via, **self.limits,
+        other = ProxyProcess(
+            self.discovery, self.servers, self.extras, self.with_operator, self.folder,
+            self.with_temporary_directory, self.name, self.address_overrides, **self.limits,
         )  # fmt: skip
-        other.watcher = self.watcher
-        if not self.temporary:
-            other.listen = self.callers
+        other.on_log_line = self.on_log_line
+        if not self.with_temporary_directory:
+            other.listen = self.caller_address
         await other.start()
         return other
 
@@ -153,29 +163,29 @@
         async for line in self.process.stderr:
             text = line.decode("utf-8", "replace").rstrip()
             self.log.append(text)
-            self.heard.set()
-            if self.watcher is not None:
-                self.watcher(self, text)
+            self.log_line_received.set()
+            if self.on_log_line is not None:
+                self.on_log_line(self, text)
 
-    async def logged(self, part: str, after: int = 0) -> str:
+    async def wait_for_log_line(self, part: str, after: int = 0) -> str:
         """The first log line from the ``after``-th on that holds the part."""
-        async with asyncio.timeout(START_LIMIT):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while True:
-                self.heard.clear()
+                self.log_line_received.clear()
                 for line in self.log[after:]:
                     if part in line:
                         return line
                 if self.process is not None and self.process.returncode is not None:
                     raise RuntimeError("the program ended: " + " | ".join(self.log[-20:]))
-                await self.heard.wait()
+                await self.log_line_received.wait()
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         assert self.process is not None
         self.process.send_signal(number)
 
-    async def ended(self) -> int:
+    async def wait_until_ended(self) -> int:
         assert self.process is not None
-        async with asyncio.timeout(START_LIMIT):
+        async with asyncio.timeout(START_TIMEOUT_S):
             return await self.process.wait()
 
     async def kill(self) -> None:
@@ -185,16 +195,16 @@
         if self.reader is not None:
             self.reader.cancel()
 
-    def resident(self) -> float:
+    def resident_memory_mb(self) -> float:
         """MB."""
         assert self.process is not None
         return float(psutil.Process(self.process.pid).memory_info().rss) / 1e6
 
-    def descriptors(self) -> int:
+    def open_descriptors(self) -> int:
         assert self.process is not None
         return int(psutil.Process(self.process.pid).num_fds())
 
-    def cpu(self) -> float:
+    def processor_seconds(self) -> float:
         """Seconds of processor time used so far."""
         assert self.process is not None
         times = psutil.Process(self.process.pid).cpu_times()
--- a/martentide_lab/relay.py
+++ b/martentide_lab/relay.py
@@ -7,8 +7,8 @@
 
 
 class Relay:
-    """Passes bytes both ways. ``cut`` resets what is open; ``freeze`` keeps it open and passes nothing, both
-    ways or one: ``there`` to the target, ``back`` from it."""
+    """Passes bytes both ways. ``reset_connections`` resets what is open; ``pause`` keeps it open and passes
+    nothing, both ways or one: ``forward`` to the target, ``backward`` from it."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
@@ -17,9 +17,9 @@
         self.port = 0
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.there, self.back = asyncio.Event(), asyncio.Event()
-        self.thaw()
-        self.cuts = 0
+        self.forward_open, self.backward_open = asyncio.Event(), asyncio.Event()
+        self.resume()
+        self.resets = 0
 
     @property
     def address(self) -> str:
@@ -36,7 +36,7 @@
             writer.close()
             return
         self.writers |= {writer, back}
-        for source, sink, flows in ((reader, back, self.there), (there, writer, self.back)):
+        for source, sink, flows in ((reader, back, self.forward_open), (there, writer, self.backward_open)):
             task = asyncio.get_running_loop().create_task(self._pass(source, sink, flows))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -55,9 +55,9 @@
             self.writers.discard(sink)
             sink.close()
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Reset all that is open; new connections are taken as before."""
-        self.cuts += 1
+        self.resets += 1
         for writer in tuple(self.writers):
             sock = writer.get_extra_info("socket")
             if sock is not None and sock.fileno() >= 0:
@@ -65,17 +65,17 @@
             writer.transport.abort()
         self.writers.clear()
 
-    def freeze(self, there: bool = True, back: bool = True) -> None:
+    def pause(self, forward: bool = True, backward: bool = True) -> None:
         """Pass nothing in these directions; what is not named passes."""
-        (self.there.clear if there else self.there.set)()
-        (self.back.clear if back else self.back.set)()
+        (self.forward_open.clear if forward else self.forward_open.set)()
+        (self.backward_open.clear if backward else self.backward_open.set)()
 
-    def thaw(self) -> None:
-        self.freeze(False, False)
+    def resume(self) -> None:
+        self.pause(False, False)
 
     async def stop(self) -> None:
         if self.server is not None:
             self.server.close()
-        self.cut()
+        self.reset_connections()
         for task in tuple(self.tasks):
             task.cancel()
