--- a/martentide_lab/sim.py
+++ b/martentide_lab/simulated_site.py
@@ -42,91 +42,91 @@
 from martentide.overload import core as overload
 from martentide.rules import Controller
 from martentide_lab.fleet.simulated import SimulatedFleet
-from martentide_lab.site import (
-    HONOUR,
-    LONGEST_WAIT,
-    REFRESH,
-    REFUSAL_WORK,
-    asked_share,
-    redial_wait,
-    warm_share,
+from martentide_lab.load_model import (
+    HOLD_OFF_COMPLIANCE,
+    MAX_QUEUE_WAIT_MS,
+    REFUSAL_COST,
+    REPORT_INTERVAL_MS,
+    hold_back_share,
+    redial_delay,
+    warm_up_share,
 )
 
-LINK = 8.0  # ms one way
-REDIALS = 3
-AWAY = 0.1  # of redials that come to another proxy than the caller's own
-PROBE_LIMIT = 1_000.0  # ms after which a test counts as unanswered
-LOOK = 250.0  # ms between two looks at the duty of testing
+LINK_DELAY_MS = 8.0  # ms one way
+MAX_REDIALS = 3
+OTHER_PROXY_SHARE = 0.1  # of redials that come to another proxy than the caller's own
+PROBE_TIMEOUT_MS = 1_000.0  # ms after which a test counts as unanswered
+ASSIGNMENT_INTERVAL_MS = 250.0  # ms between two looks at the duty of testing
 
 
 @dataclass
-class Processor:
-    """One session server. ``rate``: set-ups a second when warm; ``slow`` times slower."""
+class SimulatedServer:
+    """One session server. ``rate``: set-ups a second when warm; ``slowdown`` times slower."""
 
     name: str
     place: int
     rate: float
-    slow: float = 1.0
-    started: float | None = None
+    slowdown: float = 1.0
+    started_at: float | None = None
     busy_until: float = 0.0
-    told: float = 0.0
-    told_at: float = -1e9
-    came: list[float] = field(default_factory=list)
-    hung: bool = False  # answers no set-up
-    deaf: bool = False  # answers no test either
-    tests: list[float] = field(default_factory=list)
+    reported_share: float = 0.0
+    reported_at: float = -1e9
+    received_at: list[float] = field(default_factory=list)
+    ignore_set_ups: bool = False  # answers no set-up
+    ignore_health_checks: bool = False  # answers no test either
+    health_checks: list[float] = field(default_factory=list)
 
     def capacity(self, now: float, settings: Settings) -> float:
         """Set-ups a second at that time."""
         share = 1.0
-        if self.started is not None:
-            share = warm_share(now - self.started, settings.cold_share, settings.cold_time)
-        return self.rate * share / self.slow
+        if self.started_at is not None:
+            share = warm_up_share(now - self.started_at, settings.cold_share, settings.cold_time)
+        return self.rate * share / self.slowdown
 
     def wait(self, now: float) -> float:
         return max(0.0, self.busy_until - now)
 
     def report(self, now: float) -> Report:
-        if now - self.told_at >= REFRESH:
-            self.told, self.told_at = asked_share(self.wait(now)), now
-        return Report(400.0, self.told, None)
+        if now - self.reported_at >= REPORT_INTERVAL_MS:
+            self.reported_share, self.reported_at = hold_back_share(self.wait(now)), now
+        return Report(400.0, self.reported_share, None)
 
 
 @dataclass(slots=True)
-class Story:
+class SimulatedCall:
     """A call and its redials."""
 
-    kind: int
+    class_index: int
     number: str
-    began: float
-    home: int  # the proxy it dials at
-    tries: int = 0
+    started_at: float
+    home_proxy: int  # the proxy it dials at
+    dials: int = 0
     stood_at: float | None = None
 
 
-class Site:
+class SimulatedSite:
     """Proxies, servers and callers on one clock; ``run`` plays until a time."""
 
-    def __init__(self, settings: Settings, proxies: int, servers: list[Processor], seed: int) -> None:
+    def __init__(self, settings: Settings, proxies: int, servers: list[SimulatedServer], seed: int) -> None:
         self.settings, self.servers = settings, {server.name: server for server in servers}
-        self.dice, self.seed = random.Random(seed), seed
+        self.rng, self.seed = random.Random(seed), seed
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
         self.refs = itertools.count(1)
-        self.stories: list[Story] = []
-        self.open: dict[int, tuple[int, Story, float]] = {}  # proxy, story, deadline
-        self.out: dict[tuple[int, int], tuple[int, str, float]] = {}
-        self.attempts: Counter[int] = Counter()
-        self.sent: list[tuple[float, str]] = []
-        self.lives = [0] * proxies
+        self.calls: list[SimulatedCall] = []
+        self.open_calls: dict[int, tuple[int, SimulatedCall, float]] = {}  # proxy, story, deadline
+        self.attempts_out: dict[tuple[int, int], tuple[int, str, float]] = {}
+        self.attempt_counts: Counter[int] = Counter()
+        self.sent_set_ups: list[tuple[float, str]] = []
+        self.incarnations = [0] * proxies
         self.fleet: SimulatedFleet | None = None
-        self.duties: list[HealthCheckAssignment] = []
+        self.assignments: list[HealthCheckAssignment] = []
         self.overloads: list[overload.Overload] = []
-        self.controllers = [self.fresh(at) for at in range(proxies)]
+        self.controllers = [self.new_controller(at) for at in range(proxies)]
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (when, next(self.order), what))
+    def schedule_at(self, when: float, what: Callable[[], None]) -> None:
+        heapq.heappush(self.queue, (when, next(self.sequence), what))
 
     def run(self, until: float) -> None:
         while self.queue and self.queue[0][0] <= until:
@@ -138,14 +138,16 @@
 
     # ---- the fleet ----------------------------------------------------------------------------------------
 
-    def join(self, fleet: SimulatedFleet, sheds: bool = False, without: frozenset[str] = frozenset()) -> None:
-        """The proxies are members, ``n0`` and on, from now on; the fleet's clock is this one. ``sheds``: they
-        handle overload together, ``without`` some parts of that."""
+    def join_fleet(
+        self, fleet: SimulatedFleet, overload_control: bool = False, without: frozenset[str] = frozenset()
+    ) -> None:
+        """The proxies are members, ``n0`` and on, from now on; the fleet's clock is this one.
+        ``overload_control``: they handle overload together, ``without`` some parts of that."""
         self.fleet = fleet
         fleet.now = self.now
-        fleet.acquaint()
-        self.duties = [HealthCheckAssignment(node.name, node.zone) for node in fleet.nodes.values()]
-        if sheds:
+        fleet.start_acquainted()
+        self.assignments = [HealthCheckAssignment(node.name, node.zone) for node in fleet.members.values()]
+        if overload_control:
             worths = {kind.name: kind.worth for kind in self.settings.classes}
             self.overloads = [
                 overload.Overload(
@@ -156,26 +158,29 @@
                     self.controllers[at].tolerable_wait,
                     self.seed + at,
                 )
-                for at, node in enumerate(fleet.nodes.values())
+                for at, node in enumerate(fleet.members.values())
                 if node.core is not None
             ]
             for part in self.overloads:
                 part.disabled = without
         for at in range(len(self.controllers)):
-            self.at(self.now + self.dice.uniform(0.0, LOOK), lambda at=at: self._look(at))  # type: ignore[misc]
+            self.schedule_at(
+                self.now + self.rng.uniform(0.0, ASSIGNMENT_INTERVAL_MS),
+                lambda at=at: self._look(at),  # type: ignore[misc]
+            )
 
     def _look(self, at: int) -> None:
         assert self.fleet is not None
-        self.at(self.now + LOOK, lambda: self._look(at))
-        name, node = f"n{at}", self.fleet.nodes[f"n{at}"]
+        self.schedule_at(self.now + ASSIGNMENT_INTERVAL_MS, lambda: self._look(at))
+        name, node = f"n{at}", self.fleet.members[f"n{at}"]
         if node.core is None or node.stopped:
             return
-        now = node.clock(self.now)
-        outlook, _ = evaluate_assignment(node.core, self.duties[at], now, self.controllers[at].servers)
+        now = node.own_time(self.now)
+        outlook, _ = evaluate_assignment(node.core, self.assignments[at], now, self.controllers[at].servers)
         for kind, end, body in outlook.entries:
             self.fleet.publish(name, kind, body, end)
         for event in outlook.events:
-            self.feed(at, event)
+            self.handle_event(at, event)
         for server in outlook.health_checks:
             self._probe(at, server)
         if self.overloads:
@@ -184,13 +189,13 @@
     def _shed(self, at: int, now: float) -> None:
         """The member's own clock differs from the decisions' here, as it may in service."""
         assert self.fleet is not None
-        node, part, controller = self.fleet.nodes[f"n{at}"], self.overloads[at], self.controllers[at]
+        node, part, controller = self.fleet.members[f"n{at}"], self.overloads[at], self.controllers[at]
         assert node.core is not None
         purse = controller.retry_tokens if self.now < controller.retry_tokens_expire_at < math.inf else 0.0
         outcome, bad = overload.poll(node.core, part, now, controller.servers, purse)
         assert not bad, "a word that could not be read"
         for event in outcome.events:
-            self.feed(at, event)
+            self.handle_event(at, event)
         if outcome.message is not None:
             self.fleet.publish(node.name, overload.LOAD_KIND, outcome.message, overload.LOAD_EXPIRY)
 
@@ -198,189 +203,198 @@
 
     def entries(self) -> tuple[ServerEntry, ...]:
         return tuple(
-            ServerEntry(one.name, one.place, "z", ServerState.OPEN, one.started, 1.0)
+            ServerEntry(one.name, one.place, "z", ServerState.OPEN, one.started_at, 1.0)
             for one in self.servers.values()
         )
 
-    def fresh(self, at: int) -> Controller:
-        controller = Controller(self.settings, self.seed * 1000 + at * 10 + self.lives[at])
+    def new_controller(self, at: int) -> Controller:
+        controller = Controller(self.settings, self.seed * 1000 + at * 10 + self.incarnations[at])
         told = ServerList(ListKind.REMEMBERED, self.entries())
         self._acted(at, controller.handle(self.now, told))
         return controller
 
-    def restart(self, at: int, give: Callable[[Controller, Controller], None]) -> None:
+    def restart(self, at: int, transfer_state: Callable[[Controller, Controller], None]) -> None:
         """The proxy ends and begins anew: its open calls are lost, and dialled again by their callers.
-        ``give`` may hand state from the old Controller to the new."""
+        ``transfer_state`` may hand state from the old Controller to the new."""
         old = self.controllers[at]
-        self.lives[at] += 1
-        for ref in [ref for ref, (proxy, _, _) in self.open.items() if proxy == at]:
-            _, story, _ = self.open.pop(ref)
+        self.incarnations[at] += 1
+        for ref in [ref for ref, (proxy, _, _) in self.open_calls.items() if proxy == at]:
+            _, story, _ = self.open_calls.pop(ref)
             self._redial(story, 0.0)
-        for key in [key for key, (proxy, _, _) in self.out.items() if proxy == at]:
-            del self.out[key]
-        new = self.controllers[at] = self.fresh(at)
-        give(old, new)
+        for key in [key for key, (proxy, _, _) in self.attempts_out.items() if proxy == at]:
+            del self.attempts_out[key]
+        new = self.controllers[at] = self.new_controller(at)
+        transfer_state(old, new)
 
-    def replace(self, old: str, new: Processor, late: Callable[[int], float] = lambda at: 0.0) -> None:
-        """A cold server takes the place of another; each proxy is told so many ms ``late``."""
+    def replace(
+        self, old: str, new: SimulatedServer, notice_delay: Callable[[int], float] = lambda at: 0.0
+    ) -> None:
+        """A cold server takes the place of another; each proxy is told so many ms later
+        (``notice_delay``)."""
         del self.servers[old]
         self.servers[new.name] = new
         gone = ServerEntry(old, new.place, "z", ServerState.GONE, None, 1.0)
         told = ServerList(ListKind.CHANGES, (gone, *self.entries()))
         for at in range(len(self.controllers)):
-            self.at(self.now + late(at), lambda at=at: self.feed(at, told))  # type: ignore[misc]
+            self.schedule_at(self.now + notice_delay(at), lambda at=at: self.handle_event(at, told))  # type: ignore[misc]
 
-    def feed(self, at: int, event: Event) -> None:
+    def handle_event(self, at: int, event: Event) -> None:
         controller = self.controllers[at]
         self._acted(at, controller.handle(self.now, event))
         if self.overloads:
-            self.overloads[at].observe(self.fleet.nodes[f"n{at}"].clock(self.now), event)  # type: ignore[union-attr]
+            self.overloads[at].observe(self.fleet.members[f"n{at}"].own_time(self.now), event)  # type: ignore[union-attr]
         told = isinstance(event, (ProbeEnded, Stands, AttemptEnded))
-        if self.fleet is not None and told and event.server in self.duties[at].watched:  # type: ignore[union-attr]
-            self.duties[at].observe(self.fleet.nodes[f"n{at}"].clock(self.now), event)
+        if self.fleet is not None and told and event.server in self.assignments[at].watched:  # type: ignore[union-attr]
+            self.assignments[at].observe(self.fleet.members[f"n{at}"].own_time(self.now), event)
 
     def _acted(self, at: int, actions: list[Action]) -> None:
-        life = self.lives[at]
+        life = self.incarnations[at]
         for action in list(actions):
             match action:
                 case SetTimer(token, delay):
-                    self.at(self.now + delay, lambda t=token: self._timer(at, life, t))  # type: ignore[misc]
+                    self.schedule_at(self.now + delay, lambda t=token: self._timer(at, life, t))  # type: ignore[misc]
                 case SendSetUp():
                     self._send(at, action)
                 case Refuse() | Fail():
-                    entry = self.open.pop(action.ref, None)
+                    entry = self.open_calls.pop(action.ref, None)
                     if entry is not None:
                         self._redial(entry[1], action.hold_off if isinstance(action, Refuse) else 0.0)
                 case CancelAttempt(ref, attempt):
-                    if (ref, attempt) in self.out:
-                        self.at(self.now, lambda r=ref, a=attempt: self._end(r, a, Ending.CANCELLED))  # type: ignore[misc]
+                    if (ref, attempt) in self.attempts_out:
+                        self.schedule_at(self.now, lambda r=ref, a=attempt: self._end(r, a, Ending.CANCELLED))  # type: ignore[misc]
                 case Probe(name):
                     self._probe(at, name)
 
     def _timer(self, at: int, life: int, token: int) -> None:
-        if self.lives[at] == life:
-            self.feed(at, TimerDue(token))
+        if self.incarnations[at] == life:
+            self.handle_event(at, TimerDue(token))
 
     def _probe(self, at: int, name: str) -> None:
-        server, life = self.servers.get(name), self.lives[at]
+        server, life = self.servers.get(name), self.incarnations[at]
         if server is not None:
-            server.tests.append(self.now + LINK)
-            after = PROBE_LIMIT if server.deaf else 2 * LINK
-            self.at(self.now + after, lambda: self._probed(at, life, name))
+            server.health_checks.append(self.now + LINK_DELAY_MS)
+            after = PROBE_TIMEOUT_MS if server.ignore_health_checks else 2 * LINK_DELAY_MS
+            self.schedule_at(self.now + after, lambda: self._probed(at, life, name))
 
     def _probed(self, at: int, life: int, name: str) -> None:
         server = self.servers.get(name)
-        if self.lives[at] != life or server is None:
+        if self.incarnations[at] != life or server is None:
             return
-        if server.deaf:
-            self.feed(at, ProbeEnded(name, Ending.TIMED_OUT, False, PROBE_LIMIT, None))
+        if server.ignore_health_checks:
+            self.handle_event(at, ProbeEnded(name, Ending.TIMED_OUT, False, PROBE_TIMEOUT_MS, None))
         else:
-            self.feed(at, ProbeEnded(name, Ending.DELIVERED, False, 2 * LINK, server.report(self.now)))
+            self.handle_event(
+                at, ProbeEnded(name, Ending.DELIVERED, False, 2 * LINK_DELAY_MS, server.report(self.now))
+            )
 
     def _send(self, at: int, action: SendSetUp) -> None:
-        attempt = self.attempts[action.ref]
-        self.attempts[action.ref] += 1
+        attempt = self.attempt_counts[action.ref]
+        self.attempt_counts[action.ref] += 1
         ref, key = action.ref, (action.ref, attempt)
-        self.out[key] = (at, action.server, self.now)
-        self.sent.append((self.now, action.server))
-        self.at(self.now + LINK, lambda: self._arrive(key))
-        self.at(self.now + action.patience, lambda: self._end(ref, attempt, Ending.TIMED_OUT))
+        self.attempts_out[key] = (at, action.server, self.now)
+        self.sent_set_ups.append((self.now, action.server))
+        self.schedule_at(self.now + LINK_DELAY_MS, lambda: self._arrive(key))
+        self.schedule_at(self.now + action.patience, lambda: self._end(ref, attempt, Ending.TIMED_OUT))
 
     # ---- servers ------------------------------------------------------------------------------------------
 
     def _arrive(self, key: tuple[int, int]) -> None:
-        known = self.out.get(key)
+        known = self.attempts_out.get(key)
         if known is None:
             return
         server = self.servers.get(known[1])
         if server is None:
             self._end(*key, Ending.UNREACHABLE)
             return
-        server.came.append(self.now)
-        if server.hung:
+        server.received_at.append(self.now)
+        if server.ignore_set_ups:
             return
         work = 1000.0 / server.capacity(self.now, self.settings)
-        if server.wait(self.now) > LONGEST_WAIT:
-            server.busy_until += REFUSAL_WORK * work
-            self.at(self.now + LINK, lambda: self._end(*key, Ending.FULL, server.report(self.now)))
+        if server.wait(self.now) > MAX_QUEUE_WAIT_MS:
+            server.busy_until += REFUSAL_COST * work
+            self.schedule_at(
+                self.now + LINK_DELAY_MS, lambda: self._end(*key, Ending.FULL, server.report(self.now))
+            )
             return
         server.busy_until = max(server.busy_until, self.now) + work
-        self.at(server.busy_until + LINK, lambda: self._stands(key))
+        self.schedule_at(server.busy_until + LINK_DELAY_MS, lambda: self._stands(key))
 
     def _stands(self, key: tuple[int, int]) -> None:
-        known, entry = self.out.pop(key, None), self.open.pop(key[0], None)
+        known, entry = self.attempts_out.pop(key, None), self.open_calls.pop(key[0], None)
         if known is None or entry is None:
             return
         at, name, sent = known
         entry[1].stood_at = self.now
-        life = self.lives[at]
-        self.feed(at, Stands(key[0], key[1], name, self.now - sent))
-        hold = self.dice.expovariate(1.0 / 6000.0)
-        self.at(self.now + hold, lambda: self._over(at, life, key, name))
+        life = self.incarnations[at]
+        self.handle_event(at, Stands(key[0], key[1], name, self.now - sent))
+        hold = self.rng.expovariate(1.0 / 6000.0)
+        self.schedule_at(self.now + hold, lambda: self._over(at, life, key, name))
 
     def _over(self, at: int, life: int, key: tuple[int, int], name: str) -> None:
         server = self.servers.get(name)
-        if self.lives[at] == life and server is not None:
+        if self.incarnations[at] == life and server is not None:
             report = server.report(self.now)
-            self.feed(at, AttemptEnded(*key, name, Ending.DELIVERED, True, False, 0.0, report))
+            self.handle_event(at, AttemptEnded(*key, name, Ending.DELIVERED, True, False, 0.0, report))
 
     def _end(self, ref: int, attempt: int, ending: Ending, report: Report | None = None) -> None:
-        known = self.out.pop((ref, attempt), None)
+        known = self.attempts_out.pop((ref, attempt), None)
         if known is not None:
             at, name, sent = known
-            settled = ref not in self.open
-            self.feed(at, AttemptEnded(ref, attempt, name, ending, settled, False, self.now - sent, report))
+            settled = ref not in self.open_calls
+            self.handle_event(
+                at, AttemptEnded(ref, attempt, name, ending, settled, False, self.now - sent, report)
+            )
 
     # ---- callers ------------------------------------------------------------------------------------------
 
-    def offer(
+    def offer_calls(
         self, until: float, rate: float, shares: tuple[float, ...], homes: tuple[float, ...] | None = None
     ) -> None:
         """Poisson arrivals of first tries, ``rate`` a second; ``homes``: the proxies' parts of them."""
         when = self.now
-        while (when := when + self.dice.expovariate(rate / 1000.0)) < until:
-            kind = self.dice.choices(range(len(shares)), shares)[0]
-            home = self.dice.choices(range(len(self.controllers)), homes)[0]
-            story = Story(kind, f"{self.dice.getrandbits(48):x}", when, home)
-            self.stories.append(story)
-            self.at(when, lambda s=story: self._dial(s))  # type: ignore[misc]
-
-    def _dial(self, story: Story) -> None:
-        kind = self.settings.classes[story.kind]
-        story.tries += 1
+        while (when := when + self.rng.expovariate(rate / 1000.0)) < until:
+            kind = self.rng.choices(range(len(shares)), shares)[0]
+            home = self.rng.choices(range(len(self.controllers)), homes)[0]
+            story = SimulatedCall(kind, f"{self.rng.getrandbits(48):x}", when, home)
+            self.calls.append(story)
+            self.schedule_at(when, lambda s=story: self._dial(s))  # type: ignore[misc]
+
+    def _dial(self, story: SimulatedCall) -> None:
+        kind = self.settings.classes[story.class_index]
+        story.dials += 1
         ref = next(self.refs)
-        at = story.home
-        if story.tries > 1 and self.dice.random() < AWAY:
-            at = self.dice.randrange(len(self.controllers))
-        left = kind.deadline * self.dice.uniform(0.3, 0.4)
-        choice = self.dice.choice([server.place for server in self.servers.values()])
-        self.open[ref] = (at, story, self.now + left)
-        self.feed(at, SetUpOffered(ref, kind.name, None, story.number, left, choice, False, False))
-
-    def _redial(self, story: Story, hold_off: float) -> None:
-        if story.tries <= REDIALS:
-            wait = redial_wait(story.tries, hold_off, HONOUR, self.dice)
-            self.at(self.now + wait, lambda: self._dial(story))
+        at = story.home_proxy
+        if story.dials > 1 and self.rng.random() < OTHER_PROXY_SHARE:
+            at = self.rng.randrange(len(self.controllers))
+        left = kind.deadline * self.rng.uniform(0.3, 0.4)
+        choice = self.rng.choice([server.place for server in self.servers.values()])
+        self.open_calls[ref] = (at, story, self.now + left)
+        self.handle_event(at, SetUpOffered(ref, kind.name, None, story.number, left, choice, False, False))
+
+    def _redial(self, story: SimulatedCall, hold_off: float) -> None:
+        if story.dials <= MAX_REDIALS:
+            wait = redial_delay(story.dials, hold_off, HOLD_OFF_COMPLIANCE, self.rng)
+            self.schedule_at(self.now + wait, lambda: self._dial(story))
 
     # ---- what came of it ----------------------------------------------------------------------------------
 
     def served(self, begin: float, end: float) -> float:
         """Worth of the stories begun in the span that stood within the aim, over the worth begun."""
         got = asked = 0.0
-        for story in self.stories:
-            if begin <= story.began < end:
-                kind = self.settings.classes[story.kind]
+        for story in self.calls:
+            if begin <= story.started_at < end:
+                kind = self.settings.classes[story.class_index]
                 asked += kind.worth
-                if story.stood_at is not None and story.stood_at <= story.began + kind.aim:
+                if story.stood_at is not None and story.stood_at <= story.started_at + kind.aim:
                     got += kind.worth
         return got / asked if asked else 1.0
 
-    def _cold_windows(self, server: Processor) -> Iterator[tuple[int, float]]:
+    def _cold_windows(self, server: SimulatedServer) -> Iterator[tuple[int, float]]:
         """For each set-up that came to a cold server: how many came in the fall-over time, how many may."""
         span = self.settings.fall_time
         window: deque[float] = deque()
-        for when in server.came:
-            if server.started is None or when > server.started + self.settings.cold_time:
+        for when in server.received_at:
+            if server.started_at is None or when > server.started_at + self.settings.cold_time:
                 break
             window.append(when)
             while window[0] <= when - span:
@@ -390,11 +404,11 @@
                 self.settings.fall_multiple * server.capacity(when, self.settings) * span / 1000.0,
             )
 
-    def cold_sum(self, server: Processor) -> float:
+    def cold_start_load_beyond_chance(self, server: SimulatedServer) -> float:
         """The worst window, over what may come with twice its deviation and two more (1: the limit)."""
         windows = self._cold_windows(server)
         return max((count / (may + 2.0 * math.sqrt(may) + 2.0) for count, may in windows), default=0.0)
 
-    def cold_use(self, server: Processor) -> float:
+    def cold_start_load(self, server: SimulatedServer) -> float:
         """The worst window, over what the rule allows (1: the limit)."""
         return max((count / max(1.0, may) for count, may in self._cold_windows(server)), default=0.0)
--- a/martentide_lab/simulation.py
+++ b/martentide_lab/simulation.py
@@ -13,11 +13,11 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
 
-    def later(self, delay: float, what: Callable[[], None]) -> None:
+    def schedule(self, delay: float, what: Callable[[], None]) -> None:
         """Let it happen ``delay`` ms from now."""
-        heapq.heappush(self.queue, (self.now + delay, next(self.order), what))
+        heapq.heappush(self.queue, (self.now + delay, next(self.sequence), what))
 
     def run(self, until: float) -> None:
         """All that happens up to that time."""
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -19,9 +19,9 @@
 from martentide.net.links import unix_ms
 from martentide_lab.fleet.invariants import check_attempts, check_withdrawn
 from martentide_lab.fleet.rig import Rig
-from martentide_lab.fleet.story import Step
+from martentide_lab.fleet.scenario import Step
 from martentide_lab.proxy import CLASSES
-from martentide_lab.servers import DRAINING, READY, Arrival, SessionServer
+from martentide_lab.servers import DRAINING, READY, ReceivedSetUp, SessionServer
 from tests.fleet.support import WAIT_LIMIT_S, play
 
 BOUND = 2_000.0  # ms
@@ -37,18 +37,20 @@
 
 
 async def run_step(rig: Rig, verb: str, *arguments: object) -> None:
-    await rig.do(Step(0.0, verb, arguments))
+    await rig.execute_step(Step(0.0, verb, arguments))
 
 
 async def query_versions(rig: Rig, name: str) -> dict[str, Any]:
-    found: dict[str, Any] = json.loads(await asyncio.to_thread(query, rig.proxies[name].operator, VERSIONS))
+    found: dict[str, Any] = json.loads(
+        await asyncio.to_thread(query, rig.proxies[name].operator_address, VERSIONS)
+    )
     return found
 
 
 async def propose_rules(rig: Rig, name: str, wanted: dict[str, Any], base: int = -1) -> dict[str, Any]:
     """Propose rules at a member; returns the verdict."""
     body = {"rules": wanted, "base": base, "by": "a test", "why": "a case"}
-    return await asyncio.to_thread(propose, rig.proxies[name].operator, body, WAIT_LIMIT_S)
+    return await asyncio.to_thread(propose, rig.proxies[name].operator_address, body, WAIT_LIMIT_S)
 
 
 async def wait_until_acting(rig: Rig, version: int, *names: str) -> None:
@@ -80,7 +82,7 @@
     extra = {
         f"n{at}": f'agreement {{ voters "n0" "n1" "n2"; folder "{folder}/n{at}" }}' for at in range(PROXIES)
     }
-    play(whole, PROXIES, SERVERS, extra=extra, **more)
+    play(whole, PROXIES, SERVERS, extra_settings=extra, **more)
 
 
 async def withdraw(rig: Rig, by: str, server: SessionServer) -> float:
@@ -96,11 +98,11 @@
         await wait_until_acting(rig, 2)
         await asyncio.sleep(2.0)
         assert not check_withdrawn(rig.servers[0], since, BOUND)
-        assert len(rig.servers[1].arrivals) > 0
+        assert len(rig.servers[1].received_set_ups) > 0
         assert (await propose_rules(rig, "n1", rules()))["done"]
-        before = len(rig.servers[0].arrivals)
+        before = len(rig.servers[0].received_set_ups)
         await asyncio.sleep(2.0)
-        assert len(rig.servers[0].arrivals) > before  # used again
+        assert len(rig.servers[0].received_set_ups) > before  # used again
 
     play_with_version_1(tmp_path, scene)
 
@@ -112,9 +114,12 @@
         since = await withdraw(rig, "n0", rig.servers[0])
         await asyncio.sleep(BOUND / 1000.0)
         assert (await query_versions(rig, "n4"))["acts"] == "safe"
-        served = sum(load.told["answer"] for name, load in rig.all_loads if name == "n4")
+        served = sum(load.answer_counts["answer"] for name, load in rig.all_load_generators if name == "n4")
         await asyncio.sleep(2.0)
-        assert sum(load.told["answer"] for name, load in rig.all_loads if name == "n4") > served
+        assert (
+            sum(load.answer_counts["answer"] for name, load in rig.all_load_generators if name == "n4")
+            > served
+        )
         await run_step(rig, "heal")
         await wait_until_acting(rig, 2)
         assert since
@@ -140,10 +145,10 @@
 
 def test_the_version_in_force_survives_a_restart_of_all(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
-        names = ",".join(rig.script.names())
+        names = ",".join(rig.scenario.names())
         await run_step(rig, "kill", names)
         await run_step(rig, "start", names)
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
         await wait_until_acting(rig, 1)
         assert not (await propose_rules(rig, "n4", rules(attempts=2), base=0))["done"]  # stale
         assert (await propose_rules(rig, "n4", rules(attempts=2), base=1))["done"]
@@ -158,7 +163,9 @@
         await wait_until_acting(rig, 2, "n1", "n2", "n4")
         assert {(await query_versions(rig, name))["acts"] for name in ("n0", "n3")} == {"safe"}
         with pytest.raises(QueryError):
-            await asyncio.to_thread(propose, rig.proxies["n3"].operator, {"rules": rules(), "base": 1}, 2.0)
+            await asyncio.to_thread(
+                propose, rig.proxies["n3"].operator_address, {"rules": rules(), "base": 1}, 2.0
+            )
         await run_step(rig, "heal")
         await wait_until_acting(rig, 2)
 
@@ -173,7 +180,7 @@
         woken = unix_ms()
         await run_step(rig, "continue", "n4")
         await wait_until_acting(rig, 2)
-        assert not [one for one in rig.servers[0].arrivals if one.at > woken + 50.0]
+        assert not [one for one in rig.servers[0].received_set_ups if one.received_at > woken + 50.0]
         assert not check_withdrawn(rig.servers[0], since, BOUND)
 
     play_with_version_1(tmp_path, scene)
@@ -190,7 +197,7 @@
         assert not (await query_versions(rig, "n1"))["votes"]
         found = await asyncio.to_thread(
             CliRunner().invoke,
-            top, ["fleet", "replace-voter", "n1", new, "--operator", rig.proxies["n4"].operator],
+            top, ["fleet", "replace-voter", "n1", new, "--operator", rig.proxies["n4"].operator_address],
         )  # fmt: skip
         assert found.exit_code == 0 and f"{new} votes already" in found.stdout, found.output
         assert (await query_versions(rig, new))["votes"]
@@ -214,7 +221,7 @@
         run = CliRunner()
 
         def called(*arguments: str) -> Any:
-            return run.invoke(top, ["fleet", *arguments, "--operator", rig.proxies["n3"].operator])
+            return run.invoke(top, ["fleet", *arguments, "--operator", rig.proxies["n3"].operator_address])
 
         found = await asyncio.to_thread(called, "propose", str(bad))
         assert (
@@ -254,14 +261,14 @@
     async def scene(rig: Rig) -> None:
         others = "n1,n2,n3,n4"
         await run_step(rig, "split", others, "board")
-        rig.board.tell([(rig.servers[0], DRAINING)])
+        rig.discovery.publish([(rig.servers[0], DRAINING)])
         since = unix_ms()
         await asyncio.sleep(4.0)
         assert not check_withdrawn(rig.servers[0], since, BOUND)
         digests = {(await query_versions(rig, name))["list"] for name in rig.proxies}
         assert len(digests) == 1
         await run_step(rig, "heal")
-        rig.board.tell([(rig.servers[0], READY)])  # moves backwards for the same start: ignored
+        rig.discovery.publish([(rig.servers[0], READY)])  # moves backwards for the same start: ignored
         await asyncio.sleep(1.0)
         assert not check_withdrawn(rig.servers[0], since, BOUND)
 
@@ -325,7 +332,7 @@
         assert not check_attempts(rig.servers, since, unix_ms(), 1, 50.0)
         await run_step(rig, "server", "s1", "well")
 
-    play_with_version_1(tmp_path, scene, mutant=DISK, clocks={"n4": 0.0}, rate=80.0)
+    play_with_version_1(tmp_path, scene, mutant=DISK, clock_offsets={"n4": 0.0}, rate=80.0)
 
 
 def test_many_versions_one_in_ten_invalid(tmp_path: Path) -> None:
@@ -382,21 +389,21 @@
                 await asyncio.sleep(0.1)
         assert (await propose_rules(rig, "n1", rules(gone=(rig.servers[0].name,))))["done"]
         await wait_until_acting(rig, 1, *named)
-        names = ",".join(rig.script.names())
+        names = ",".join(rig.scenario.names())
         await run_step(rig, "kill", names)
         await run_step(rig, "start", names)
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
         await wait_until_acting(rig, 1, *named)
         with pytest.raises(QueryError, match="no agreement is set"):
             await query_versions(rig, "n4")
-        since, owners = unix_ms(), {name: load for name, load in rig.loads.items()}
+        since, owners = unix_ms(), {name: load for name, load in rig.load_generators.items()}
         await asyncio.sleep(2.0)
-        late = [one.call for one in rig.servers[0].arrivals if one.at > since]
+        late = [one.call for one in rig.servers[0].received_set_ups if one.received_at > since]
         assert late and all(any(call in owners[name].calls for name in ("n3", "n4")) for call in late)
 
     extra = {name: f'agreement {{ voters "n0" "n1" "n2"; folder "{tmp_path}/{name}" }}' for name in
              ("n0", "n1", "n2")}  # fmt: skip
-    play(scene, PROXIES, SERVERS, extra=extra)
+    play(scene, PROXIES, SERVERS, extra_settings=extra)
 
 
 MUTANTS = {"": "", "lease ignored": IGNORED, "joint phase left out": NOT_JOINT, "wall clock": WALL}
@@ -416,19 +423,21 @@
         await run_step(rig, "heal")
         await wait_until_acting(rig, 2)
 
-    play_with_version_1(tmp_path, scene, mutant=MUTANTS[mutant], clocks={"n4": 0.0}, rate=100.0)
+    play_with_version_1(tmp_path, scene, mutant=MUTANTS[mutant], clock_offsets={"n4": 0.0}, rate=100.0)
 
 
 @pytest.mark.parametrize(("attempts", "broken"), [(1, False), (2, True)])
 def test_the_checker_of_attempts_can_fail(attempts: int, broken: bool) -> None:
     server = SessionServer(0)
-    server.arrivals += [Arrival(b"1", b"", 7_000.0 + at) for at in range(attempts)]
-    server.arrivals += [Arrival(b"0", b"", 4_000.0 + at) for at in range(3)]  # before the checked period
+    server.received_set_ups += [ReceivedSetUp(b"1", b"", 7_000.0 + at) for at in range(attempts)]
+    server.received_set_ups += [
+        ReceivedSetUp(b"0", b"", 4_000.0 + at) for at in range(3)
+    ]  # before the checked period
     assert bool(check_attempts([server], 5_000.0, 9_000.0, 1, 100.0)) is broken
 
 
 @pytest.mark.parametrize(("late", "broken"), [(100.0, False), (BOUND + 100.0, True)])
 def test_the_checker_of_withdrawn_servers_can_fail(late: float, broken: bool) -> None:
     server = SessionServer(0)
-    server.arrivals.append(Arrival(b"", b"", 5_000.0 + late))
+    server.received_set_ups.append(ReceivedSetUp(b"", b"", 5_000.0 + late))
     assert bool(check_withdrawn(server, 5_000.0, BOUND)) is broken
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -14,16 +14,16 @@
 from martentide.agreement.raft import initial_state
 from martentide.agreement.store import decode_voter_state, encode_voter_state, recover
 from martentide.learned.recovery import StateFile
-from martentide_lab.fleet.agreeing import AgreeingFleet, play_random, rule_set
 from martentide_lab.fleet.faults import Link
-from martentide_lab.fleet.story import Step
+from martentide_lab.fleet.scenario import Step
+from martentide_lab.fleet.simulated_agreement import SimulatedAgreementFleet, play_random, rule_set
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_random_faults_and_proposals_leave_no_contradiction(seed: int) -> None:
     fleet = play_random(seed)
-    assert not fleet.broken
-    assert sum(one.done for one in fleet.voiced) >= 3
+    assert not fleet.violations
+    assert sum(one.done for one in fleet.results) >= 3
 
 
 class GrantsBeforeCommit(Agreement):
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_an_injected_fault_is_found(fault: type[Agreement]) -> None:
     for seed in range(1, 60):
-        broken = play_random(seed, kind=fault).broken
+        broken = play_random(seed, kind=fault).violations
         if any(one.startswith("no-contradiction") for one in broken):
             return
     pytest.fail("not found")
@@ -83,34 +83,34 @@
 # ---- hard cases -----------------------------------------------------------------------------------------
 
 
-def running_fleet(members: int = 5, voters: int = 3) -> AgreeingFleet:
-    fleet = AgreeingFleet(members, 7, voters, base=Link(delay=2.0, jitter=4.0))
-    for name in fleet.nodes:
+def running_fleet(members: int = 5, voters: int = 3) -> SimulatedAgreementFleet:
+    fleet = SimulatedAgreementFleet(members, 7, voters, base=Link(delay=2.0, jitter=4.0))
+    for name in fleet.members:
         fleet.start(name)
     fleet.run(3_000.0)
     return fleet
 
 
-def run_step(fleet: AgreeingFleet, verb: str, *arguments: object, lasts: float = 0.0) -> None:
-    fleet.do(Step(0.0, verb, arguments))
+def run_step(fleet: SimulatedAgreementFleet, verb: str, *arguments: object, lasts: float = 0.0) -> None:
+    fleet.execute_step(Step(0.0, verb, arguments))
     fleet.run(fleet.now + lasts)
 
 
 def propose_and_wait(
-    fleet: AgreeingFleet, name: str, rules: bytes, base: int = -1, lasts: float = 4_000.0
+    fleet: SimulatedAgreementFleet, name: str, rules: bytes, base: int = -1, lasts: float = 4_000.0
 ) -> Any:
     """Whether a proposal was accepted and after how many ms; None: no verdict within ``lasts`` ms."""
     request, since = fleet.propose(name, rules, base), fleet.now
     fleet.run(fleet.now + lasts)
-    found = [one for one in fleet.voiced if one.request == request]
+    found = [one for one in fleet.results if one.request == request]
     return (found[0].done, found[0].at - since) if found else None
 
 
-def leader(fleet: AgreeingFleet) -> str:
+def leader(fleet: SimulatedAgreementFleet) -> str:
     return next(
         name for name, one in fleet.agreements.items()
-        if one.raft is not None and not fleet.nodes[name].stopped
-        and one.raft.has_leader_lease(fleet.nodes[name].clock(fleet.now))
+        if one.raft is not None and not fleet.members[name].stopped
+        and one.raft.has_leader_lease(fleet.members[name].own_time(fleet.now))
     )  # fmt: skip
 
 
@@ -128,16 +128,16 @@
     fleet.propose("n3", rule_set(2), base=0)
     fleet.propose("n4", rule_set(3), base=0)
     fleet.run(6_000.0)
-    assert sorted(one.done for one in fleet.voiced) == [False, True]
+    assert sorted(one.done for one in fleet.results) == [False, True]
     assert propose_and_wait(fleet, "n3", rule_set(2), base=0)[0] is False  # its base is no longer in force
 
 
 def test_a_member_that_rejects_a_version_ends_it_for_all() -> None:
     fleet = running_fleet()
-    fleet.refuse["n4"] = "classes: expected voice, found none"
+    fleet.rejections["n4"] = "classes: expected voice, found none"
     assert propose_and_wait(fleet, "n0", rule_set(2))[0] is False
     assert "turned down by n4" in fleet.agreements["n0"].state.history[-1][3]
-    fleet.refuse.clear()
+    fleet.rejections.clear()
     assert propose_and_wait(fleet, "n0", rule_set(2))[0] is True
 
 
@@ -159,7 +159,7 @@
     fleet.propose("n4", rule_set(1))
     fleet.run(fleet.now + after)
     run_step(fleet, "kill", leader(fleet), lasts=8_000.0)
-    assert fleet.voiced[-1].done and not fleet.finish()
+    assert fleet.results[-1].done and not fleet.finish()
     assert len({one.known_state.in_force.number for one in fleet.agreements.values()}) == 1
 
 
@@ -200,9 +200,9 @@
     run_step(fleet, "kill", lost)
     fleet.lose_disk(lost)
     run_step(fleet, "start", lost, lasts=2_000.0)
-    fleet.agree("n3", ReplaceVoter("r", lost, new))
+    fleet.handle_agreement_event("n3", ReplaceVoter("r", lost, new))
     fleet.run(fleet.now + 3_000.0)
-    assert [one.done for one in fleet.voiced] == [True, True]
+    assert [one.done for one in fleet.results] == [True, True]
     votes = [one.raft.voters for one in fleet.agreements.values() if one.raft is not None]
     assert len(votes) == 3 and len(set(votes)) == 1 and any(one.startswith(f"{new}#") for one in votes[0])
     other = next(one for one in ("n0", "n1", "n2") if one not in (lost, leader(fleet)))
--- a/tests/control/test_processes.py
+++ b/tests/control/test_processes.py
@@ -14,19 +14,19 @@
 
 from martentide.extras import ExtrasError, read_extras
 from martentide.settings import settings_from
-from martentide_lab.control.processes import ControlNodes, status, until_attached
-from martentide_lab.proxy import ROOT, Proxy
-from martentide_lab.servers import Board, SessionServer
+from martentide_lab.control.processes import ControlNodes, control_status, wait_until_attached
+from martentide_lab.proxy import PROJECT_ROOT, ProxyProcess
+from martentide_lab.servers import DiscoveryServer, SessionServer
 from tests.net.support import SETTINGS
 
 LIMIT = 30.0  # s per wait before the test fails
 
 
-async def holds(proxy: Proxy, service: str, members: set[str]) -> None:
+async def holds(proxy: ProxyProcess, service: str, members: set[str]) -> None:
     """Wait until the proxy holds exactly these members of the service."""
     async with asyncio.timeout(LIMIT):
         while True:
-            entries = (await status(proxy))["entries"]
+            entries = (await control_status(proxy))["entries"]
             held = {name for one in entries if one["service"] == service for name in one["members"]}
             if held == members:
                 return
@@ -34,7 +34,7 @@
 
 
 async def run_scenario() -> None:
-    server, board = SessionServer(0), Board()
+    server, board = SessionServer(0), DiscoveryServer()
     await server.start()
     await board.start()
     nodes = ControlNodes(3)
@@ -43,36 +43,36 @@
     proxies = []
     for at, (service, calls) in enumerate([("sign", ["pay"]), ("sign", []), ("pay", ["sign"])]):
         extras = nodes.extras(f"z{at}", service, calls)
-        proxies.append(Proxy(board, [server], extras, operated=True, name=f"p{at}", peers=True))
+        proxies.append(ProxyProcess(board, [server], extras, with_operator=True, name=f"p{at}", peers=True))
     try:
         for proxy in proxies:
             await proxy.start()
-        await until_attached(proxies, LIMIT)
+        await wait_until_attached(proxies, LIMIT)
         caller = proxies[2]
         await holds(caller, "sign", {"p0", "p1"})
         await holds(proxies[0], "pay", {"p2"})
 
-        held = (await status(caller))["node"]
+        held = (await control_status(caller))["node"]
         await nodes.kill(held)
         async with asyncio.timeout(LIMIT):
-            while (now := await status(caller))["node"] == held or now["state"] != "attached":
+            while (now := await control_status(caller))["node"] == held or now["state"] != "attached":
                 await asyncio.sleep(0.05)
-        await until_attached(proxies, LIMIT)
+        await wait_until_attached(proxies, LIMIT)
         await holds(caller, "sign", {"p0", "p1"})
 
-        proxies[0].send(signal.SIGTERM)  # releases its lease and is removed at once
+        proxies[0].send_signal(signal.SIGTERM)  # releases its lease and is removed at once
         await holds(caller, "sign", {"p1"})
 
         for name in list(nodes.processes):
             await nodes.kill(name)
-        await caller.logged("tier-alone")
+        await caller.wait_for_log_line("tier-alone")
         await nodes.start(held)
-        await until_attached(proxies[1:], LIMIT)
+        await wait_until_attached(proxies[1:], LIMIT)
         await holds(caller, "sign", {"p1"})
     finally:
         for proxy in proxies:
             await proxy.kill()
-        await nodes.end()
+        await nodes.kill_all()
         await server.stop()
         await board.stop()
 
@@ -85,20 +85,20 @@
     async def flood() -> None:
         nodes = ControlNodes(1)
         await nodes.start("c0")
-        server, board = SessionServer(0), Board()
+        server, board = SessionServer(0), DiscoveryServer()
         await server.start()
         await board.start()
-        port = int(nodes.lines.split('address="127.0.0.1:')[1].split('"')[0])
+        port = int(nodes.node_settings.split('address="127.0.0.1:')[1].split('"')[0])
         try:
             with socket.socket(type=socket.SOCK_DGRAM) as stranger:
                 for at in range(2_000):
                     stranger.sendto(bytes([at % 256]) * (at % 1_400), ("127.0.0.1", port))
-            async with Proxy(
-                board, [server], nodes.extras("z0", "sign", []), operated=True, name="p0", peers=True
+            async with ProxyProcess(
+                board, [server], nodes.extras("z0", "sign", []), with_operator=True, name="p0", peers=True
             ) as proxy:
-                await until_attached([proxy], LIMIT)
+                await wait_until_attached([proxy], LIMIT)
         finally:
-            await nodes.end()
+            await nodes.kill_all()
             await server.stop()
             await board.stop()
 
@@ -141,5 +141,5 @@
     path = tmp_path / "extras.kdl"
     path.write_text("// nothing")
     command: list[Any] = [sys.executable, "-B", "-m", "martentide", "control", "--extras", str(path)]
-    ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=LIMIT)
+    ended = subprocess.run(command, cwd=PROJECT_ROOT, capture_output=True, text=True, timeout=LIMIT)
     assert ended.returncode == 2 and "expected a node control-node, found none" in ended.stderr
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -12,12 +12,12 @@
 from martentide.control.messages import StateEntry
 from martentide.control.node import ControlNode
 from martentide.control.terms import ControlTerms
-from martentide_lab.control.invariants import Limits, TierChecker
+from martentide_lab.control.invariants import TierBounds, TierChecker
 from martentide_lab.control.layout import Layout
 from martentide_lab.control.simulated import SimulatedTier
 from martentide_lab.fleet.faults import Link
 
-SMALL = Layout(proxies=60, nodes=4, regions=2, zones=4, services=6, called=3)
+SMALL = Layout(proxies=60, nodes=4, regions=2, zones=4, services=6, called_services=3)
 
 
 def test_a_day_of_faults_breaks_no_invariant() -> None:
@@ -34,14 +34,14 @@
 def broken_rules(terms: ControlTerms | None = None, seconds: int = 30, **limits: float) -> set[str]:
     """Return the rules broken in a run without network faults in which one proxy is killed halfway."""
     tier = SimulatedTier(SMALL, 5, terms, Link(delay=2.0, jitter=2.0))
-    checker = TierChecker(tier, Limits(**limits))  # type: ignore[arg-type]
+    checker = TierChecker(tier, TierBounds(**limits))  # type: ignore[arg-type]
     tier.start()
     proxies = list(tier.proxies.values())
     for second in range(seconds):
         tier.run(second * 1_000.0)
         if second == seconds // 2:
             tier.kill_proxy(proxies[7])
-        checker.look(proxies)
+        checker.check(proxies)
     return {one.rule for one in checker.finish()}
 
 
@@ -89,8 +89,8 @@
     for info in tier.infos:
         tier.kill_node(info.name)
     tier.run(30_000.0)
-    checker.look(list(tier.proxies.values()))
-    assert {one.rule for one in checker.broken} == {"past-end"}
+    checker.check(list(tier.proxies.values()))
+    assert {one.rule for one in checker.violations} == {"past-end"}
 
 
 def test_too_many_bytes_are_found() -> None:
@@ -118,7 +118,7 @@
     tier.run(15_000.0)
     for name in home:
         tier.start_node(name)
-    checker.disturbed()
+    checker.record_fault()
     tier.run(40_000.0)
-    checker.look(list(tier.proxies.values()))
-    assert "away" in {one.rule for one in checker.broken}
+    checker.check(list(tier.proxies.values()))
+    assert "away" in {one.rule for one in checker.violations}
--- a/tests/extproc/test_services.py
+++ b/tests/extproc/test_services.py
@@ -16,10 +16,10 @@
 from martentide.client import Attempt, Call, Client, ClientClosed, Ending, Refused, Route, Standing
 from martentide.codec.messages import Code, Type, body_length, read_message, write_message
 from martentide.decisions.v1 import decisions_pb2 as pb
-from martentide_lab.fronts import EnvoyStream, Lines, RawFront, set_headers
-from martentide_lab.proxy import ROOT, Proxy
+from martentide_lab.fronts import EnvoyStream, RawFrontProxy, UpstreamConnections, set_headers
+from martentide_lab.proxy import PROJECT_ROOT, ProxyProcess
 from martentide_lab.relay import Relay
-from martentide_lab.servers import DRAINING, Board, SessionServer
+from martentide_lab.servers import DRAINING, DiscoveryServer, SessionServer
 
 SCENARIO_TIMEOUT_S = 40.0
 EXTRAS = 'external-processor {{\n listen "127.0.0.1:0"\n {}\n}}\n'
@@ -28,12 +28,12 @@
 class Environment:
     """A running proxy process with its session servers and its discovery service."""
 
-    def __init__(self, proxy: Proxy, servers: list[SessionServer], board: Board) -> None:
+    def __init__(self, proxy: ProxyProcess, servers: list[SessionServer], board: DiscoveryServer) -> None:
         self.proxy, self.servers, self.board = proxy, servers, board
 
     @asynccontextmanager
-    async def raw(self, front: str = "raw") -> AsyncIterator[RawFront]:
-        async with RawFront(self.proxy.address) as raw_front:
+    async def raw(self, front: str = "raw") -> AsyncIterator[RawFrontProxy]:
+        async with RawFrontProxy(self.proxy.external_processor_address) as raw_front:
             await raw_front.hello(front)
             yield raw_front
 
@@ -45,13 +45,13 @@
     scenario: Callable[[Environment], Awaitable[None]], more: str = "", servers: int = 2
 ) -> None:
     async def run() -> None:
-        session_servers, board = [SessionServer(number) for number in range(servers)], Board()
+        session_servers, board = [SessionServer(number) for number in range(servers)], DiscoveryServer()
         for server in session_servers:
             await server.start()
         await board.start()
         async with (
             asyncio.timeout(SCENARIO_TIMEOUT_S),
-            Proxy(board, session_servers, EXTRAS.format(more)) as proxy,
+            ProxyProcess(board, session_servers, EXTRAS.format(more)) as proxy,
         ):
             await scenario(Environment(proxy, session_servers, board))
         for server in session_servers:
@@ -67,19 +67,19 @@
 
 def test_the_client_carries_a_call_past_a_server_that_refuses_to_its_one_final() -> None:
     async def scenario(env: Environment) -> None:
-        server_connections = Lines()
-        env.servers[0].script.refuse = True
-        async with Client([env.proxy.address], "edge") as client:
+        server_connections = UpstreamConnections()
+        env.servers[0].behavior.refuse = True
+        async with Client([env.proxy.external_processor_address], "edge") as client:
 
             async def attempt(route: Route) -> Attempt:
                 return (await server_connections.set_up(route, "status-check"))[0]
 
             done = await client.carry("status-check", attempt, "7f3a", 3000, first_choice=0)
             assert isinstance(done.final, Standing) and done.attempts == 2
-            assert [len(server.arrivals) for server in env.servers] == [1, 1]
+            assert [len(server.received_set_ups) for server in env.servers] == [1, 1]
             done.call.over()
-        assert "reason=peer-closed" in await env.proxy.logged("role=front peer=edge/1")
-        assert " asked=1 " in await env.proxy.logged("session-ended front=edge")
+        assert "reason=peer-closed" in await env.proxy.wait_for_log_line("role=front peer=edge/1")
+        assert " asked=1 " in await env.proxy.wait_for_log_line("session-ended front=edge")
         server_connections.close()
 
     run_scenario(scenario)
@@ -87,7 +87,7 @@
 
 def test_a_stream_that_says_nothing_is_closed() -> None:
     async def scenario(env: Environment) -> None:
-        async with RawFront(env.proxy.address) as front:
+        async with RawFrontProxy(env.proxy.external_processor_address) as front:
             await front.open()
             assert await front.code() is grpc.StatusCode.DEADLINE_EXCEEDED
 
@@ -117,7 +117,7 @@
     async def scenario(env: Environment) -> None:
         async with env.raw("good") as good:
             await good.ask(1)
-            bad: list[Callable[[RawFront], Awaitable[None]]] = [
+            bad: list[Callable[[RawFrontProxy], Awaitable[None]]] = [
                 lambda front: front.outcome(7),
                 lambda front: front.ask(5, 5),
                 lambda front: front.over(1),
@@ -128,7 +128,7 @@
                 async with env.raw(f"bad-{number}") as front:
                     await act(front)
                     assert await front.code() is grpc.StatusCode.INVALID_ARGUMENT
-            async with RawFront(env.proxy.address) as front:
+            async with RawFrontProxy(env.proxy.external_processor_address) as front:
                 await front.open()
                 huge = pb.Ask(request=1, call_class="x" * 60_000_000)
                 await front.send(pb.FrontMessage(ask=huge))
@@ -182,13 +182,13 @@
 
 def test_a_broken_stream_is_gone_on_with_by_its_session_alone() -> None:
     async def scenario(env: Environment) -> None:
-        async with env.raw() as front, RawFront(env.proxy.address) as again:
+        async with env.raw() as front, RawFrontProxy(env.proxy.external_processor_address) as again:
             await front.ask(1, 2)
             routes = [(await front.next("route")).route for _ in range(2)]
             await front.outcome(2)
             await front.next("stands")
             front.break_off()
-            await env.proxy.logged(
+            await env.proxy.wait_for_log_line(
                 "raw/1 reason=peer-"
             )  # peer-reset, or peer-closed if the end was read first
             await again.open()
@@ -211,7 +211,7 @@
 
 def test_a_newer_stream_of_a_session_replaces_the_older() -> None:
     async def scenario(env: Environment) -> None:
-        async with env.raw() as front, RawFront(env.proxy.address) as again:
+        async with env.raw() as front, RawFrontProxy(env.proxy.external_processor_address) as again:
             await front.ask(1)
             await front.next("route")
             assert list((await again.hello("raw", front.token)).routed) == [1]
@@ -224,12 +224,12 @@
 
 def test_the_client_comes_back_after_a_cut_and_each_call_keeps_one_final() -> None:
     async def scenario(env: Environment) -> None:
-        relay = Relay(env.proxy.address)
+        relay = Relay(env.proxy.external_processor_address)
         await relay.start()
         async with Client([relay.address], "edge") as client:
             routed = await client.ask("status-check", "a", 4000)
             assert routed.begin()
-            relay.cut()
+            relay.reset_connections()
             asked = client.ask_nowait("status-check", "b", 4000)
             verdict = await routed.report(Attempt(None))
             assert isinstance(verdict, Standing)
@@ -242,15 +242,15 @@
 
 def test_a_frozen_network_leaves_the_caller_with_a_refusal_in_time() -> None:
     async def scenario(env: Environment) -> None:
-        relay = Relay(env.proxy.address)
+        relay = Relay(env.proxy.external_processor_address)
         await relay.start()
         async with Client([relay.address], "edge") as client:
             await client.connected.wait()
-            relay.freeze()
+            relay.pause()
             call = await client.ask("status-check", "a", 300)
             assert isinstance(call.verdict, Refused) and call.verdict.why.value == "deadline"
             assert client.loop.time() - call.asked_at < 1.0
-            relay.thaw()
+            relay.resume()
         await relay.stop()
 
     run_scenario(scenario)
@@ -263,7 +263,7 @@
             route = (await front.next("route")).route
             assert 0 < route.valid_for_ms <= 1000, "the first byte must keep the drain rule in any case"
             draining = env.server(route.address)
-            env.board.tell([(draining, DRAINING)])
+            env.board.publish([(draining, DRAINING)])
             withdrawn = (await front.next("withdrawn")).withdrawn
             assert withdrawn.if_unused and withdrawn.why == "draining"
             await front.outcome(1, "NOT_SENT")
@@ -275,7 +275,7 @@
 
 def test_two_fronts_and_a_caller_share_one_controller_and_their_numbers_do_not_meet() -> None:
     async def scenario(env: Environment) -> None:
-        host, _, port = env.proxy.callers.rpartition(":")
+        host, _, port = env.proxy.caller_address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         call = bytes(7) + b"\x01"
         parameters: dict[int, bytes] = {
@@ -356,7 +356,7 @@
                         await deaf.ask(*range(start, start + 250), name="nobody")
             await good.ask(1)
             assert (await good.next("route")).route.request == 1
-            await env.proxy.logged("peer=deaf/1 reason=blocked")
+            await env.proxy.wait_for_log_line("peer=deaf/1 reason=blocked")
 
     run_scenario(scenario, "streams blocked-ms=300 most-unsent=2000")
 
@@ -364,20 +364,20 @@
 def test_sigterm_answers_all_and_sighup_takes_new_limits_but_no_bad_file() -> None:
     async def scenario(env: Environment) -> None:
         async with env.raw() as front:
-            env.proxy.write("external-processor {")
-            env.proxy.send(signal.SIGHUP)
-            assert "line 1" in await env.proxy.logged("reload-failed")
-            env.proxy.write(EXTRAS.format('limits pending-each=1\n services "decisions"'))
-            env.proxy.send(signal.SIGHUP)
-            line = await env.proxy.logged("reloaded")
+            env.proxy.write_extras("external-processor {")
+            env.proxy.send_signal(signal.SIGHUP)
+            assert "line 1" in await env.proxy.wait_for_log_line("reload-failed")
+            env.proxy.write_extras(EXTRAS.format('limits pending-each=1\n services "decisions"'))
+            env.proxy.send_signal(signal.SIGHUP)
+            line = await env.proxy.wait_for_log_line("reloaded")
             assert "restart_needed_for=external-processor.listen" not in line
             assert "external-processor.services" in line
             for server in env.servers:
-                server.script.mute = True
+                server.behavior.ignore_set_ups = True
             await front.ask(1, 2, left=1200)
             first = [await front.next("route", "refused") for _ in range(2)]
             assert sorted(map(kind, first)) == ["refused", "route"]
-            env.proxy.send(signal.SIGTERM)
+            env.proxy.send_signal(signal.SIGTERM)
             assert (await front.next("go_away")).go_away.why == "closing"
             await front.ask(3)
             final = await front.next("refused")
@@ -387,7 +387,7 @@
             assert (again.route if kind(again) == "route" else again.failed).request == 1
             await front.cancel(1)
             assert await front.code() is grpc.StatusCode.UNAVAILABLE
-            assert await env.proxy.ended() == 0
+            assert await env.proxy.wait_until_ended() == 0
 
     run_scenario(scenario)
 
@@ -403,7 +403,7 @@
 
 def test_envoy_is_told_the_server_and_its_answer_ends_the_attempt() -> None:
     async def scenario(env: Environment) -> None:
-        async with grpc.aio.insecure_channel(env.proxy.address) as channel:
+        async with grpc.aio.insecure_channel(env.proxy.external_processor_address) as channel:
             stream = EnvoyStream(channel)
             asked = await stream.request(ASKED)
             added_headers = set_headers(asked)
@@ -438,7 +438,7 @@
     headers: dict[str, str | bytes], status: int, detail: str
 ) -> None:
     async def scenario(env: Environment) -> None:
-        async with grpc.aio.insecure_channel(env.proxy.address) as channel:
+        async with grpc.aio.insecure_channel(env.proxy.external_processor_address) as channel:
             answer = (await EnvoyStream(channel).request(headers)).immediate_response
             assert answer.status.code == status and detail in answer.body.decode()
 
@@ -447,27 +447,27 @@
 
 def test_envoys_resets_before_and_after_the_verdict_settle_what_was_open() -> None:
     async def scenario(env: Environment) -> None:
-        async with grpc.aio.insecure_channel(env.proxy.address) as channel:
+        async with grpc.aio.insecure_channel(env.proxy.external_processor_address) as channel:
             for _ in range(3):
                 stream = EnvoyStream(channel)
                 await stream.request(ASKED)
                 stream.reset()
             for _ in range(3):
-                await env.proxy.logged("reason=peer-reset")
-            env.proxy.send(signal.SIGTERM)
-            await env.proxy.logged("stopped")  # an open request would delay the stop
-            assert await env.proxy.ended() == 0
+                await env.proxy.wait_for_log_line("reason=peer-reset")
+            env.proxy.send_signal(signal.SIGTERM)
+            await env.proxy.wait_for_log_line("stopped")  # an open request would delay the stop
+            assert await env.proxy.wait_until_ended() == 0
 
     run_scenario(scenario)
 
 
 def test_an_answer_over_a_server_that_is_gone_is_reset() -> None:
     async def scenario(env: Environment) -> None:
-        async with grpc.aio.insecure_channel(env.proxy.address) as channel:
+        async with grpc.aio.insecure_channel(env.proxy.external_processor_address) as channel:
             stream = EnvoyStream(channel)
             address = set_headers(await stream.request(ASKED))["x-envoy-original-dst-host"]
             await stream.response(200)
-            env.board.tell([(env.server(address), 2)])
+            env.board.publish([(env.server(address), 2)])
             with pytest.raises(grpc.aio.AioRpcError) as caught:
                 await stream._read()
             assert caught.value.code() is grpc.StatusCode.UNAVAILABLE
@@ -481,8 +481,8 @@
 def test_the_examples_run_as_printed(name: str, expected_output: str) -> None:
     async def scenario(env: Environment) -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, f"examples/{name}.py", env.proxy.address, cwd=ROOT,
-            env={**os.environ, "PYTHONPATH": str(ROOT)}, stdout=asyncio.subprocess.PIPE,
+            sys.executable, f"examples/{name}.py", env.proxy.external_processor_address, cwd=PROJECT_ROOT,
+            env={**os.environ, "PYTHONPATH": str(PROJECT_ROOT)}, stdout=asyncio.subprocess.PIPE,
         )  # fmt: skip
         out, _ = await process.communicate()
         assert expected_output in out.decode() and process.returncode == 0
@@ -492,9 +492,9 @@
 
 def test_a_server_that_stalls_delays_no_decision_and_each_call_keeps_one_final() -> None:
     async def scenario(env: Environment) -> None:
-        server_connections = Lines()
+        server_connections = UpstreamConnections()
         env.servers[0].stall(500.0)
-        async with Client([env.proxy.address], "edge") as client:
+        async with Client([env.proxy.external_processor_address], "edge") as client:
             await client.connected.wait()
 
             async def attempt(route: Route) -> Attempt:
@@ -513,7 +513,7 @@
 
 def test_a_call_of_a_closed_client_raises() -> None:
     async def scenario(env: Environment) -> None:
-        client = Client([env.proxy.address], "edge")
+        client = Client([env.proxy.external_processor_address], "edge")
         async with client:
             call: Call = await client.ask("status-check", "a", 3000)
             assert call.begin()
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from martentide_lab.fleet.rig import Rig
-from martentide_lab.fleet.story import Script
+from martentide_lab.fleet.scenario import Scenario
 
 WAIT_LIMIT_S = 30.0  # s; for any wait, also on one slow core
 
@@ -17,17 +17,17 @@
 
     On failure the log of the run is printed.
     """
-    script = Script(proxies=proxies, servers=servers, rate=more.pop("rate", 8.0 * proxies))
+    script = Scenario(proxies=proxies, servers=servers, rate=more.pop("rate", 8.0 * proxies))
 
     async def run() -> None:
         async with Rig(script, **more) as rig:
             try:
-                await rig.until(rig.whole, WAIT_LIMIT_S)
+                await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
                 await scene(rig)
-                violations = rig.broken()
+                violations = rig.violations()
                 assert not violations, "\n".join(violations)
             except (AssertionError, TimeoutError):
-                print(rig.story())
+                print(rig.recent_events())
                 raise
 
     asyncio.run(run())
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -13,9 +13,9 @@
 from martentide.fleet.events import Changed, DatagramReceived, Due, Learned, Publish, Send
 from martentide.fleet.terms import Terms
 from martentide.fleet.wire import Datagram, Kind, MemberRecord, State, StateEntry
-from martentide_lab.fleet.invariants import Checker
+from martentide_lab.fleet.invariants import FleetChecker
+from martentide_lab.fleet.scenario import Step
 from martentide_lab.fleet.simulated import SimulatedFleet
-from martentide_lab.fleet.story import Step
 
 ADDRESS = ("127.0.0.1", 7_000)
 
@@ -123,26 +123,26 @@
 def test_the_age_of_an_entry_is_never_understated_under_delays_stalls_and_duplicates(seed: int) -> None:
     fleet = SimulatedFleet(5, seed)
     rng = random.Random(seed)
-    fleet.network.all(delay=5.0, jitter=rng.choice([10.0, 900.0, 4_000.0]), duplicate=0.2, loss=0.1)
+    fleet.network.set_all(delay=5.0, jitter=rng.choice([10.0, 900.0, 4_000.0]), duplicate=0.2, loss=0.1)
     born: dict[tuple[str, int], float] = {}
-    for name in fleet.nodes:
+    for name in fleet.members:
         fleet.start(name)
     for _ in range(12):
         fleet.run(fleet.now + rng.uniform(100.0, 1_500.0))
-        name = rng.choice(list(fleet.nodes))
-        core = fleet.nodes[name].core
-        if core is not None and not fleet.nodes[name].stopped:
+        name = rng.choice(list(fleet.members))
+        core = fleet.members[name].core
+        if core is not None and not fleet.members[name].stopped:
             fleet.publish(name, 3, b"v", end=60_000)
             born[(name, core.own_entries[3].entry.counter)] = fleet.now
-        one = rng.choice(list(fleet.nodes))
-        (fleet.wake if fleet.nodes[one].stopped else fleet.stop)(one)
-    for name in fleet.nodes:
-        fleet.wake(name)
+        one = rng.choice(list(fleet.members))
+        (fleet.resume if fleet.members[one].stopped else fleet.stop)(one)
+    for name in fleet.members:
+        fleet.resume(name)
     fleet.run(fleet.now + 5_000.0)
     received = 0
-    for node in fleet.nodes.values():
+    for node in fleet.members.values():
         assert node.core is not None
-        for owner, entry, age in node.core.state_entries_of(3, node.clock(fleet.now)):
+        for owner, entry, age in node.core.state_entries_of(3, node.own_time(fleet.now)):
             received += 1
             assert age >= fleet.now - born[(owner.name, entry.counter)] - 1.0
     assert received or fleet.network.base.jitter > 1_000.0
@@ -150,15 +150,15 @@
 
 def test_datagrams_hold_whole_entries_and_respect_the_size_and_rate_limits() -> None:
     fleet = SimulatedFleet(40, 3)
-    fleet.acquaint()
-    for name in fleet.nodes:
+    fleet.start_acquainted()
+    for name in fleet.members:
         for kind in range(8):
             fleet.publish(name, kind, bytes(480))
     fleet.run(8_000.0)
     terms = fleet.terms
-    for node in fleet.nodes.values():
+    for node in fleet.members.values():
         assert node.counts["largest"] <= 1_400 and not node.counts["malformed"]
-        assert node.sent <= 8.0 * (terms.bytes_per_s + 2.0 * 5 * 400) + terms.burst_bytes
+        assert node.sent_bytes <= 8.0 * (terms.bytes_per_s + 2.0 * 5 * 400) + terms.burst_bytes
 
 
 def test_tables_are_bounded() -> None:
@@ -244,16 +244,16 @@
 
     def rules() -> set[str]:
         fleet = SimulatedFleet(4, 5)
-        fleet.network.all(loss=loss)
+        fleet.network.set_all(loss=loss)
         PENDING.clear()
 
         def resurrect_all() -> None:
             for core, resurrected in PENDING:
-                fleet.feed(core.me.name, DatagramReceived(Datagram(Kind.GOSSIP, resurrected, 0, 0)))
+                fleet.handle_event(core.me.name, DatagramReceived(Datagram(Kind.GOSSIP, resurrected, 0, 0)))
 
-        fleet.later(20_000.0, resurrect_all)
+        fleet.schedule(20_000.0, resurrect_all)
         log = fleet.play(steps, end)
-        return {one.rule for one in Checker(list(fleet.nodes)).check(log, end)}
+        return {one.rule for one in FleetChecker(list(fleet.members)).check(log, end)}
 
     assert rules() == set()
     inject(monkeypatch)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -11,14 +11,14 @@
 
 from martentide.fleet.wire import Datagram, Frame, State
 from martentide_lab.fleet.faults import Link
-from martentide_lab.fleet.ghost import Ghost
+from martentide_lab.fleet.hollow_member import HollowMember
 from martentide_lab.fleet.rig import Rig
-from martentide_lab.fleet.story import Step
+from martentide_lab.fleet.scenario import Step
 from tests.fleet.support import WAIT_LIMIT_S, play
 
 
 async def do(rig: Rig, verb: str, *arguments: object) -> None:
-    await rig.do(Step(0.0, verb, arguments))
+    await rig.execute_step(Step(0.0, verb, arguments))
 
 
 async def agree(rig: Rig, member: str, observers: Sequence[str], generation: int) -> None:
@@ -39,12 +39,12 @@
 def test_killed_restarted_and_terminated() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "kill", "n3")
-        await rig.until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
         await do(rig, "start", "n3")
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
         await do(rig, "term", "n2")
-        await rig.until(lambda: rig.known_dead("n2"), WAIT_LIMIT_S)
-        changes = [event for event in rig.log if event.kind == "member" and event.about == "n2"]
+        await rig.wait_until(lambda: rig.known_dead("n2"), WAIT_LIMIT_S)
+        changes = [event for event in rig.log if event.kind == "member" and event.subject == "n2"]
         assert any(event.fields["state"] == State.LEFT for event in changes)
 
     play(scene)
@@ -58,9 +58,9 @@
         if duration > 10.0:
             assert rig.known_dead("n1", by=["n0", "n2", "n3"])
         await do(rig, "continue", "n1")
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
         await asyncio.sleep(1.0)  # the stopped member must not mark others dead for its own stall
-        changes = [event for event in rig.log if event.kind == "member" and event.who == "n1"]
+        changes = [event for event in rig.log if event.kind == "member" and event.observer == "n1"]
         assert not [event for event in changes if event.fields["state"] == State.DEAD]
 
     play(scene)
@@ -73,13 +73,13 @@
     async def scene(rig: Rig) -> None:
         one_names, other_names = one_side.split(","), other_side.split(",")
         await do(rig, "split", one_side, other_side)
-        await rig.until(
+        await rig.wait_until(
             lambda: rig.known_dead(*one_names, by=other_names) and rig.known_dead(*other_names, by=one_names),
             WAIT_LIMIT_S,
         )
-        assert rig.whole(one_names) and rig.whole(other_names)
+        assert rig.is_converged(one_names) and rig.is_converged(other_names)
         await do(rig, "heal")
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
 
     play(scene, proxies=6)
 
@@ -88,10 +88,10 @@
     async def scene(rig: Rig) -> None:
         await do(rig, "cut", "n1", "n0")
         await asyncio.sleep(6.0)
-        assert rig.whole()
+        assert rig.is_converged()
         assert not [e for e in rig.log if e.kind == "member" and e.fields["state"] == State.DEAD]
 
-    play(scene, servers=0, load=False)
+    play(scene, servers=0, with_load=False)
 
 
 def test_20_percent_loss_marks_no_live_member_dead_and_a_dead_one_is_detected() -> None:
@@ -99,7 +99,7 @@
         await asyncio.sleep(5.0)
         assert not [e for e in rig.log if e.kind == "member" and e.fields["state"] == State.DEAD]
         await do(rig, "kill", "n5")
-        await rig.until(lambda: rig.known_dead("n5"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.known_dead("n5"), WAIT_LIMIT_S)
 
     play(scene, proxies=6, base=Link(loss=0.2, jitter=20.0))
 
@@ -110,8 +110,8 @@
         await asyncio.sleep(8.0)
         await do(rig, "feed", "n2")
         deaths = [e for e in rig.log if e.kind == "member" and e.fields["state"] == State.DEAD]
-        assert not [e for e in deaths if e.about != "n2"]
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        assert not [e for e in deaths if e.subject != "n2"]
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
 
     play(scene)
 
@@ -119,16 +119,16 @@
 def test_start_while_the_only_seed_is_dead() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "kill", "n0,n3")
-        await rig.until(lambda: rig.known_dead("n0", "n3"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.known_dead("n0", "n3"), WAIT_LIMIT_S)
         await do(rig, "start", "n3")  # known to the others: they ping its former address
-        await rig.until(rig.whole, WAIT_LIMIT_S)
-        await rig.start("x1")  # unknown to all: it runs without peers
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
+        await rig.start_member("x1")  # unknown to all: it runs without peers
         await asyncio.sleep(1.5)
-        assert rig.held["x1"] == {} and rig.whole(["n1", "n2", "n3"])
+        assert rig.views["x1"] == {} and rig.is_converged(["n1", "n2", "n3"])
         await do(rig, "start", "n0")
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
 
-    play(scene, seeds=1)
+    play(scene, seed_count=1)
 
 
 def test_all_members_killed_and_restarted_at_once() -> None:
@@ -136,7 +136,7 @@
         names = ",".join(rig.proxies)
         await do(rig, "kill", names)
         await do(rig, "start", names)
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
 
     play(scene, proxies=6)
 
@@ -145,8 +145,8 @@
     async def scene(rig: Rig) -> None:
         dead = [f"n{at}" for at in range(3, 10)]
         await do(rig, "kill", ",".join(dead))
-        await rig.until(lambda: rig.known_dead(*dead), WAIT_LIMIT_S)
-        assert rig.whole()
+        await rig.wait_until(lambda: rig.known_dead(*dead), WAIT_LIMIT_S)
+        assert rig.is_converged()
 
     play(scene, proxies=10)
 
@@ -162,22 +162,24 @@
             """Whether the last record that each other member logged of n3 is its last process, alive."""
             [*_, last] = [event.fields["life"] for event in rig.log if event.kind == "started"]
             last_changes = {
-                event.who: event.fields for event in rig.log if event.kind == "member" and event.about == "n3"
+                event.observer: event.fields
+                for event in rig.log
+                if event.kind == "member" and event.subject == "n3"
             }
             states = [(one["life"], one["state"]) for who, one in last_changes.items() if who in rig.proxies]
             return states == [(last, State.ALIVE)] * 3
 
-        await rig.until(known, WAIT_LIMIT_S)
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        await rig.wait_until(known, WAIT_LIMIT_S)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
 
     play(scene)
 
 
 def test_of_two_processes_of_one_name_the_newer_keeps_it() -> None:
     async def scene(rig: Rig) -> None:
-        await rig.start("x1", bears="n1")
-        await rig.until(lambda: any(e.kind == "displaced" for e in rig.log), WAIT_LIMIT_S)
-        [displaced] = {e.who for e in rig.log if e.kind == "displaced"}
+        await rig.start_member("x1", member_name="n1")
+        await rig.wait_until(lambda: any(e.kind == "displaced" for e in rig.log), WAIT_LIMIT_S)
+        [displaced] = {e.observer for e in rig.log if e.kind == "displaced"}
         assert displaced == "n1"
         assert (await rig.status("n1"))["state"] == "displaced"
         alive: set[str] = set()
@@ -194,25 +196,25 @@
 def test_an_address_taken_over_by_another_name_or_fleet() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "kill", "n3")
-        await rig.start("n3", bears="n9")
-        await rig.until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
-        assert all(rig.held[name]["n9"] == State.ALIVE for name in ("n0", "n1", "n2"))
+        await rig.start_member("n3", member_name="n9")
+        await rig.wait_until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
+        assert all(rig.views[name]["n9"] == State.ALIVE for name in ("n0", "n1", "n2"))
         await do(rig, "kill", "n2")
-        await rig.start("n2", fleet="other")
-        await rig.until(lambda: rig.known_dead("n2", by=["n0", "n1"]), WAIT_LIMIT_S)
-        assert rig.held["n2"] == {}
+        await rig.start_member("n2", fleet="other")
+        await rig.wait_until(lambda: rig.known_dead("n2", by=["n0", "n1"]), WAIT_LIMIT_S)
+        assert rig.views["n2"] == {}
         counts = [(await rig.status(name))["counts"] for name in ("n0", "n1", "n2")]
         assert sum(one.get("other-fleet", 0) for one in counts) > 0
 
-    play(scene, load=False)
+    play(scene, with_load=False)
 
 
 def test_an_upgrade_keeps_the_name_alive() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "upgrade", "n1")
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
         await asyncio.sleep(3.0)
-        changes = [e for e in rig.log if e.kind == "member" and e.about == "n1" and e.who != "n1"]
+        changes = [e for e in rig.log if e.kind == "member" and e.subject == "n1" and e.observer != "n1"]
         assert not [e for e in changes if e.fields["state"] >= State.DEAD]
         status = await rig.status("n1")
         assert status["state"] == "alive" and status["generation"] == 2
@@ -224,18 +226,18 @@
     async def scene(rig: Rig) -> None:
         await do(rig, "stop", "n3")
         rig.set_clock("n1", -3600.0)
-        await rig.until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
         rig.set_clock("n1", 7200.0)
         await do(rig, "pace", "n2", 9.0)  # a wall clock that runs ten times as fast
         await do(rig, "continue", "n3")
-        await rig.until(rig.whole, WAIT_LIMIT_S)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
         ages = [
             facet["age"] for name in rig.proxies for one in (await rig.status(name))["members"]
             for facet in one["facets"]
         ]  # fmt: skip
         assert all(age < 60_000 for age in ages)
 
-    play(scene, clocks={"n1": 3600.0, "n2": -3600.0})
+    play(scene, clock_offsets={"n1": 3600.0, "n2": -3600.0})
 
 
 def later_version(frame: Frame, datagram: Datagram) -> bytes:
@@ -252,10 +254,10 @@
 
 def test_a_member_of_a_later_version_is_listed_and_its_entries_are_gossiped() -> None:
     async def scene(rig: Rig) -> None:
-        ghost = Ghost("n7", change=later_version)
+        ghost = HollowMember("n7", transform=later_version)
         try:
             rig.network.set(["n7"], ["n1", "n2", "n3"], cut=True)  # these learn of it through n0 only
-            await ghost.join(rig.hub, (rig.hub.told("n0"),))
+            await ghost.join(rig.hub, (rig.hub.public_address("n0"),))
             ghost.publish(77, 9, b"of a kind that nobody knows")
 
             async def gossiped() -> bool:
@@ -268,9 +270,9 @@
                     await asyncio.sleep(0.1)
         finally:
             ghost.close()
-        await rig.until(lambda: rig.known_dead("n7"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.known_dead("n7"), WAIT_LIMIT_S)
 
-    play(scene, load=False)
+    play(scene, with_load=False)
 
 
 def test_a_flood_of_invalid_datagrams_delays_no_detection_and_floods_no_log() -> None:
@@ -301,9 +303,9 @@
 
         async def checks(count: int) -> None:
             """Wait for that many more health checks."""
-            before = len(hung.tests)
+            before = len(hung.health_checks)
             async with asyncio.timeout(WAIT_LIMIT_S):
-                while len(hung.tests) < before + count:
+                while len(hung.health_checks) < before + count:
                     await asyncio.sleep(0.05)
 
         async def left_to(name: str) -> set[str]:
@@ -323,13 +325,13 @@
         first = await assignees(list(rig.proxies))
         await checks(4)
         await do(rig, "kill", ",".join(first))
-        await rig.until(lambda: rig.known_dead(*first), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.known_dead(*first), WAIT_LIMIT_S)
         await checks(4)
         second = await assignees(list(rig.proxies))
         assert second and not set(first) & set(second)
         one_side, other_side = list(rig.proxies)[:2], list(rig.proxies)[2:]
         await do(rig, "split", ",".join(one_side), ",".join(other_side))
-        await rig.until(
+        await rig.wait_until(
             lambda: rig.known_dead(*one_side, by=other_side) and rig.known_dead(*other_side, by=one_side),
             WAIT_LIMIT_S,
         )
@@ -337,10 +339,10 @@
             assert [name for name in side if hung.name not in await left_to(name)]
         await do(rig, "heal")
         await do(rig, "server", "s0", "well")
-        await rig.until(rig.whole, WAIT_LIMIT_S)
-        before = len(hung.arrivals)
+        await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
+        before = len(hung.received_set_ups)
         async with asyncio.timeout(WAIT_LIMIT_S):
-            while len(hung.arrivals) < before + 20:  # it is sent calls again
+            while len(hung.received_set_ups) < before + 20:  # it is sent calls again
                 await asyncio.sleep(0.1)
 
     play(scene, proxies=6, servers=3, rate=60.0)
--- a/tests/fleet/test_simulated.py
+++ b/tests/fleet/test_simulated.py
@@ -8,10 +8,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
 from martentide.fleet.core import Membership
-from martentide_lab.fleet.invariants import Checker
-from martentide_lab.fleet.search import play, random_steps, search
+from martentide_lab.fleet.invariants import FleetChecker
+from martentide_lab.fleet.scenario import Step
+from martentide_lab.fleet.search import play_steps, random_steps, search
 from martentide_lab.fleet.simulated import SimulatedFleet
-from martentide_lab.fleet.story import Step
 
 MEMBERS = {f"n{index}" for index in range(5)}
 NAMES = st.sampled_from(sorted(MEMBERS))
@@ -27,7 +27,7 @@
         self.fleet.play((), 3_000.0)
 
     def do(self, verb: str, *arguments: object, duration: float = 700.0) -> None:
-        self.fleet.do(Step(0.0, verb, arguments))
+        self.fleet.execute_step(Step(0.0, verb, arguments))
         self.fleet.run(self.fleet.now + duration)
 
     @rule(name=NAMES, verb=st.sampled_from(["kill", "start", "stop", "continue", "term"]), duration=DURATIONS)
@@ -54,7 +54,7 @@
         for verb, *arguments in (("heal",), ("loss", 0.0), ("damage", 0.0), ("continue", ",".join(MEMBERS))):
             self.do(str(verb), *arguments, duration=0.0)
         self.fleet.run(self.fleet.now + 14_000.0)
-        violations = Checker(list(self.fleet.nodes)).check(self.fleet.log, self.fleet.now)
+        violations = FleetChecker(list(self.fleet.members)).check(self.fleet.log, self.fleet.now)
         assert not violations, "\n".join(map(str, violations))
 
 
@@ -69,7 +69,7 @@
 def test_no_random_script_breaks_an_invariant(members: int) -> None:
     for seed in range(8):
         steps = random_steps(seed, members)
-        violations, _ = play(members, seed, steps)
+        violations, _ = play_steps(members, seed, steps)
         assert not violations, "\n".join(map(str, [*violations, *steps]))
 
 
@@ -81,6 +81,6 @@
     assert failures
     for seed, shortest, violations in failures:
         assert 1 <= len(shortest) <= 4 and violations
-        first_violations, first_log = play(4, seed, shortest)
-        second_violations, second_log = play(4, seed, shortest)
+        first_violations, first_log = play_steps(4, seed, shortest)
+        second_violations, second_log = play_steps(4, seed, shortest)
         assert first_violations == second_violations != [] and first_log == second_log
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -21,7 +21,7 @@
     StateEntry,
 )
 from martentide.settings import settings_from
-from martentide_lab.fleet.story import ScriptError, read_script
+from martentide_lab.fleet.scenario import ScenarioError, parse_scenario
 from martentide_lab.proxy import site_settings
 
 FRAME = Frame("f")
@@ -138,10 +138,10 @@
     ],
 )
 def test_an_invalid_script_is_rejected_and_a_valid_one_reads_back_unchanged(text: str, message: str) -> None:
-    with pytest.raises(ScriptError, match=message):
-        read_script(text, "x")
-    valid = read_script('fleet proxies=4 seed=3\nat 2.5 "split" "n0,n1" "n2"\nat 1 "loss" 0.1', "x")
-    assert read_script(valid.text(), "x") == valid and [step.verb for step in valid.steps] == [
+    with pytest.raises(ScenarioError, match=message):
+        parse_scenario(text, "x")
+    valid = parse_scenario('fleet proxies=4 seed=3\nat 2.5 "split" "n0,n1" "n2"\nat 1 "loss" 0.1', "x")
+    assert parse_scenario(valid.text(), "x") == valid and [step.verb for step in valid.steps] == [
         "loss",
         "split",
     ]
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -22,8 +22,8 @@
 from martentide.net.dispatcher import Dispatcher, Probing, Settle
 from martentide.net.learned import Store
 from martentide.rules import Controller
-from martentide_lab.proxy import ROOT, Proxy
-from martentide_lab.servers import Board, SessionServer
+from martentide_lab.proxy import PROJECT_ROOT, ProxyProcess
+from martentide_lab.servers import DiscoveryServer, SessionServer
 from tests.support import SETTINGS, entry
 
 QUICK = Pace(period=20.0, gap=5.0, hung=60.0, first_retry=10.0)
@@ -216,13 +216,15 @@
 # ---- the real program -------------------------------------------------------------------------------------
 
 
-def run_program(scenario: Callable[[Proxy, list[SessionServer]], Awaitable[None]], extras: str) -> None:
+def run_program(
+    scenario: Callable[[ProxyProcess, list[SessionServer]], Awaitable[None]], extras: str
+) -> None:
     async def run() -> None:
-        servers, board = [SessionServer(number) for number in range(2)], Board()
+        servers, board = [SessionServer(number) for number in range(2)], DiscoveryServer()
         for server in servers:
             await server.start()
         await board.start()
-        async with asyncio.timeout(40), Proxy(board, servers, extras) as proxy:
+        async with asyncio.timeout(40), ProxyProcess(board, servers, extras) as proxy:
             await scenario(proxy, servers)
         for server in servers:
             await server.stop()
@@ -238,17 +240,17 @@
 def test_program_restores_its_state_after_sigterm_and_sigkill(tmp_path: Path) -> None:
     folder = tmp_path / "n0"
 
-    async def scenario(proxy: Proxy, servers: list[SessionServer]) -> None:
-        assert "start=nothing" in await proxy.logged("state-start")
+    async def scenario(proxy: ProxyProcess, servers: list[SessionServer]) -> None:
+        assert "start=nothing" in await proxy.wait_for_log_line("state-start")
         for number in (signal.SIGTERM, signal.SIGKILL, signal.SIGTERM):
             while not (folder / STATE).exists():
                 await asyncio.sleep(0.01)
-            proxy.send(number)
-            code = await proxy.ended()
+            proxy.send_signal(number)
+            code = await proxy.wait_until_ended()
             assert code == (0 if number is signal.SIGTERM else -signal.SIGKILL)
             proxy.log.clear()
             await proxy.start()
-            line = await proxy.logged("state-start")
+            line = await proxy.wait_for_log_line("state-start")
             assert "start=last-good" in line or "start=earlier-good" in line
             assert " servers=2 " in line
 
@@ -256,17 +258,17 @@
 
 
 def test_sighup_changes_the_folder(tmp_path: Path) -> None:
-    async def scenario(proxy: Proxy, servers: list[SessionServer]) -> None:
-        await proxy.logged("state-start")
-        proxy.write(extras_text(tmp_path / "b"))
-        proxy.send(signal.SIGHUP)
-        await proxy.logged("state-moved")
+    async def scenario(proxy: ProxyProcess, servers: list[SessionServer]) -> None:
+        await proxy.wait_for_log_line("state-start")
+        proxy.write_extras(extras_text(tmp_path / "b"))
+        proxy.send_signal(signal.SIGHUP)
+        await proxy.wait_for_log_line("state-moved")
         while not (tmp_path / "b" / STATE).exists():
             await asyncio.sleep(0.01)
         (tmp_path / "file").touch()
-        proxy.write(extras_text(tmp_path / "file"))
-        proxy.send(signal.SIGHUP)
-        await proxy.logged("state-not-moved")
+        proxy.write_extras(extras_text(tmp_path / "file"))
+        proxy.send_signal(signal.SIGHUP)
+        await proxy.wait_for_log_line("state-not-moved")
 
     run_program(scenario, extras_text(tmp_path / "a"))
 
@@ -281,7 +283,7 @@
 
     def command(*arguments: str) -> tuple[int, str]:
         line = [sys.executable, "-m", "martentide", "state", *arguments]
-        done = subprocess.run(line, cwd=ROOT, capture_output=True, text=True, timeout=30)
+        done = subprocess.run(line, cwd=PROJECT_ROOT, capture_output=True, text=True, timeout=30)
         return done.returncode, done.stdout + done.stderr
 
     assert command("check", str(state))[0] == 0
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -13,11 +13,11 @@
 from martentide.net.links import unix_ms
 from martentide.overload.core import ALLOTMENT, MAX_BALANCE, RETRY_RATIO
 from martentide.overload.messages import LOAD_KIND, Load, ServerPressure, write_load
-from martentide_lab.checker import check_repeats, cold_use
-from martentide_lab.fleet.ghost import Ghost
+from martentide_lab.checker import check_retries, cold_start_load
+from martentide_lab.fleet.hollow_member import HollowMember
 from martentide_lab.fleet.rig import Rig
-from martentide_lab.fleet.story import Step
-from martentide_lab.servers import READY, Arrival, SessionServer
+from martentide_lab.fleet.scenario import Step
+from martentide_lab.servers import READY, ReceivedSetUp, SessionServer
 from tests.fleet.support import WAIT_LIMIT_S, play
 
 SHARES = (0.74, 0.05, 0.21)  # of the traffic, by class
@@ -27,7 +27,7 @@
 
 
 async def do(rig: Rig, verb: str, *arguments: object) -> None:
-    await rig.do(Step(0.0, verb, arguments))
+    await rig.execute_step(Step(0.0, verb, arguments))
 
 
 def storm(
@@ -40,21 +40,21 @@
 
     async def whole(rig: Rig) -> None:
         for server in rig.servers:
-            server.script.rate = RATE
-        for load in rig.loads.values():
-            load.honour = load.honour if honour is None else honour
+            server.behavior.rate = RATE
+        for load in rig.load_generators.values():
+            load.hold_off_compliance = load.hold_off_compliance if honour is None else honour
         await asyncio.sleep(1.5)
         await do(rig, "surge", 1.7)
         await scene(rig)
         await do(rig, "surge", 0.7)
-        await rig.until(lambda: any(event.kind == "overload" for event in rig.log), WAIT_LIMIT_S)
-        await rig.until(lambda: rig.calm() and rig.whole(), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: any(event.kind == "overload" for event in rig.log), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.nobody_sheds() and rig.is_converged(), WAIT_LIMIT_S)
         if budget:
-            tries = sum(len(load.stories) for _, load in rig.all_loads)
-            lives = len(rig.all_loads)
-            assert not check_repeats(rig.servers, tries, RETRY_RATIO, lives, MAX_BALANCE + ALLOTMENT)
+            tries = sum(len(load.redialed_calls) for _, load in rig.all_load_generators)
+            lives = len(rig.all_load_generators)
+            assert not check_retries(rig.servers, tries, RETRY_RATIO, lives, MAX_BALANCE + ALLOTMENT)
 
-    more = {"extra": ON, "redials": 3, "shares": SHARES, **more}
+    more = {"extra_settings": ON, "redials": 3, "shares": SHARES, **more}
     play(whole, PROXIES, SERVERS, rate=0.8 * RATE * SERVERS, **more)
 
 
@@ -63,7 +63,7 @@
         await do(rig, "surge", 1.0)
         await do(rig, "surge-at", "n0", 6.0)
         await asyncio.sleep(4.0)
-        shedding = {event.who for event in rig.log if event.kind == "overload"}
+        shedding = {event.observer for event in rig.log if event.kind == "overload"}
         assert len(shedding) == PROXIES  # also those whose offered load did not change
 
     storm(scene)
@@ -79,7 +79,8 @@
     "surge moves from proxy to proxy": ([(0.0, "surge", 1.0), *MOVING_SURGE], {}),
     "callers that ignore the hold-off": ([(4.0, "surge", 1.0)], {"honour": 0.0}),
     "half of the fleet without overload control": (
-        [(4.0, "surge", 1.0)], {"budget": False, "extra": {f"n{at}": ON for at in range(0, PROXIES, 2)}}),
+        [(4.0, "surge", 1.0)],
+        {"budget": False, "extra_settings": {f"n{at}": ON for at in range(0, PROXIES, 2)}}),
     "messages delayed by 2 s everywhere, so that each acts alone": (
         [(0.0, "delay", 2_000, 100), (5.0, "delay", 0, 2)], {}),
 }  # fmt: skip
@@ -100,14 +101,14 @@
 def test_surge_with_a_hung_a_slow_and_a_cold_server() -> None:
     async def scene(rig: Rig) -> None:
         hung, slow, cold = rig.servers
-        hung.script.mute = hung.script.deaf = True
-        slow.script.rate = RATE / 3.0
-        cold.script.cold_from = unix_ms()
-        rig.board.tell([(cold, READY)], started=int(cold.script.cold_from))
+        hung.behavior.ignore_set_ups = hung.behavior.ignore_health_checks = True
+        slow.behavior.rate = RATE / 3.0
+        cold.behavior.cold_start_at = unix_ms()
+        rig.discovery.publish([(cold, READY)], started=int(cold.behavior.cold_start_at))
         await asyncio.sleep(4.0)
-        assert cold_use(cold) <= 1.0
-        hung.script.mute = hung.script.deaf = False
-        slow.script.rate = RATE
+        assert cold_start_load(cold) <= 1.0
+        hung.behavior.ignore_set_ups = hung.behavior.ignore_health_checks = False
+        slow.behavior.rate = RATE
 
     storm(scene)
 
@@ -119,10 +120,10 @@
         cold = SessionServer(SERVERS)
         rig.servers.append(cold)
         await cold.start()
-        cold.script.rate, cold.script.cold_from = RATE, unix_ms()
-        rig.board.tell([(cold, READY)], started=int(cold.script.cold_from))
+        cold.behavior.rate, cold.behavior.cold_start_at = RATE, unix_ms()
+        rig.discovery.publish([(cold, READY)], started=int(cold.behavior.cold_start_at))
         await asyncio.sleep(5.0)
-        assert len(cold.arrivals) > 0 and cold_use(cold) <= 1.0
+        assert len(cold.received_set_ups) > 0 and cold_start_load(cold) <= 1.0
         await do(rig, "heal")
 
     storm(scene)
@@ -130,10 +131,10 @@
 
 async def publish_false_claims(rig: Rig, hold: int, lasting: int, spans: int) -> list[float]:
     """Run a member that makes false claims and requests all tokens; return what the others then admit."""
-    ghost = Ghost("n9")
+    ghost = HollowMember("n9")
     admitted = []
     try:
-        await ghost.join(rig.hub, (rig.hub.told("n0"),))
+        await ghost.join(rig.hub, (rig.hub.public_address("n0"),))
         for turn in range(spans):
             pressed = [ServerPressure(server.name, hold, 0) for server in rig.servers]
             offered = {"status-check": 100 + turn}
@@ -151,13 +152,13 @@
 
 def test_false_claims_of_full_servers_have_a_bounded_effect() -> None:
     async def scene(rig: Rig) -> None:
-        for load in rig.loads.values():
+        for load in rig.load_generators.values():
             load.rate /= 2.0
         admitted = await publish_false_claims(rig, hold=1_000, lasting=0, spans=24)
         assert admitted and min(admitted) >= 0.6, admitted
-        await rig.until(lambda: rig.known_dead("n9"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.known_dead("n9"), WAIT_LIMIT_S)
 
-    play(scene, PROXIES, SERVERS, rate=0.8 * RATE * SERVERS, extra=ON)
+    play(scene, PROXIES, SERVERS, rate=0.8 * RATE * SERVERS, extra_settings=ON)
 
 
 def test_false_claims_of_idle_servers_do_not_prevent_shedding() -> None:
@@ -165,7 +166,7 @@
         await do(rig, "surge", 2.0)
         admitted = await publish_false_claims(rig, hold=0, lasting=1_000, spans=24)
         assert min(admitted) < 0.95, admitted
-        await rig.until(lambda: rig.known_dead("n9"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.known_dead("n9"), WAIT_LIMIT_S)
 
     storm(scene)
 
@@ -177,21 +178,23 @@
         assert status["admitted"] == 1.0
         assert "overload: normal" in table(json.dumps(await rig.status("n0")))
 
-    play(scene, 2, 1, extra=ON)
+    play(scene, 2, 1, extra_settings=ON)
 
 
 @pytest.mark.parametrize(("further", "broken"), [(11, False), (30, True)])
 def test_retry_checker_detects_a_violation(further: int, broken: bool) -> None:
     server = SessionServer(0)
     for at in range(20):
-        server.arrivals.append(Arrival(at.to_bytes(8, "big"), b"", float(at)))
-    server.arrivals += [Arrival((1).to_bytes(8, "big"), b"", float(at)) for at in range(further)]
-    assert bool(check_repeats([server], 20, 0.15, 1, 9.0)) is broken
+        server.received_set_ups.append(ReceivedSetUp(at.to_bytes(8, "big"), b"", float(at)))
+    server.received_set_ups += [
+        ReceivedSetUp((1).to_bytes(8, "big"), b"", float(at)) for at in range(further)
+    ]
+    assert bool(check_retries([server], 20, 0.15, 1, 9.0)) is broken
 
 
 @pytest.mark.parametrize(("gap", "over"), [(500.0, False), (20.0, True)])
 def test_cold_server_checker_detects_a_violation(gap: float, over: bool) -> None:
     server = SessionServer(0)
-    server.script.rate, server.script.cold_from = RATE, 0.0
-    server.arrivals = [Arrival(b"", b"", gap * at) for at in range(100)]
-    assert (cold_use(server) > 1.0) is over
+    server.behavior.rate, server.behavior.cold_start_at = RATE, 0.0
+    server.received_set_ups = [ReceivedSetUp(b"", b"", gap * at) for at in range(100)]
+    assert (cold_start_load(server) > 1.0) is over
--- a/tests/overload/test_slow_start.py
+++ b/tests/overload/test_slow_start.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from martentide.overload import slow_start
-from martentide_lab.checker import cold_sum
-from martentide_lab.servers import FALL_TIME, Arrival, Script, SessionServer
+from martentide_lab.checker import cold_start_load_beyond_chance
+from martentide_lab.servers import OVERLOAD_TIME_MS, ReceivedSetUp, ServerBehavior, SessionServer
 from tests.support import SETTINGS
 
 AGES = st.floats(0.0, 3.0 * SETTINGS.cold_time)
@@ -79,9 +79,11 @@
 
 @pytest.mark.parametrize(("count", "over"), [(40, False), (80, True)])
 def test_cold_sum_checker_detects_a_violation(count: int, over: bool) -> None:
-    server = SessionServer(0, Script(rate=16.0, cold_from=0.0))
-    server.arrivals = [Arrival(bytes(8), b"", at * FALL_TIME / count) for at in range(count)]
-    assert (cold_sum(server) > 1.0) is over
+    server = SessionServer(0, ServerBehavior(rate=16.0, cold_start_at=0.0))
+    server.received_set_ups = [
+        ReceivedSetUp(bytes(8), b"", at * OVERLOAD_TIME_MS / count) for at in range(count)
+    ]
+    assert (cold_start_load_beyond_chance(server) > 1.0) is over
 
 
 @given(AGES, TRUSTS)
--- a/tests/test_call_ledger.py
+++ b/tests/test_call_ledger.py
@@ -27,18 +27,18 @@
     for event in events:
         match event:
             case "w":
-                ledger.written(CALL, 5.0)
+                ledger.record_set_up(CALL, 5.0)
             case "f":
-                ledger.final(CALL)
+                ledger.record_final_answer(CALL)
             case "x":
                 ledger.expire(CALL)
     assert ledger.faults() == ([(fault, 5.0)] if fault else [])
 
 
 def test_a_fault_of_a_forgotten_call_stays_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(call_ledger, "KEPT", 1)
+    monkeypatch.setattr(call_ledger, "MAX_REMEMBERED_CALLS", 1)
     ledger = CallLedger()
-    ledger.written(CALL, 1.0)
+    ledger.record_set_up(CALL, 1.0)
     ledger.expire(CALL)
-    ledger.written(b"\0" * 7 + b"\2", 2.0)
+    ledger.record_set_up(b"\0" * 7 + b"\2", 2.0)
     assert len(ledger.entries) == 1 and ledger.counts()[CallFault.LOST] == 1
