--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale tests: how messages, bytes, processor time and memory grow, on the rig and simulator of the lab."""
+"""Scale tests: growth of messages, bytes, processor time and memory with the size of the fleet."""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,6 +1,6 @@
 """``python -m benchmarks.scale SECTION [--sizes N,N] [--short] [--seed N]``; ``page`` writes the tables of
-``docs/CAPACITY.md`` from the results. The short form checks counts and slopes of bytes, which do not depend
-on the machine, and saves nothing. ``tier`` prints a line ``RESULT {json}`` for each size.
+``docs/CAPACITY.md`` from the saved results. ``--short`` measures small sizes, checks only results that don't
+depend on the machine, and saves nothing. ``tier`` prints a line ``RESULT {json}`` for each size.
 """
 
 from __future__ import annotations
@@ -17,31 +17,37 @@
 from benchmarks.scale.results import Row, draw, save
 from martentide_lab.control.layout import Layout
 
-SMALL_SERVICES = 30  # of the short form: fewer proxies have fewer services
+SHORT_SERVICES = 30  # with --short; fewer proxies have fewer services
 VOTERS = 5
-RATES = (40, 100, 200, 400)
+CALL_RATES_PER_S = (40, 100, 200, 400)
 
 
 @click.group()
 def main() -> None:
-    """How the program grows with the fleet."""
+    """Measure the growth of costs with the size of the fleet."""
 
 
 def sizes_option(default: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
+    """Return the decorator for the option ``--sizes``."""
     return click.option("--sizes", default=default, show_default=True)
 
 
-def services_of(proxies: int) -> int:
-    """As many members in each service, and so as much to tell a subscriber, as at the planned size."""
+def services_for(proxies: int) -> int:
+    """Return how many services give each service as many members as at the planned size.
+
+    Updates per subscriber grow with the members of its services.
+    """
     planned = Layout()
     return max(planned.called_services + 1, round(proxies * planned.services / planned.proxies))
 
 
-def numbers(text: str) -> list[int]:
-    return [int(one) for one in text.split(",")]
+def parse_sizes(text: str) -> list[int]:
+    """Parse comma-separated integers; raises ValueError for anything else."""
+    return [int(part) for part in text.split(",")]
 
 
-def show(rows: list[Row]) -> None:
+def print_rows(rows: list[Row]) -> None:
+    """Print each row as a line of ``name=value``."""
     for row in rows:
         click.echo("  ".join(f"{name}={value}" for name, value in row.items()))
 
@@ -50,9 +56,9 @@
 @sizes_option("64,200,1000,2000,4700")
 @click.option("--short", is_flag=True)
 def membership_command(sizes: str, short: bool) -> None:
-    """A member of the flat fleet that knows N others."""
-    rows = [membership.measure(count) for count in ([64, 200] if short else numbers(sizes))]
-    show(rows)
+    """Measure one member of a flat fleet with N other members."""
+    rows = [membership.measure(count) for count in ([64, 200] if short else parse_sizes(sizes))]
+    print_rows(rows)
     if short:
         check(all(float(row["bytes_per_s"] or 0) < 4_000 for row in rows), "a calm member says over 4 kB/s")
         return
@@ -64,9 +70,9 @@
 @sizes_option("25,50,100,200")
 @click.option("--short", is_flag=True)
 def state_command(sizes: str, short: bool) -> None:
-    """Entries of everybody to everybody by gossip."""
-    rows = [state.measure(count) for count in ([12, 25] if short else numbers(sizes))]
-    show(rows)
+    """Measure state entries of all members that are gossiped to all members."""
+    rows = [state.measure(count) for count in ([12, 25] if short else parse_sizes(sizes))]
+    print_rows(rows)
     if short:
         check(float(rows[0]["missing_share"] or 0) < 0.01, "entries are missing at 12 members")
         return
@@ -78,9 +84,9 @@
 @sizes_option("9,64,200")
 @click.option("--short", is_flag=True)
 def config_command(sizes: str, short: bool) -> None:
-    """What the leader of the agreement sends, a change of rules each second."""
-    rows: list[Row] = [simulated(count, VOTERS, 1) for count in ([9, 25] if short else numbers(sizes))]
-    show(rows)
+    """Measure what the leader of the agreement sends at one rule change per second."""
+    rows: list[Row] = [simulated(count, VOTERS, 1) for count in ([9, 25] if short else parse_sizes(sizes))]
+    print_rows(rows)
     if short:
         check(all(not row["broken"] for row in rows), "an invariant of the agreement is broken")
         return
@@ -91,9 +97,9 @@
 @main.command("latency")
 @click.option("--short", is_flag=True)
 def latency_command(short: bool) -> None:
-    """What one proxy adds to a call's set-up."""
-    rows = asyncio.run(latency.measure(RATES[:1] if short else RATES))
-    show(rows)
+    """Measure the latency that one proxy adds to the set-up of a call."""
+    rows = asyncio.run(latency.measure(CALL_RATES_PER_S[:1] if short else CALL_RATES_PER_S))
+    print_rows(rows)
     if not short:
         save("latency", rows)
         draw("latency", rows, "calls_per_s", ["added_p50_ms", "added_p99_ms"])
@@ -105,15 +111,15 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--loss", default=0.0, show_default=True, help="share of datagrams lost on all links")
 def tier_command(sizes: str, short: bool, seed: int, loss: float) -> None:
-    """The control tier through an ordinary day's events."""
-    layouts = [Layout(count, services=services_of(count)) for count in numbers(sizes)]
+    """Simulate the control tier through the events of an ordinary day."""
+    layouts = [Layout(count, services=services_for(count)) for count in parse_sizes(sizes)]
     if short:
-        layouts = [Layout(count, 6, services=SMALL_SERVICES) for count in (150, 300)]
+        layouts = [Layout(count, 6, services=SHORT_SERVICES) for count in (150, 300)]
     results = []
     for layout in layouts:
-        results.append(tier.play_day(layout, seed, loss))
+        results.append(tier.simulate_day(layout, seed, loss))
         click.echo("RESULT " + json.dumps(results[-1]))
-    rows = [tier.flat(result) for result in results]
+    rows = [tier.flatten(result) for result in results]
     if len(rows) > 1:
         slope = fit(
             [layout.proxies for layout in layouts], [float(row["bytes_per_s_proxy"] or 0) for row in rows]
@@ -129,9 +135,9 @@
 @click.option("--proxies", default=24, show_default=True)
 @click.option("--nodes", default=3, show_default=True)
 def processes_command(proxies: int, nodes: int) -> None:
-    """The control tier as real processes, with losses of nodes."""
+    """Measure the control tier as real processes, with losses of control nodes."""
     rows = [asyncio.run(processes.measure(proxies, nodes))]
-    show(rows)
+    print_rows(rows)
     click.echo("RESULT " + json.dumps(rows[0]))
     save("processes", rows)
 
@@ -142,9 +148,10 @@
     page.write()
 
 
-def check(holds: bool, otherwise: str) -> None:
+def check(holds: bool, message: str) -> None:
+    """End the command with the message unless the condition holds."""
     if not holds:
-        raise click.ClickException(otherwise)
+        raise click.ClickException(message)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -1,6 +1,6 @@
 """Writes the tables of ``docs/CAPACITY.md`` between its markers from the saved results.
 
-So page and run can't part; what was not run stands there as such.
+The tables always match the saved results; a section without results says so.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from benchmarks.scale.fits import fit
 from benchmarks.scale.results import load
 
-PAGE = Path(__file__).parent.parent.parent / "docs" / "CAPACITY.md"
-PLANNED = 4_700  # proxies
+PAGE_PATH = Path(__file__).parent.parent.parent / "docs" / "CAPACITY.md"
+PLANNED_PROXIES = 4_700
 NOT_RUN = "not run"
 
 
 def table(section: str) -> str:
-    """All rows of a section as a Markdown table."""
+    """Return the rows of a section as a Markdown table."""
     rows = load(section)
     if not rows:
         return NOT_RUN
@@ -28,8 +28,8 @@
     return "\n".join(lines)
 
 
-def turned(section: str) -> str:
-    """The rows of a section as columns: for tables with more figures than sizes."""
+def transposed_table(section: str) -> str:
+    """Return the rows of a section as columns, for sections with more figures than sizes."""
     rows = load(section)
     if not rows:
         return NOT_RUN
@@ -41,49 +41,51 @@
     return "\n".join(lines)
 
 
-def slopes(section: str, across: str, values: tuple[str, ...]) -> str:
-    """Lines through a section's columns, with the figure at the planned size."""
+def slope_table(section: str, x_column: str, y_columns: tuple[str, ...]) -> str:
+    """Return a table of fitted lines through columns of a section, with the value at the planned size."""
     rows = load(section)
-    if len({row[across] for row in rows}) < 2:
+    if len({row[x_column] for row in rows}) < 2:
         return NOT_RUN
     lines = [
-        f"| figure | intercept | slope by {across} (95%) | runs up to | residual there | at {PLANNED:,} |",
+        f"| figure | intercept | slope by {x_column} (95%) "
+        f"| runs up to | residual there | at {PLANNED_PROXIES:,} |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for name in values:
-        one = fit([float(row[across]) for row in rows], [float(row[name]) for row in rows])
+    for name in y_columns:
+        line = fit([float(row[x_column]) for row in rows], [float(row[name]) for row in rows])
         lines.append(
-            f"| {name} | {one.intercept:.4g} | {one.slope:.4g} (± {one.slope_error:.2g}) "
-            f"| {one.largest:,.0f} | {one.residual:.3g} | {one.at(PLANNED):.4g} |"
+            f"| {name} | {line.intercept:.4g} | {line.slope:.4g} (± {line.slope_error:.2g}) "
+            f"| {line.largest:,.0f} | {line.residual:.3g} | {line.predict(PLANNED_PROXIES):.4g} |"
         )
     return "\n".join(lines)
 
 
 BLOCKS: dict[str, Callable[[], str]] = {
     "membership": lambda: table("membership"),
-    "membership-slopes": lambda: slopes(
+    "membership-slopes": lambda: slope_table(
         "membership", "members", ("bytes_per_s", "processor_ms_per_s", "memory_bytes_per_member")
     ),
     "state": lambda: table("state"),
     "config": lambda: table("config"),
-    "config-slopes": lambda: slopes("config", "members", ("leader_bytes_s", "leader_words_s")),
-    "latency": lambda: turned("latency"),
-    "tier": lambda: turned("tier"),
-    "tier-loss": lambda: turned("tier_loss"),
-    "processes": lambda: turned("processes"),
-    "tier-slopes": lambda: slopes(
+    "config-slopes": lambda: slope_table("config", "members", ("leader_bytes_s", "leader_words_s")),
+    "latency": lambda: transposed_table("latency"),
+    "tier": lambda: transposed_table("tier"),
+    "tier-loss": lambda: transposed_table("tier_loss"),
+    "processes": lambda: transposed_table("processes"),
+    "tier-slopes": lambda: slope_table(
         "tier", "proxies", ("bytes_per_s_proxy", "bytes_per_s_proxy_p99", "state_age_p99_s")
     ),
 }
 
 
-def filled(text: str) -> str:
-    """The page with each block between ``<!-- NAME -->`` and ``<!-- /NAME -->`` written anew."""
+def fill_blocks(text: str) -> str:
+    """Return the page with each block from ``<!-- NAME -->`` to ``<!-- /NAME -->`` replaced by its table."""
     for name, make in BLOCKS.items():
         pattern = re.compile(rf"(<!-- {name} -->\n).*?(<!-- /{name} -->)", re.DOTALL)
-        text = pattern.sub(lambda found, make=make: f"{found[1]}{make()}\n{found[2]}", text)  # type: ignore[misc]
+        text = pattern.sub(lambda match, make=make: f"{match[1]}{make()}\n{match[2]}", text)  # type: ignore[misc]
     return text
 
 
 def write() -> None:
-    PAGE.write_text(filled(PAGE.read_text(encoding="utf-8")), encoding="utf-8")
+    """Write the tables into the capacity page."""
+    PAGE_PATH.write_text(fill_blocks(PAGE_PATH.read_text(encoding="utf-8")), encoding="utf-8")
--- a/benchmarks/scale/results.py
+++ b/benchmarks/scale/results.py
@@ -1,4 +1,4 @@
-"""Measured rows: kept as CSV beside the benchmarks, drawn as a chart, and read again by the capacity page."""
+"""Result rows: saved as CSV in ``results/``, drawn as charts, and loaded for the capacity page."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-RESULTS = Path(__file__).parent / "results"
+RESULTS_FOLDER = Path(__file__).parent / "results"
 Row = Mapping[str, float | int | str | None]
 
 
-def save(section: str, rows: Sequence[Row], folder: Path = RESULTS) -> Path:
-    """Write the rows of a section in place of earlier ones; every row has the keys of the first."""
+def save(section: str, rows: Sequence[Row], folder: Path = RESULTS_FOLDER) -> Path:
+    """Replace the saved rows of a section; every row must have the keys of the first."""
     folder.mkdir(exist_ok=True)
     path = folder / f"{section}.csv"
     with path.open("w", newline="", encoding="utf-8") as file:
@@ -21,8 +21,8 @@
     return path
 
 
-def load(section: str, folder: Path = RESULTS) -> list[dict[str, str]]:
-    """The rows as text; none where the section was not run."""
+def load(section: str, folder: Path = RESULTS_FOLDER) -> list[dict[str, str]]:
+    """Return the saved rows as text; empty if the section was not run."""
     path = folder / f"{section}.csv"
     if not path.exists():
         return []
@@ -31,21 +31,21 @@
 
 
 def draw(
-    section: str, rows: Sequence[Row], across: str, values: Sequence[str], folder: Path = RESULTS
+    section: str, rows: Sequence[Row], x_column: str, y_columns: Sequence[str], folder: Path = RESULTS_FOLDER
 ) -> Path:
-    """A chart of some columns over another one."""
+    """Draw columns over another column as an SVG chart."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
-    for name in values:
+    for name in y_columns:
         points = [
-            (float(row[across] or 0), float(row[name] or 0)) for row in rows if row[name] not in (None, "")
+            (float(row[x_column] or 0), float(row[name] or 0)) for row in rows if row[name] not in (None, "")
         ]
         axes.plot([x for x, _ in points], [y for _, y in points], marker="o", label=name)
-    axes.set_xlabel(across)
+    axes.set_xlabel(x_column)
     axes.legend()
     axes.grid(alpha=0.3)
     path = folder / f"{section}.svg"
--- a/examples/carry.py
+++ b/examples/carry.py
@@ -1,6 +1,7 @@
-"""Carry calls by ``Client.carry``: python examples/carry.py ADDRESS  (needs a martentide with the mode on).
+"""Handles a call with ``Client.carry``: python examples/carry.py ADDRESS
 
-The attempt here only dials the server; a real one speaks the servers' protocol.
+It needs a martentide with the external processor mode on. The attempt here only connects to the server; a
+real one uses the servers' protocol.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 async def attempt(route: Route) -> Attempt:
-    """One set-up: None as the ending says that it stands."""
+    """Make one attempt; an ``Attempt`` with the ending None means that the call stands."""
     host, _, port = route.address.rpartition(":")
     try:
         _, writer = await asyncio.open_connection(host, int(port))
@@ -23,11 +24,12 @@
 
 
 async def main(address: str) -> None:
+    """Handle one call and print its result."""
     async with Client([address], front="example") as client:
-        done = await client.carry("status-check", attempt, number="7f3a", time_left=3000)
-        print(type(done.final).__name__, "after", done.attempts, "attempt(s)")
-        if isinstance(done.final, Standing):
-            done.call.over()
+        result = await client.carry("status-check", attempt, number="7f3a", time_left=3000)
+        print(type(result.final).__name__, "after", result.attempts, "attempt(s)")
+        if isinstance(result.final, Standing):
+            result.call.over()
 
 
 if __name__ == "__main__":
--- a/examples/step_by_step.py
+++ b/examples/step_by_step.py
@@ -1,4 +1,4 @@
-"""The same step by step, for fronts with a loop of their own: python examples/step_by_step.py ADDRESS"""
+"""Handles a call step by step, for fronts with their own loop: python examples/step_by_step.py ADDRESS"""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 
 
 async def main(address: str) -> None:
+    """Handle one call and print its result."""
     async with Client([address], front="example") as client:
         call = await client.ask("status-check", number="7f3a", time_left=3000)
         verdict = call.verdict
         while isinstance(verdict, Route):
-            if not call.begin():  # it came too late to be used, or was taken back
+            if not call.begin():  # the route has expired or was withdrawn
                 verdict = await call.next()
                 continue
             print("set up at", verdict.server, verdict.address, "within", verdict.patience, "ms")
-            refused = verdict.attempt == 0  # say that the first server turns it away
+            refused = verdict.attempt == 0  # simulate that the first server refuses the call
             verdict = await call.report(Attempt(Ending.FULL if refused else None, report="x0:0;x1:9;eps:0.5"))
         if isinstance(verdict, Refused):
-            print("refused:", verdict.why.value, "come back in", verdict.retry_after, "ms")
+            print("refused:", verdict.why.value, "retry after", verdict.retry_after, "ms")
         elif isinstance(verdict, Failed):
             print("failed:", verdict.why.value)
         elif isinstance(verdict, Standing):
--- a/martentide_lab/control/__init__.py
+++ b/martentide_lab/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control tier in simulated time: nodes, proxies, faults between them, and invariants."""
+"""Test support for the control tier: simulation, real processes, network faults and invariants."""
--- a/martentide_lab/control/layout.py
+++ b/martentide_lab/control/layout.py
@@ -1,4 +1,4 @@
-"""Who is where in a simulated fleet: regions, zones, control nodes, services, and who calls whom."""
+"""Layout of a simulated fleet: regions, zones, control nodes, and the services of each proxy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Sizes; ``called_services`` services are drawn for each proxy beside its own."""
+    """Sizes of a fleet. Each proxy subscribes to its own service and ``called_services`` random ones."""
 
     proxies: int = 4_700
     nodes: int = 10
@@ -20,28 +20,32 @@
     services: int = 210
     called_services: int = 10
 
-    def zone(self, at: int) -> str:
-        return f"z{at % self.zones}"
+    def zone(self, index: int) -> str:
+        """Return the zone of a proxy by its index."""
+        return f"z{index % self.zones}"
 
     def region_of_zone(self, zone: str) -> str:
+        """Return the region that the zone belongs to."""
         return f"r{int(zone[1:]) % self.regions}"
 
     def zones_of(self, region: str) -> list[str]:
-        zones = [f"z{at}" for at in range(self.zones)]
+        """Return the zones of the region."""
+        zones = [f"z{index}" for index in range(self.zones)]
         return [zone for zone in zones if self.region_of_zone(zone) == region]
 
     def node_infos(self) -> tuple[NodeInfo, ...]:
-        """Nodes go to regions by the zones that these have: more proxies, more nodes."""
-        by_region = sorted(self.region_of_zone(f"z{at}") for at in range(self.zones))
-        regions = [by_region[at * self.zones // self.nodes] for at in range(self.nodes)]
-        for at, region in enumerate(f"r{at}" for at in range(min(self.regions, self.nodes))):
+        """Return the control nodes; regions with more zones, and so more proxies, get more nodes."""
+        by_region = sorted(self.region_of_zone(f"z{index}") for index in range(self.zones))
+        regions = [by_region[index * self.zones // self.nodes] for index in range(self.nodes)]
+        for index, region in enumerate(f"r{number}" for number in range(min(self.regions, self.nodes))):
             if region not in regions:
-                regions[at] = region
-        return tuple(NodeInfo(f"n{at}", region) for at, region in enumerate(regions))
+                regions[index] = region
+        return tuple(NodeInfo(f"n{index}", region) for index, region in enumerate(regions))
 
-    def proxy(self, at: int, rng: random.Random) -> ProxyInfo:
-        zone = self.zone(at)
-        service = f"s{at // self.zones % self.services}"
+    def proxy_info(self, index: int, rng: random.Random) -> ProxyInfo:
+        """Return a proxy's zone, region and service by its index, with random called services."""
+        zone = self.zone(index)
+        service = f"s{index // self.zones % self.services}"
         others = rng.sample(range(self.services), min(self.called_services, self.services))
         services = frozenset({service, *(f"s{other}" for other in others)})
-        return ProxyInfo(f"p{at}", self.region_of_zone(zone), zone, service, services)
+        return ProxyInfo(f"p{index}", self.region_of_zone(zone), zone, service, services)
--- a/martentide_lab/control/simulated.py
+++ b/martentide_lab/control/simulated.py
@@ -1,7 +1,8 @@
 """Control nodes and proxies on one simulated clock, with the same network faults as the flat fleet.
 
-The nodes' membership is the fleet's own core in the fleet's own simulation. Messages are encoded as on the
-wire, for their sizes. A proxy's link is that of its zone, so that a cut names zones and control nodes.
+Membership of the control nodes runs in ``SimulatedFleet`` with the product's membership core. Messages are
+encoded to count their size on the wire. A proxy uses the network link of its zone; cuts are therefore given
+by the names of zones and control nodes.
 """
 
 from __future__ import annotations
@@ -39,77 +40,81 @@
 from martentide_lab.fleet.faults import Link
 from martentide_lab.fleet.simulated import SimulatedFleet
 
-FRAMING = IP_UDP_HEADER_BYTES + HEADER_BYTES + CHECK_BYTES
-WINDOW = 1_000.0  # ms over which a proxy's bytes are bounded
+DATAGRAM_OVERHEAD_BYTES = IP_UDP_HEADER_BYTES + HEADER_BYTES + CHECK_BYTES
+RATE_WINDOW_MS = 1_000.0  # over which a proxy's bytes are bounded
 
 
 @dataclass
 class SimulatedProxy:
-    """One proxy: its client, and what went to and from it."""
+    """One proxy: its client, and counts of its datagrams and leases. Times are in ms."""
 
     info: ProxyInfo
     client: ControlClient | None = None
     incarnations: int = 0
-    changed_at: float = 0.0  # of this life, or of its end
+    changed_at: float = 0.0  # start of the running incarnation, or end of the last one
     capacity: int = 100
-    pressure: int = 0
+    pressure: int = 0  # thousandths
     bytes_in: int = 0
     bytes_out: int = 0
-    recent_datagrams: deque[tuple[float, int]] = field(default_factory=deque)
+    recent_datagrams: deque[tuple[float, int]] = field(default_factory=deque)  # time and bytes of each
     recent_bytes: int = 0
     max_bytes_per_second: int = 0
     attached_at: float | None = None
-    received_at: float = 0.0  # of any datagram of a node
+    received_at: float = 0.0  # last datagram of any node
     isolations: int = 0
-    lease_count: int = 0  # leases taken
+    lease_count: int = 0  # leases granted, over all incarnations
 
     def count_bytes(self, now: float, size: int) -> None:
-        """Bytes of one datagram, to or from it; both count towards its bound."""
+        """Count a datagram sent or received; both directions count towards the bound."""
         self.recent_datagrams.append((now, size))
         self.recent_bytes += size
-        while self.recent_datagrams[0][0] <= now - WINDOW:
+        while self.recent_datagrams[0][0] <= now - RATE_WINDOW_MS:
             self.recent_bytes -= self.recent_datagrams.popleft()[1]
         self.max_bytes_per_second = max(self.max_bytes_per_second, self.recent_bytes)
 
 
 class SimulatedTier:
-    """``start`` begins all; ``run`` goes on until a time in ms."""
+    """Control nodes and proxies of a layout; ``start`` starts all of them."""
 
     def __init__(
         self,
         layout: Layout,
         seed: int,
         terms: ControlTerms | None = None,
-        base: Link | None = None,
-        pressed_share: float = 0.1,
+        base_link: Link | None = None,
+        loaded_share: float = 0.1,
     ) -> None:
+        # loaded_share: share of the services whose proxies change their pressure
         self.layout, self.terms = layout, terms or ControlTerms()
         self.rng = random.Random(seed)
-        self.fleet = SimulatedFleet(layout.nodes, seed, base=base, name="control")
-        self.fleet.observers.append(self._observe)
-        self.infos = layout.node_infos()
+        self.fleet = SimulatedFleet(layout.nodes, seed, base=base_link, name="control")
+        self.fleet.observers.append(self._on_membership_action)
+        self.node_infos = layout.node_infos()
         self.nodes: dict[str, ControlNode] = {}
-        self.node_bytes = dict.fromkeys((info.name for info in self.infos), 0)
+        self.node_bytes = dict.fromkeys((info.name for info in self.node_infos), 0)
         self.queued_events: dict[str, list[Callable[[], None]]] = {}
         self.proxies: dict[str, SimulatedProxy] = {}
-        for at in range(layout.proxies):
-            info = layout.proxy(at, self.rng)
+        for index in range(layout.proxies):
+            info = layout.proxy_info(index, self.rng)
             self.proxies[info.name] = SimulatedProxy(info)
-        pressed = round(pressed_share * layout.services)
-        self.pressed_services = {f"s{at}" for at in self.rng.sample(range(layout.services), pressed)}
+        loaded = round(loaded_share * layout.services)
+        self.loaded_services = {f"s{index}" for index in self.rng.sample(range(layout.services), loaded)}
         self.by_service: dict[str, list[SimulatedProxy]] = {}
         for proxy in self.proxies.values():
             self.by_service.setdefault(proxy.info.service, []).append(proxy)
 
     @property
     def now(self) -> float:
+        """Simulated time in ms."""
         return self.fleet.now
 
     def run(self, until: float) -> None:
+        """Run the simulation up to ``until`` (ms)."""
         self.fleet.run(until)
 
     def start(self) -> None:
-        for info in self.infos:
+        """Start all control nodes and proxies."""
+        for info in self.node_infos:
             self.start_node(info.name)
         for proxy in self.proxies.values():
             self.start_proxy(proxy)
@@ -117,111 +122,124 @@
     # ---- processes --------------------------------------------------------------------------------------
 
     def start_node(self, name: str) -> None:
+        """Start a control node with empty state."""
         self.fleet.start(name)
-        core = self.nodes[name] = ControlNode(name, self.infos, self.terms, self.now, int(self.now) * 1_000)
-        self._node_due(name, core)
+        core = self.nodes[name] = ControlNode(
+            name, self.node_infos, self.terms, self.now, int(self.now) * 1_000
+        )
+        self._run_node_timers(name, core)
 
     def kill_node(self, name: str) -> None:
+        """End a control node without notice to others."""
         self.fleet.kill(name)
         self.nodes.pop(name, None)
         self.queued_events.pop(name, None)
 
     def stop_node(self, name: str) -> None:
+        """Suspend a control node as SIGSTOP does; its incoming events are queued."""
         self.fleet.stop(name)
         self.queued_events[name] = []
 
     def continue_node(self, name: str) -> None:
-        waiting = self.queued_events.pop(name, [])
+        """Resume a suspended control node and process its queued events."""
+        queued = self.queued_events.pop(name, [])
         self.fleet.resume(name)
-        for event in waiting:
+        for event in queued:
             event()
         if (core := self.nodes.get(name)) is not None:
-            self._node_due(name, core)
+            self._run_node_timers(name, core)
 
     def start_proxy(self, proxy: SimulatedProxy) -> None:
+        """Start the next incarnation of a proxy; no effect on a running one."""
         if proxy.client is not None:
             return
         proxy.incarnations += 1
         proxy.changed_at, proxy.attached_at = self.now, None
         proxy.client = ControlClient(
-            proxy.info, self.infos, self.terms, self.rng.getrandbits(48), self.now
+            proxy.info, self.node_infos, self.terms, self.rng.getrandbits(48), self.now
         )  # fmt: skip
-        self._proxy_due(proxy, proxy.client)
+        self._run_proxy_timers(proxy, proxy.client)
 
     def kill_proxy(self, proxy: SimulatedProxy) -> None:
+        """End a proxy without notice to its node."""
         if proxy.client is not None:
             proxy.client, proxy.changed_at, proxy.attached_at = None, self.now, None
 
-    def end_proxy(self, proxy: SimulatedProxy) -> None:
-        """A planned end, which the node is told of."""
+    def shut_down_proxy(self, proxy: SimulatedProxy) -> None:
+        """End a proxy in order: it sends a leave to its node first."""
         if proxy.client is not None:
-            self._feed_proxy(proxy, client.Depart())
+            self._handle_proxy_event(proxy, client.Depart())
             self.kill_proxy(proxy)
 
-    def cut_network(self, here: Iterable[str], there: Iterable[str]) -> None:
-        """Nothing passes between the two groups of zones and control nodes."""
-        one, other = list(here), list(there)
-        self.fleet.network.set(one, other, cut=True)
-        self.fleet.network.set(other, one, cut=True)
+    def cut_network(self, group: Iterable[str], other_group: Iterable[str]) -> None:
+        """Drop all datagrams between the two groups of zones and control nodes."""
+        first, second = list(group), list(other_group)
+        self.fleet.network.set(first, second, cut=True)
+        self.fleet.network.set(second, first, cut=True)
 
     def split_by_region(self, region: str) -> tuple[list[str], list[str]]:
-        """Zones and control nodes of a region, and all others."""
-        inside = self.layout.zones_of(region) + [one.name for one in self.infos if one.region == region]
-        every = [f"z{at}" for at in range(self.layout.zones)] + [one.name for one in self.infos]
-        return inside, [name for name in every if name not in inside]
+        """Return the zones and control nodes of a region, and all others."""
+        in_region = self.layout.zones_of(region) + [
+            info.name for info in self.node_infos if info.region == region
+        ]
+        all_names = [f"z{index}" for index in range(self.layout.zones)] + [
+            info.name for info in self.node_infos
+        ]
+        return in_region, [name for name in all_names if name not in in_region]
 
     # ---- proxies ----------------------------------------------------------------------------------------
 
-    def _proxy_due(self, proxy: SimulatedProxy, core: ControlClient) -> None:
+    def _run_proxy_timers(self, proxy: SimulatedProxy, core: ControlClient) -> None:
         if proxy.client is not core:
             return
         if core.due <= self.now:
-            self._move_pressure(proxy)
-            self._feed_proxy(proxy, client.Due())
+            self._report_own_state(proxy)
+            self._handle_proxy_event(proxy, client.Due())
         if not core.departed:
             due = max(core.due, self.now + 1.0)
-            self.fleet.schedule(due - self.now, lambda: self._proxy_due(proxy, core))
+            self.fleet.schedule(due - self.now, lambda: self._run_proxy_timers(proxy, core))
 
-    def _move_pressure(self, proxy: SimulatedProxy) -> None:
-        if proxy.info.service in self.pressed_services:
-            moved = proxy.pressure + self.rng.randrange(-150, 151)
-            proxy.pressure = min(900, max(0, moved))
-        self._feed_proxy(proxy, client.OwnState(proxy.capacity, proxy.pressure))
+    def _report_own_state(self, proxy: SimulatedProxy) -> None:
+        """Pass capacity and pressure to the client; under load, pressure changes by a random step first."""
+        if proxy.info.service in self.loaded_services:
+            pressure = proxy.pressure + self.rng.randrange(-150, 151)
+            proxy.pressure = min(900, max(0, pressure))
+        self._handle_proxy_event(proxy, client.OwnState(proxy.capacity, proxy.pressure))
 
-    def _feed_proxy(self, proxy: SimulatedProxy, event: client.Event) -> None:
+    def _handle_proxy_event(self, proxy: SimulatedProxy, event: client.Event) -> None:
         if proxy.client is None:
             return
         for action in proxy.client.handle(self.now, event):
             match action:
                 case client.SendToNode(name, message):
-                    self._to_node(proxy, name, message)
+                    self._send_to_node(proxy, name, message)
                 case client.Attached():
                     proxy.attached_at = self.now
                     proxy.lease_count += 1
                 case client.Isolated():
                     proxy.isolations += 1
 
-    def _to_node(self, proxy: SimulatedProxy, name: str, message: ToNode) -> None:
+    def _send_to_node(self, proxy: SimulatedProxy, name: str, message: ToNode) -> None:
         assert isinstance(message, Join | Heartbeat | Leave)
-        size = len(encode_control(message)) + FRAMING
+        size = len(encode_control(message)) + DATAGRAM_OVERHEAD_BYTES
         proxy.bytes_out += size
         proxy.count_bytes(self.now, size)
-        for fate in self.fleet.network.deliveries((proxy.info.zone, name), self.rng):
-            if not fate.corrupted:
+        for delivery in self.fleet.network.deliveries((proxy.info.zone, name), self.rng):
+            if not delivery.corrupted:
                 event = FromProxy(message, proxy.info.name)
-                self.fleet.schedule(fate.delay, lambda event=event: self._feed_node(name, event))  # type: ignore[misc]
+                self.fleet.schedule(delivery.delay, lambda event=event: self._handle_node_event(name, event))  # type: ignore[misc]
 
     # ---- control nodes ----------------------------------------------------------------------------------
 
-    def _node_due(self, name: str, core: ControlNode) -> None:
+    def _run_node_timers(self, name: str, core: ControlNode) -> None:
         if self.nodes.get(name) is not core or name in self.queued_events:
             return
-        self._feed_node(name, node.Due())
-        self.fleet.schedule(max(1.0, core.due - self.now), lambda: self._node_due(name, core))
+        self._handle_node_event(name, node.Due())
+        self.fleet.schedule(max(1.0, core.due - self.now), lambda: self._run_node_timers(name, core))
 
-    def _feed_node(self, name: str, event: node.Event) -> None:
+    def _handle_node_event(self, name: str, event: node.Event) -> None:
         if name in self.queued_events:
-            self.queued_events[name].append(lambda: self._feed_node(name, event))
+            self.queued_events[name].append(lambda: self._handle_node_event(name, event))
             return
         core = self.nodes.get(name)
         if core is None:
@@ -229,33 +247,35 @@
         for action in core.handle(self.now, event):
             match action:
                 case SendToProxy(address, message):
-                    self._to_proxy(name, str(address), message)
+                    self._send_to_proxy(name, str(address), message)
                 case SendToPeer(to, between):
                     self.fleet.handle_event(name, SendPayload(to, encode_control(between)))
 
-    def _to_proxy(self, name: str, address: str, message: ToProxy) -> None:
+    def _send_to_proxy(self, name: str, address: str, message: ToProxy) -> None:
         proxy = self.proxies[address]
-        size = len(encode_control(message)) + FRAMING
+        size = len(encode_control(message)) + DATAGRAM_OVERHEAD_BYTES
         self.node_bytes[name] += size
-        life = proxy.incarnations
-        for fate in self.fleet.network.deliveries((name, proxy.info.zone), self.rng):
-            if not fate.corrupted:
-                self.fleet.schedule(fate.delay, lambda: self._at_proxy(proxy, life, message, size))
-
-    def _at_proxy(self, proxy: SimulatedProxy, life: int, message: ToProxy, size: int) -> None:
+        incarnation = proxy.incarnations
+        for delivery in self.fleet.network.deliveries((name, proxy.info.zone), self.rng):
+            if not delivery.corrupted:
+                self.fleet.schedule(
+                    delivery.delay, lambda: self._receive_at_proxy(proxy, incarnation, message, size)
+                )
+
+    def _receive_at_proxy(self, proxy: SimulatedProxy, incarnation: int, message: ToProxy, size: int) -> None:
         proxy.bytes_in += size
         proxy.count_bytes(self.now, size)
         proxy.received_at = self.now
-        if proxy.incarnations == life:
-            self._feed_proxy(proxy, client.FromNode(message))
+        if proxy.incarnations == incarnation:
+            self._handle_proxy_event(proxy, client.FromNode(message))
 
-    def _observe(self, name: str, action: Action) -> None:
-        """What the nodes' own membership says."""
+    def _on_membership_action(self, name: str, action: Action) -> None:
+        """Pass results of the control nodes' membership on to the node cores."""
         match action:
             case PayloadReceived(_, body):
                 message = decode_control(body)
                 assert isinstance(message, BetweenNodes)
-                self._feed_node(name, FromPeer(message))
-            case Changed(word, _, _, _):
-                up = word.state < State.DEAD
-                self._feed_node(name, PeerUp(word.name) if up else PeerDown(word.name))
+                self._handle_node_event(name, FromPeer(message))
+            case Changed(record, _, _, _):
+                up = record.state < State.DEAD
+                self._handle_node_event(name, PeerUp(record.name) if up else PeerDown(record.name))
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from benchmarks.scale.tier import play_day
+from benchmarks.scale.tier import simulate_day
 from martentide.control.client import ControlClient
 from martentide.control.messages import StateEntry
 from martentide.control.node import ControlNode
@@ -21,13 +21,13 @@
 
 
 def test_a_day_of_faults_breaks_no_invariant() -> None:
-    result = play_day(SMALL, 3)
+    result = simulate_day(SMALL, 3)
     assert result["rules_broken"] == 0, result["broken"]
     assert result["missing_share"] == 0.0
 
 
 def test_five_percent_loss_breaks_no_invariant() -> None:
-    result = play_day(SMALL, 4, loss=0.05)
+    result = simulate_day(SMALL, 4, loss=0.05)
     assert result["rules_broken"] == 0, result["broken"]
 
 
@@ -86,7 +86,7 @@
     checker = TierChecker(tier)
     tier.start()
     tier.run(10_000.0)
-    for info in tier.infos:
+    for info in tier.node_infos:
         tier.kill_node(info.name)
     tier.run(30_000.0)
     checker.check(list(tier.proxies.values()))
@@ -109,8 +109,8 @@
     monkeypatch.setattr(ControlClient, "_schedule_home_return", lambda self, update, now: None)
     tier = SimulatedTier(SMALL, 5)
     checker = TierChecker(tier)
-    home = [info.name for info in tier.infos if info.region == "r0"]
-    for info in tier.infos:
+    home = [info.name for info in tier.node_infos if info.region == "r0"]
+    for info in tier.node_infos:
         if info.name not in home:
             tier.start_node(info.name)
     for proxy in tier.proxies.values():
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools of the developers."""
+"""Developer tools."""
