--- a/benchmarks/extproc.py
+++ b/benchmarks/extproc.py
@@ -38,10 +38,10 @@
 from martentide_lab.servers import DRAINING, GONE, READY, DiscoveryServer, SessionServer
 
 CLASSES = (("status-check", 0.74), ("envelope-prep", 0.21), ("qualified-sign", 0.05))
-WORKERS = 5  # processes that play fronts in the mixed part, two fronts each
-WARM_UP = 1.0  # s from which on delays count; the rules count from the first request
-LEFT = 3000  # ms that a caller waits
-EXTRAS = """
+WORKER_COUNT = 5  # processes that play fronts in the mixed part, two fronts each
+WARM_UP_S = 1.0  # s from which on delays count; the rules count from the first request
+TIME_LEFT_MS = 3000  # ms that a caller waits
+EXTRA_SETTINGS = """
 external-processor {
     listen "127.0.0.1:0"
     limits rate-each=100000 pending-each=100000 pending-all=100000 open-each=1000000 open-all=1000000
@@ -49,302 +49,319 @@
 """
 
 
-def histogram() -> HdrHistogram:
+def new_histogram() -> HdrHistogram:
     return HdrHistogram(1, 60_000_000, 3)  # microseconds
 
 
-def percentile(one: HdrHistogram, share: float) -> float:
+def percentile(recorded: HdrHistogram, share: float) -> float:
     """Milliseconds; 0 where nothing was recorded."""
-    return float(one.get_value_at_percentile(share)) / 1000.0 if one.get_total_count() else 0.0
+    return float(recorded.get_value_at_percentile(share)) / 1000.0 if recorded.get_total_count() else 0.0
 
 
 @dataclass
-class Seen:
+class Observations:
     """What the fronts saw."""
 
-    direct: HdrHistogram = field(default_factory=histogram)
-    held: HdrHistogram = field(default_factory=histogram)
-    inner: HdrHistogram = field(default_factory=histogram)  # as the proxy says: from question to verdict
-    broken: HdrHistogram = field(default_factory=histogram)  # whose stream broke, or was down, meanwhile
-    finals: Counter[str] = field(default_factory=Counter)
-    why: Counter[str] = field(default_factory=Counter)
-
-    def dump(self) -> dict[str, Any]:
+    direct: HdrHistogram = field(default_factory=new_histogram)
+    held: HdrHistogram = field(default_factory=new_histogram)
+    decision_time: HdrHistogram = field(
+        default_factory=new_histogram
+    )  # as the proxy says: from question to verdict
+    after_break: HdrHistogram = field(
+        default_factory=new_histogram
+    )  # whose stream broke, or was down, meanwhile
+    final_counts: Counter[str] = field(default_factory=Counter)
+    refusal_reasons: Counter[str] = field(default_factory=Counter)
+
+    def as_dict(self) -> dict[str, Any]:
         return {
             "direct": self.direct.encode().decode("ascii"),
             "held": self.held.encode().decode("ascii"),
-            "inner": self.inner.encode().decode("ascii"),
-            "broken": self.broken.encode().decode("ascii"),
-            "finals": self.finals,
-            "why": self.why,
+            "inner": self.decision_time.encode().decode("ascii"),
+            "broken": self.after_break.encode().decode("ascii"),
+            "finals": self.final_counts,
+            "why": self.refusal_reasons,
         }
 
-    def add(self, raw: dict[str, Any]) -> None:
+    def merge(self, raw: dict[str, Any]) -> None:
         self.direct.decode_and_add(raw["direct"].encode("ascii"))
         self.held.decode_and_add(raw["held"].encode("ascii"))
-        self.inner.decode_and_add(raw["inner"].encode("ascii"))
-        self.broken.decode_and_add(raw["broken"].encode("ascii"))
-        self.finals += Counter(raw["finals"])
-        self.why += Counter(raw["why"])
+        self.decision_time.decode_and_add(raw["inner"].encode("ascii"))
+        self.after_break.decode_and_add(raw["broken"].encode("ascii"))
+        self.final_counts += Counter(raw["finals"])
+        self.refusal_reasons += Counter(raw["why"])
 
-    def decision(self, verdict: Any, begun: float, now: float, broke: bool) -> None:
-        into = self.held if getattr(verdict, "held", False) else self.direct
-        if broke:
-            into = self.broken
-        elif into is self.direct:
-            self.inner.record_value(max(1, int(getattr(verdict, "waited", 0.0) * 1000.0)))
-        into.record_value(max(1, int((now - begun) * 1e6)))
+    def record_verdict(self, verdict: Any, begun: float, now: float, connection_broke: bool) -> None:
+        target = self.held if getattr(verdict, "held", False) else self.direct
+        if connection_broke:
+            target = self.after_break
+        elif target is self.direct:
+            self.decision_time.record_value(max(1, int(getattr(verdict, "waited", 0.0) * 1000.0)))
+        target.record_value(max(1, int((now - begun) * 1e6)))
 
 
-class Site:
+class BenchmarkSite:
     """Servers and board; ``trouble`` plays stalls and a replacement until cancelled."""
 
     def __init__(self, servers: int, delay: float) -> None:
         self.servers = [SessionServer(number) for number in range(servers)]
         for server in self.servers:
             server.behavior.delay = delay
-        self.board = DiscoveryServer()
-        self.drained: dict[str, float] = {}
-        self.all = list(self.servers)
+        self.discovery = DiscoveryServer()
+        self.drained_at: dict[str, float] = {}
+        self.all_servers = list(self.servers)
 
     async def start(self) -> None:
         for server in self.servers:
             await server.start()
-        await self.board.start()
+        await self.discovery.start()
 
-    async def trouble(self, every: float) -> None:
-        at = 0
+    async def inject_faults(self, interval_s: float) -> None:
+        step = 0
         while True:
-            await asyncio.sleep(every)
-            self.servers[at % len(self.servers)].stall(500.0)
-            if at == 1:
+            await asyncio.sleep(interval_s)
+            self.servers[step % len(self.servers)].stall(500.0)
+            if step == 1:
                 await self._replace(0)
-            at += 1
+            step += 1
 
-    async def _replace(self, place: int) -> None:
-        old, new = self.servers[place], SessionServer(len(self.all))
+    async def _replace(self, index: int) -> None:
+        old, new = self.servers[index], SessionServer(len(self.all_servers))
         new.behavior.delay = old.behavior.delay
         await new.start()
-        self.drained[old.name] = unix_ms()
-        self.board.publish([(old, DRAINING), (new, READY)], started=int(unix_ms()))
-        self.servers[place] = new
-        self.all.append(new)
-        asyncio.get_running_loop().call_later(4.0, self.board.publish, [(old, GONE)])
+        self.drained_at[old.name] = unix_ms()
+        self.discovery.publish([(old, DRAINING), (new, READY)], started=int(unix_ms()))
+        self.servers[index] = new
+        self.all_servers.append(new)
+        asyncio.get_running_loop().call_later(4.0, self.discovery.publish, [(old, GONE)])
 
 
-def draw_class(dice: random.Random) -> str:
-    at = dice.random()
+def draw_class(rng: random.Random) -> str:
+    remainder = rng.random()
     for name, share in CLASSES:
-        at -= share
-        if at < 0:
+        remainder -= share
+        if remainder < 0:
             return name
     return CLASSES[0][0]
 
 
-class Mixed:
+class MixedFronts:
     """Fronts on the own service that carry real set-ups."""
 
     def __init__(self, address: str, fronts: int, seed: int, breaks: float) -> None:
-        self.address, self.breaks, self.warm = address, breaks, 0.0
-        self.dice, self.seed = random.Random(seed), seed
-        self.seen = Seen()
+        self.address, self.breaks, self.warm_up_ends_at = address, breaks, 0.0
+        self.rng, self.seed = random.Random(seed), seed
+        self.observations = Observations()
         self.checkers = [ExternalProcessorChecker() for _ in range(fronts)]
         self.relays = [Relay(address) for _ in range(fronts)]
         self.clients: list[Client] = []
-        self.lines = [UpstreamConnections(seed * 100 + at + 1) for at in range(fronts)]
-
-    async def one(self, at: int, begun: float, number: str) -> None:
-        client, lines = self.clients[at], self.lines[at]
-        name = draw_class(self.dice)
-        call = client.ask_nowait(name, number, LEFT)
-        if self.dice.random() < 0.05:
-            await asyncio.sleep(self.dice.random() * 0.0003)
+        self.connections = [UpstreamConnections(seed * 100 + index + 1) for index in range(fronts)]
+
+    async def place_call(self, index: int, begun: float, number: str) -> None:
+        client, connections = self.clients[index], self.connections[index]
+        class_name = draw_class(self.rng)
+        call = client.ask_nowait(class_name, number, TIME_LEFT_MS)
+        if self.rng.random() < 0.05:
+            await asyncio.sleep(self.rng.random() * 0.0003)
             if call.verdict is None:
                 call.cancel()
-                self.seen.finals["Cancelled"] += 1
+                self.observations.final_counts["Cancelled"] += 1
                 return
         try:
-            await self._carry(call, lines, name, begun, number)
+            await self._carry(call, connections, class_name, begun, number)
         except ClientClosed:
-            self.seen.finals["closed"] += 1
+            self.observations.final_counts["closed"] += 1
 
     async def _carry(
-        self, call: Call, lines: UpstreamConnections, name: str, begun: float, number: str
+        self, call: Call, connections: UpstreamConnections, class_name: str, started_at: float, number: str
     ) -> None:
         client = call.client
-        breaks, up = client.breaks, client.connected.is_set()
+        breaks, was_connected = client.breaks, client.connected.is_set()
         verdict = await call.next()
-        if begun >= self.warm:
-            self.seen.decision(verdict, begun, time.monotonic(), not up or client.breaks > breaks)
-        stood: list[tuple[str, bytes]] = []
+        if started_at >= self.warm_up_ends_at:
+            self.observations.record_verdict(
+                verdict, started_at, time.monotonic(), not was_connected or client.breaks > breaks
+            )
+        established: list[tuple[str, bytes]] = []
 
         async def attempt(route: Route) -> Attempt:
-            done, made = await lines.set_up(route, name, number.encode())
-            if done.ending is None:
-                stood.append((route.address, made))
-            return done
+            result, call_id = await connections.set_up(route, class_name, number.encode())
+            if result.ending is None:
+                established.append((route.address, call_id))
+            return result
 
         while isinstance(verdict, Route):
             if call.begin():
-                done = await call.client._attempt(call, verdict, attempt)
-                verdict = await (call.next() if done is None else call.report(done))
+                result = await call.client._attempt(call, verdict, attempt)
+                verdict = await (call.next() if result is None else call.report(result))
             else:
                 verdict = await call.next()
-        self.seen.finals[type(verdict).__name__] += 1
+        self.observations.final_counts[type(verdict).__name__] += 1
         if isinstance(verdict, Refused | Failed):
-            self.seen.why[verdict.why.value] += 1
-        for address, made in stood:
-            await asyncio.sleep(self.dice.uniform(0.05, 0.4))
-            await lines.release(address, made)
+            self.observations.refusal_reasons[verdict.why.value] += 1
+        for address, call_id in established:
+            await asyncio.sleep(self.rng.uniform(0.05, 0.4))
+            await connections.release(address, call_id)
             call.over()
 
-    def _tap(self, checker: ExternalProcessorChecker, message: FromFront | ToFront) -> None:
+    def _observe(self, checker: ExternalProcessorChecker, message: FromFront | ToFront) -> None:
         checker.observe(message, unix_ms())
 
     async def run(self, requests: int, rate: float) -> None:
-        for at, (relay, checker) in enumerate(zip(self.relays, self.checkers, strict=True)):
+        for index, (relay, checker) in enumerate(zip(self.relays, self.checkers, strict=True)):
             await relay.start()
-            tap = functools.partial(self._tap, checker)
-            where = relay.address if self.breaks else self.address
-            self.clients.append(await Client([where], f"front-{self.seed}-{at}", tap).__aenter__())
+            observe = functools.partial(self._observe, checker)
+            address = relay.address if self.breaks else self.address
+            self.clients.append(await Client([address], f"front-{self.seed}-{index}", observe).__aenter__())
         for client in self.clients:
             await client.connected.wait()
         running: set[asyncio.Task[None]] = set()
         start = time.monotonic()
-        self.warm = start + WARM_UP
+        self.warm_up_ends_at = start + WARM_UP_S
         for number in range(requests):
-            begun = start + number / rate
-            if (left := begun - time.monotonic()) > 0:
-                await asyncio.sleep(left)
-            at = number % len(self.clients)
-            if self.dice.random() < self.breaks:
-                self.relays[at].reset_connections()  # with all that is on it
-            task = asyncio.create_task(self.one(at, begun, f"n{self.seed:x}-{number:x}"))
+            started_at = start + number / rate
+            if (delay := started_at - time.monotonic()) > 0:
+                await asyncio.sleep(delay)
+            index = number % len(self.clients)
+            if self.rng.random() < self.breaks:
+                self.relays[index].reset_connections()  # with all that is on it
+            task = asyncio.create_task(self.place_call(index, started_at, f"n{self.seed:x}-{number:x}"))
             running.add(task)
             task.add_done_callback(running.discard)
         await asyncio.wait_for(asyncio.gather(*running), 30)
         for client in self.clients:
             await asyncio.wait_for(client.connected.wait(), 10)
             await client.close()
-        for relay, lines in zip(self.relays, self.lines, strict=True):
+        for relay, connections in zip(self.relays, self.connections, strict=True):
             await relay.stop()
-            lines.close()
+            connections.close()
 
 
-async def envoy(address: str, requests: int, rate: float, lines: UpstreamConnections, seed: int) -> Seen:
+async def run_envoy_load(
+    address: str, requests: int, rate: float, connections: UpstreamConnections, seed: int
+) -> Observations:
     """Requests by Envoy's service, open loop; 5% are reset before the verdict."""
-    dice, seen = random.Random(seed), Seen()
+    rng, observations = random.Random(seed), Observations()
 
-    async def one(channel: Any, begun: float, number: int) -> None:
-        stream, name = EnvoyStream(channel), draw_class(dice)
-        asked: dict[str, str | bytes] = {
-            "x-call-class": name,
-            "x-call-deadline-ms": str(LEFT),
+    async def place_call(channel: Any, started_at: float, number: int) -> None:
+        stream, class_name = EnvoyStream(channel), draw_class(rng)
+        headers: dict[str, str | bytes] = {
+            "x-call-class": class_name,
+            "x-call-deadline-ms": str(TIME_LEFT_MS),
             "x-called-number": f"e{number:x}",
         }
-        if dice.random() < 0.05:
-            task = asyncio.create_task(stream.request(asked))
-            await asyncio.sleep(dice.random() * 0.002)
+        if rng.random() < 0.05:
+            task = asyncio.create_task(stream.request(headers))
+            await asyncio.sleep(rng.random() * 0.002)
             stream.reset()
             task.cancel()  # a stream reset before it was begun wakes nobody
             await asyncio.gather(task, return_exceptions=True)
-            seen.finals["Cancelled"] += 1
+            observations.final_counts["Cancelled"] += 1
             return
-        answer = await stream.request(asked)
-        seen.direct.record_value(max(1, int((time.monotonic() - begun) * 1e6)))
-        if answer.WhichOneof("response") == "immediate_response":
-            seen.finals["Refused"] += 1
+        response = await stream.request(headers)
+        observations.direct.record_value(max(1, int((time.monotonic() - started_at) * 1e6)))
+        if response.WhichOneof("response") == "immediate_response":
+            observations.final_counts["Refused"] += 1
             return
-        if answer.WhichOneof("response") != "request_headers":
-            seen.finals["missing"] += 1
+        if response.WhichOneof("response") != "request_headers":
+            observations.final_counts["missing"] += 1
             return
-        set_to = {o.header.key: o.header.raw_value.decode() for o in
-                  answer.request_headers.response.header_mutation.set_headers}  # fmt: skip
-        where = set_to["x-envoy-original-dst-host"]
-        route = Route(0, 0, "", where, "", float(set_to["x-envoy-upstream-rq-timeout-ms"]), 1000.0)
-        work = asyncio.create_task(lines.set_up(route, name, f"e{number:x}".encode()))
-        await asyncio.wait((work,), timeout=route.patience / 1000.0)
-        if not work.done():
-            work.cancel()
-            status, call = 504, b""
+        mutated = {o.header.key: o.header.raw_value.decode() for o in
+                  response.request_headers.response.header_mutation.set_headers}  # fmt: skip
+        upstream = mutated["x-envoy-original-dst-host"]
+        route = Route(0, 0, "", upstream, "", float(mutated["x-envoy-upstream-rq-timeout-ms"]), 1000.0)
+        set_up_task = asyncio.create_task(connections.set_up(route, class_name, f"e{number:x}".encode()))
+        await asyncio.wait((set_up_task,), timeout=route.patience / 1000.0)
+        if not set_up_task.done():
+            set_up_task.cancel()
+            status, call_id = 504, b""
         else:
-            done, call = work.result()
-            status = 200 if done.ending is None else 503
-        passed = await stream.response(status, x_load_report="x0:400;x1:500;eps:0")
-        seen.finals["Standing" if status == 200 else "Failed"] += 1
-        if passed.WhichOneof("response") != "response_headers":
-            seen.finals["missing"] += 1
+            result, call_id = set_up_task.result()
+            status = 200 if result.ending is None else 503
+        response_answer = await stream.response(status, x_load_report="x0:400;x1:500;eps:0")
+        observations.final_counts["Standing" if status == 200 else "Failed"] += 1
+        if response_answer.WhichOneof("response") != "response_headers":
+            observations.final_counts["missing"] += 1
         if status == 200:
-            await asyncio.sleep(dice.uniform(0.05, 0.4))
-            await lines.release(where, call)
+            await asyncio.sleep(rng.uniform(0.05, 0.4))
+            await connections.release(upstream, call_id)
         await stream.done()
 
     async with grpc.aio.insecure_channel(address) as channel:
         running: set[asyncio.Task[None]] = set()
         start = time.monotonic()
         for number in range(requests):
-            begun = start + number / rate
-            if (left := begun - time.monotonic()) > 0:
-                await asyncio.sleep(left)
-            task = asyncio.create_task(one(channel, begun, number))
+            started_at = start + number / rate
+            if (delay := started_at - time.monotonic()) > 0:
+                await asyncio.sleep(delay)
+            task = asyncio.create_task(place_call(channel, started_at, number))
             running.add(task)
             task.add_done_callback(running.discard)
         await asyncio.wait_for(asyncio.gather(*running), 30)
-    return seen
+    return observations
 
 
 # ---- flat out: workers are processes of their own, so that the proxy is what limits -----------------------
 
 
-async def worker(
-    address: str, kind: str, requests: int, beside: int, name: str, rate: float, breaks: float
+async def run_worker(
+    address: str, kind: str, requests: int, concurrency: int, name: str, rate: float, breaks: float
 ) -> None:
     """``mixed``: print what was seen as JSON. Else ask ``requests`` questions, ``beside`` at a time; each
     stands at once and is over at once."""
     gc.disable()  # the load's own pauses are none of the proxy's
     sys.setswitchinterval(0.0002)
-    left = iter(range(requests))
+    remaining = iter(range(requests))
 
-    async def own(client: Client) -> None:
-        for number in left:
-            call = await client.ask("status-check", f"{name}{number}", LEFT)
+    async def ask_own_service(client: Client) -> None:
+        for number in remaining:
+            call = await client.ask("status-check", f"{name}{number}", TIME_LEFT_MS)
             if isinstance(call.verdict, Route):
                 call.begin()
                 await call.report(Attempt(None, report="x0:400;x1:500;eps:0"))
                 call.over()
 
-    async def other(channel: Any) -> None:
-        for number in left:
+    async def ask_envoy_service(channel: Any) -> None:
+        for number in remaining:
             stream = EnvoyStream(channel)
-            asked: dict[str, str | bytes] = {
+            headers: dict[str, str | bytes] = {
                 "x-call-class": "status-check",
-                "x-call-deadline-ms": str(LEFT),
+                "x-call-deadline-ms": str(TIME_LEFT_MS),
                 "x-called-number": f"{name}{number}",
             }
-            answer = await stream.request(asked)
-            if answer.WhichOneof("response") == "request_headers":
+            response = await stream.request(headers)
+            if response.WhichOneof("response") == "request_headers":
                 await stream.response(200)
             await stream.done()
 
     if kind == "mixed":
-        mixed = Mixed(address, 2, int(name), breaks)
+        mixed = MixedFronts(address, 2, int(name), breaks)
         await mixed.run(requests, rate)
         counts: Counter[str] = Counter()
         for checker in mixed.checkers:
             counts += checker.finish()
-        stories = [story for checker in mixed.checkers for story in checker.violations]
-        broke = sum(client.breaks for client in mixed.clients)
-        print(json.dumps({**mixed.seen.dump(), "counts": counts, "stories": stories[:5], "breaks": broke}))
+        violations = [violation for checker in mixed.checkers for violation in checker.violations]
+        breaks_seen = sum(client.breaks for client in mixed.clients)
+        print(
+            json.dumps(
+                {
+                    **mixed.observations.as_dict(),
+                    "counts": counts,
+                    "stories": violations[:5],
+                    "breaks": breaks_seen,
+                }
+            )
+        )
     elif kind == "own":
         async with Client([address], name) as client:
             await client.connected.wait()
-            await asyncio.gather(*(own(client) for _ in range(beside)))
+            await asyncio.gather(*(ask_own_service(client) for _ in range(concurrency)))
     else:
         async with grpc.aio.insecure_channel(address) as channel:
-            await asyncio.gather(*(other(channel) for _ in range(beside)))
+            await asyncio.gather(*(ask_envoy_service(channel) for _ in range(concurrency)))
 
 
-async def mixed_by_workers(proxy: ProxyProcess, requests: int, rate: float, workers: int, seed: int) -> Any:
+async def run_mixed_workers(proxy: ProxyProcess, requests: int, rate: float, workers: int, seed: int) -> Any:
     """The fronts in processes of their own: in one, they would measure each other's work. The first has all
     the breaks, 1% of all requests, and a relay in its path that makes them."""
     processes = [
@@ -352,107 +369,115 @@
             sys.executable, "-m", "benchmarks.extproc", "--worker", "mixed",
             "--address", proxy.external_processor_address,
             "--requests", str(requests // workers), "--rate", str(rate / workers),
-            "--name", str(seed * 10 + at),
-            "--breaks", str(0.01 * workers if at == 0 else 0.0),
+            "--name", str(seed * 10 + index),
+            "--breaks", str(0.01 * workers if index == 0 else 0.0),
             stdout=asyncio.subprocess.PIPE, limit=64 * 1024 * 1024,
         )
-        for at in range(workers)
+        for index in range(workers)
     ]  # fmt: skip
-    seen, counts, stories, breaks = Seen(), Counter[str](), list[str](), 0
+    observations, counts, violations, breaks = Observations(), Counter[str](), list[str](), 0
     for process in processes:
-        out, _ = await process.communicate()
+        output, _ = await process.communicate()
         if process.returncode:
             raise SystemExit(f"a worker failed: {process.returncode}")
-        raw = json.loads(out)
-        seen.add(raw)
+        raw = json.loads(output)
+        observations.merge(raw)
         counts += Counter(raw["counts"])
-        stories += raw["stories"]
+        violations += raw["stories"]
         breaks += raw["breaks"]
-    return seen, counts, stories, breaks
+    return observations, counts, violations, breaks
 
 
-async def flat_out(proxy: ProxyProcess, kind: str, requests: int, workers: int) -> tuple[float, float]:
+async def measure_throughput(
+    proxy: ProxyProcess, kind: str, requests: int, workers: int
+) -> tuple[float, float]:
     """Decisions a second and the proxy's processor time for each, in ms."""
-    cpu, start = proxy.processor_seconds(), time.monotonic()
-    each = requests // workers
+    cpu_before, start = proxy.processor_seconds(), time.monotonic()
+    requests_each = requests // workers
     processes = [
         await asyncio.create_subprocess_exec(
             sys.executable, "-m", "benchmarks.extproc", "--worker", kind,
             "--address", proxy.external_processor_address,
-            "--requests", str(each), "--name", f"{kind}-{at}-{os.getpid()}",
+            "--requests", str(requests_each), "--name", f"{kind}-{index}-{os.getpid()}",
         )
-        for at in range(workers)
+        for index in range(workers)
     ]  # fmt: skip
-    codes = [await process.wait() for process in processes]
-    if any(codes):
-        raise SystemExit(f"a worker failed: {codes}")
-    taken = time.monotonic() - start
-    return each * workers / taken, (proxy.processor_seconds() - cpu) * 1000.0 / (each * workers)
+    exit_codes = [await process.wait() for process in processes]
+    if any(exit_codes):
+        raise SystemExit(f"a worker failed: {exit_codes}")
+    elapsed = time.monotonic() - start
+    return requests_each * workers / elapsed, (proxy.processor_seconds() - cpu_before) * 1000.0 / (
+        requests_each * workers
+    )
 
 
 async def measure(requests: int, rate: float, memory: int, seed: int) -> dict[str, Any]:
-    site = Site(4, delay=8.0)
+    site = BenchmarkSite(4, delay=8.0)
     await site.start()
     result: dict[str, Any] = {"requests": requests}
-    async with ProxyProcess(site.board, site.servers, EXTRAS) as proxy:
-        trouble = asyncio.create_task(site.trouble(min(3.0, requests / rate / 5)))
-        seen, counts, stories, breaks = await mixed_by_workers(proxy, requests, rate, WORKERS, seed)
-        envoy_lines = UpstreamConnections(99)
-        beside = await envoy(proxy.external_processor_address, requests // 5, rate / 5, envoy_lines, seed)
-        envoy_lines.close()
-        trouble.cancel()
-        at_servers, more = check_servers(site.all, site.drained)
-        counts += at_servers
-        stories += more
-        for story in stories[:5]:
-            print("BROKEN", story)
-        settled = sum(seen.finals.values())
+    async with ProxyProcess(site.discovery, site.servers, EXTRA_SETTINGS) as proxy:
+        fault_task = asyncio.create_task(site.inject_faults(min(3.0, requests / rate / 5)))
+        observations, counts, violations, breaks = await run_mixed_workers(
+            proxy, requests, rate, WORKER_COUNT, seed
+        )
+        envoy_connections = UpstreamConnections(99)
+        envoy_observations = await run_envoy_load(
+            proxy.external_processor_address, requests // 5, rate / 5, envoy_connections, seed
+        )
+        envoy_connections.close()
+        fault_task.cancel()
+        server_counts, server_violations = check_servers(site.all_servers, site.drained_at)
+        counts += server_counts
+        violations += server_violations
+        for violation in violations[:5]:
+            print("BROKEN", violation)
+        settled = sum(observations.final_counts.values())
         result.update(
             missing=counts["missing"]
             + (requests - settled)
-            + seen.finals["closed"]
-            + beside.finals["missing"],
+            + observations.final_counts["closed"]
+            + envoy_observations.final_counts["missing"],
             doubled=counts["doubled"] + counts["unasked"],
             late=counts["late"],
             wrong_server=counts["wrong_server"],
             two_out=counts["two_out"],
-            refused_deadline=seen.why["deadline"],
-            p50_ms=round(percentile(seen.direct, 50), 2),
-            p99_ms=round(percentile(seen.direct, 99), 2),
-            inner_p50_ms=round(percentile(seen.inner, 50), 2),
-            inner_p99_ms=round(percentile(seen.inner, 99), 2),
-            held_p99_ms=round(percentile(seen.held, 99), 1),
-            held=seen.held.get_total_count(),
-            broken_p99_ms=round(percentile(seen.broken, 99), 1),
-            broken=seen.broken.get_total_count(),
+            refused_deadline=observations.refusal_reasons["deadline"],
+            p50_ms=round(percentile(observations.direct, 50), 2),
+            p99_ms=round(percentile(observations.direct, 99), 2),
+            inner_p50_ms=round(percentile(observations.decision_time, 50), 2),
+            inner_p99_ms=round(percentile(observations.decision_time, 99), 2),
+            held_p99_ms=round(percentile(observations.held, 99), 1),
+            held=observations.held.get_total_count(),
+            broken_p99_ms=round(percentile(observations.after_break, 99), 1),
+            broken=observations.after_break.get_total_count(),
             broken_streams=breaks,
-            finals=dict(seen.finals),
-            why=dict(seen.why),
-            envoy_p50_ms=round(percentile(beside.direct, 50), 2),
-            envoy_p99_ms=round(percentile(beside.direct, 99), 2),
-            envoy_finals=dict(beside.finals),
+            finals=dict(observations.final_counts),
+            why=dict(observations.refusal_reasons),
+            envoy_p50_ms=round(percentile(envoy_observations.direct, 50), 2),
+            envoy_p99_ms=round(percentile(envoy_observations.direct, 99), 2),
+            envoy_finals=dict(envoy_observations.final_counts),
         )
-        for server in site.all:
+        for server in site.all_servers:
             server.keep_received_set_ups = False
-    async with ProxyProcess(site.board, site.servers, EXTRAS) as proxy:
-        await flat_out(proxy, "own", max(3000, memory // 20), 3)
+    async with ProxyProcess(site.discovery, site.servers, EXTRA_SETTINGS) as proxy:
+        await measure_throughput(proxy, "own", max(3000, memory // 20), 3)
         settled_mb = proxy.resident_memory_mb()
-        own_rate, own_cpu = await flat_out(proxy, "own", memory, 3)
+        own_rate, own_cpu = await measure_throughput(proxy, "own", memory, 3)
         result.update(
             decisions_per_s=round(own_rate),
             cpu_ms_own=round(own_cpu, 3),
             rss_mb=round(proxy.resident_memory_mb(), 1),
             rss_growth_mb=round(proxy.resident_memory_mb() - settled_mb, 1),
         )
-        other_rate, other_cpu = await flat_out(proxy, "envoy", max(3000, memory // 20), 3)
-        result.update(envoy_decisions_per_s=round(other_rate), cpu_ms_envoy=round(other_cpu, 3))
-    for server in site.all:
+        envoy_rate, envoy_cpu = await measure_throughput(proxy, "envoy", max(3000, memory // 20), 3)
+        result.update(envoy_decisions_per_s=round(envoy_rate), cpu_ms_envoy=round(envoy_cpu, 3))
+    for server in site.all_servers:
         await server.stop()
-    await site.board.stop()
+    await site.discovery.stop()
     return result
 
 
-def table(result: dict[str, Any]) -> str:
+def format_table(result: dict[str, Any]) -> str:
     width = max(map(len, result))
     return "\n".join(f"{name:<{width}}  {value}" for name, value in result.items())
 
@@ -461,8 +486,8 @@
     return not any(result[name] for name in ("missing", "doubled", "late", "wrong_server", "two_out"))
 
 
-def run(main: Callable[[], Awaitable[Any]]) -> Any:
-    return asyncio.run(main())  # type: ignore[arg-type]
+def run_async(coroutine_function: Callable[[], Awaitable[Any]]) -> Any:
+    return asyncio.run(coroutine_function())  # type: ignore[arg-type]
 
 
 @click.command()
@@ -487,12 +512,12 @@
     breaks: float,
 ) -> None:
     if worker is not None:
-        run(lambda: globals()["worker"](address, worker, requests, 48, name, rate, breaks))
+        run_async(lambda: globals()["worker"](address, worker, requests, 48, name, rate, breaks))
         return
     if short:
         requests, memory = 1500, 6000
-    result = run(lambda: measure(requests, rate, memory, seed))
-    print(table(result))
+    result = run_async(lambda: measure(requests, rate, memory, seed))
+    print(format_table(result))
     print("RESULT " + json.dumps(result))
     raise SystemExit(0 if passed(result) else 1)
 
--- a/benchmarks/fleet_membership.py
+++ b/benchmarks/fleet_membership.py
@@ -23,8 +23,8 @@
 from martentide_lab.fleet.scenario import Scenario, Step
 from martentide_lab.fleet.simulated import SimulatedFleet
 
-LIMIT = 60.0  # s for what has to come
-LOSS = 0.05
+LIMIT_S = 60.0  # s for what has to come
+LOSS_SHARE = 0.05
 
 
 def quantile(values: list[float], share: float) -> float:
@@ -35,44 +35,44 @@
     return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))] / 1000.0, 3)
 
 
-def delays(rig: Rig, about: str, since: float, states: tuple[State, ...]) -> dict[str, float]:
+def detection_delays(rig: Rig, about: str, since: float, states: tuple[State, ...]) -> dict[str, float]:
     """By observer, when it first held the member for one of the states, in ms after ``since``."""
-    found: dict[str, float] = {}
+    delays: dict[str, float] = {}
     for event in rig.log:
-        seen = event.at >= since and event.kind == "member" and event.subject == about
-        if seen and event.fields["state"] in states and event.observer != about:
-            found.setdefault(event.observer, event.at - since)
-    return found
+        matches = event.at >= since and event.kind == "member" and event.subject == about
+        if matches and event.fields["state"] in states and event.observer != about:
+            delays.setdefault(event.observer, event.at - since)
+    return delays
 
 
-def apart(rig: Rig, half: list[str], rest: list[str]) -> bool:
+def is_split(rig: Rig, half: list[str], rest: list[str]) -> bool:
     return rig.known_dead(*half, by=rest) and rig.known_dead(*rest, by=half)
 
 
-async def play(processes: int, seconds: float, seed: int) -> dict[str, Any]:
-    dice = random.Random(seed)
-    script = Scenario(proxies=processes, servers=0, seed=seed)
-    detect: list[float] = []
-    spread: list[float] = []
-    heal: list[float] = []
+async def run_processes(processes: int, seconds: float, seed: int) -> dict[str, Any]:
+    rng = random.Random(seed)
+    scenario = Scenario(proxies=processes, servers=0, seed=seed)
+    detection_ms: list[float] = []
+    spread_ms: list[float] = []
+    heal_ms: list[float] = []
     missed = stops = kills = 0
-    async with Rig(script, with_load=False, base=Link(loss=LOSS, jitter=2.0)) as rig:
-        await rig.wait_until(rig.is_converged, LIMIT)
+    async with Rig(scenario, with_load=False, base=Link(loss=LOSS_SHARE, jitter=2.0)) as rig:
+        await rig.wait_until(rig.is_converged, LIMIT_S)
         await asyncio.sleep(5.0)
-        names = script.names()
+        names = scenario.names()
         resident = {name: rig.resident_memory_mb(name) for name in names}
-        began, sent = rig.now(), sum(rig.hub.sent_bytes.values())
-        used = {name: processor_seconds(rig.proxies[name]) for name in names}
-        spent = begun = 0.0
-        while rig.now() - began < seconds * 1000.0:
-            for name in dice.sample(names, 2):
+        started_at, sent_before = rig.now(), sum(rig.hub.sent_bytes.values())
+        cpu_before = {name: processor_seconds(rig.proxies[name]) for name in names}
+        cpu_used = start_cpu = 0.0
+        while rig.now() - started_at < seconds * 1000.0:
+            for name in rng.sample(names, 2):
                 await rig.execute_step(Step(0, "stop", (name,)))
                 await asyncio.sleep(0.5)
                 await rig.execute_step(Step(0, "continue", (name,)))
                 stops += 1
             await asyncio.sleep(1.0)
-            name = dice.choice(names)
-            spent += processor_seconds(rig.proxies[name]) - used[name]
+            name = rng.choice(names)
+            cpu_used += processor_seconds(rig.proxies[name]) - cpu_before[name]
             since = rig.now()
             await rig.execute_step(Step(0, "kill", (name,)))
             kills += 1
@@ -80,74 +80,84 @@
                 await rig.wait_until(lambda: rig.known_dead(name), 15.0)  # noqa: B023
             except TimeoutError:
                 missed += 1
-            detect += delays(rig, name, since, (State.DEAD, State.LEFT)).values()
+            detection_ms += detection_delays(rig, name, since, (State.DEAD, State.LEFT)).values()
             await rig.execute_step(Step(0, "start", (name,)))
-            used[name] = processor_seconds(rig.proxies[name])  # imports and settings: no cost of the fleet
-            begun += used[name]
+            cpu_before[name] = processor_seconds(
+                rig.proxies[name]
+            )  # imports and settings: no cost of the fleet
+            start_cpu += cpu_before[name]
             since = rig.now() - 1_000.0
             try:
-                await rig.wait_until(rig.is_converged, LIMIT)
+                await rig.wait_until(rig.is_converged, LIMIT_S)
             except TimeoutError:
                 missed += 1
-            told = sorted(delays(rig, name, since, (State.ALIVE,)).values())
-            spread += [one - told[0] for one in told]
+            learned_after = sorted(detection_delays(rig, name, since, (State.ALIVE,)).values())
+            spread_ms += [one - learned_after[0] for one in learned_after]
             if kills % 6 == 0:
-                half = dice.sample(names, len(names) // 2)
+                half = rng.sample(names, len(names) // 2)
                 rest = [one for one in names if one not in half]
                 await rig.execute_step(Step(0, "split", (",".join(half), ",".join(rest))))
-                await rig.wait_until(lambda: apart(rig, half, rest), LIMIT)  # noqa: B023
+                await rig.wait_until(lambda: is_split(rig, half, rest), LIMIT_S)  # noqa: B023
                 await rig.execute_step(Step(0, "heal"))
-                heal.append(await rig.wait_until(rig.is_converged, LIMIT))
+                heal_ms.append(await rig.wait_until(rig.is_converged, LIMIT_S))
                 await asyncio.sleep(7.0)  # the checker owes nobody anything right after
-        span = (rig.now() - began) / 1000.0
-        spent += sum(processor_seconds(rig.proxies[name]) - used[name] for name in names)
-        broken = rig.violations()
-        lived = [
-            name for name in names if not any(e.kind == "killed" and e.observer == name for e in rig.log)
+        span = (rig.now() - started_at) / 1000.0
+        cpu_used += sum(processor_seconds(rig.proxies[name]) - cpu_before[name] for name in names)
+        violations = rig.violations()
+        never_killed = [
+            name
+            for name in names
+            if not any(event.kind == "killed" and event.observer == name for event in rig.log)
         ]
-        growth = max((rig.resident_memory_mb(name) - resident[name] for name in lived), default=0.0)
-        for line in broken[:10]:
+        growth = max((rig.resident_memory_mb(name) - resident[name] for name in never_killed), default=0.0)
+        for line in violations[:10]:
             print(line, file=sys.stderr)
         return {
             "processes": processes, "seconds": round(span), "kills": kills, "stops": stops,
-            "detect_p50_s": quantile(detect, 0.5), "detect_p99_s": quantile(detect, 0.99),
-            "false_dead": sum(line.startswith("not-accused") for line in broken), "missed_dead": missed,
-            "heal_s": round(max(heal, default=-1_000.0) / 1000.0, 3),
-            "spread_p99_ms": round(1000 * quantile(spread, 0.99)),
-            "bytes_per_s": round((sum(rig.hub.sent_bytes.values()) - sent) / span / processes),
-            "cpu_share": round(spent / span / processes, 4),
-            "start_cpu_s": round(begun / max(1, kills), 3), "rss_growth_mb": round(growth, 2),
-            "stale_raised": sum(line.startswith("not-raised") for line in broken),
-            "rules_broken": len(broken),
+            "detect_p50_s": quantile(detection_ms, 0.5), "detect_p99_s": quantile(detection_ms, 0.99),
+            "false_dead": sum(line.startswith("not-accused") for line in violations), "missed_dead": missed,
+            "heal_s": round(max(heal_ms, default=-1_000.0) / 1000.0, 3),
+            "spread_p99_ms": round(1000 * quantile(spread_ms, 0.99)),
+            "bytes_per_s": round((sum(rig.hub.sent_bytes.values()) - sent_before) / span / processes),
+            "cpu_share": round(cpu_used / span / processes, 4),
+            "start_cpu_s": round(start_cpu / max(1, kills), 3), "rss_growth_mb": round(growth, 2),
+            "stale_raised": sum(line.startswith("not-raised") for line in violations),
+            "rules_broken": len(violations),
         }  # fmt: skip
 
 
-def simulate(members: int, seed: int) -> dict[str, Any]:
+def run_simulated(members: int, seed: int) -> dict[str, Any]:
     """The same figures in simulated time: a minute's stretch, five kills, a split."""
-    begin = time.monotonic()
-    fleet = SimulatedFleet(members, seed, base=Link(delay=1.0, jitter=2.0, loss=LOSS))
+    wall_start = time.monotonic()
+    fleet = SimulatedFleet(members, seed, base=Link(delay=1.0, jitter=2.0, loss=LOSS_SHARE))
     fleet.start_acquainted()
     fleet.run(5_000.0)
-    sent = {name: node.sent_bytes for name, node in fleet.members.items()}
+    sent_before = {name: node.sent_bytes for name, node in fleet.members.items()}
     fleet.run(15_000.0)
-    rate = sum(node.sent_bytes - sent[name] for name, node in fleet.members.items()) / members / 10.0
-    detect: list[float] = []
-    spread: list[float] = []
-    for at in range(2 if members > 500 else 4):
-        up = [one for one, node in fleet.members.items() if node.core is not None]
-        name, since = up[len(up) // 2], fleet.now
+    bytes_rate = (
+        sum(node.sent_bytes - sent_before[name] for name, node in fleet.members.items()) / members / 10.0
+    )
+    detection_ms: list[float] = []
+    spread_ms: list[float] = []
+    for index in range(2 if members > 500 else 4):
+        running = [member for member, node in fleet.members.items() if node.core is not None]
+        name, since = running[len(running) // 2], fleet.now
         fleet.kill(name)
         fleet.run(since + 8_000.0)
-        seen = [e for e in fleet.log if e.at >= since and e.kind == "member" and e.subject == name]
-        detect += [e.at - since for e in seen if e.fields["state"] == State.DEAD]
+        events = [
+            event
+            for event in fleet.log
+            if event.at >= since and event.kind == "member" and event.subject == name
+        ]
+        detection_ms += [event.at - since for event in events if event.fields["state"] == State.DEAD]
         since = fleet.now
-        fleet.publish(up[at], 5, b"a change")
+        fleet.publish(running[index], 5, b"a change")
         fleet.run(since + 3_000.0)
-        spread += [e.at - since for e in fleet.log if e.at >= since and e.kind == "facet"]
+        spread_ms += [event.at - since for event in fleet.log if event.at >= since and event.kind == "facet"]
     return {
-        "members": members, "detect_p50_s": quantile(detect, 0.5), "detect_p99_s": quantile(detect, 0.99),
-        "spread_p99_ms": round(1000 * quantile(spread, 0.99)), "bytes_per_s": round(rate),
-        "heard": len(spread), "wall_s": round(time.monotonic() - begin, 1),
+        "members": members, "detect_p50_s": quantile(detection_ms, 0.5), "detect_p99_s": quantile(detection_ms, 0.99),
+        "spread_p99_ms": round(1000 * quantile(spread_ms, 0.99)), "bytes_per_s": round(bytes_rate),
+        "heard": len(spread_ms), "wall_s": round(time.monotonic() - wall_start, 1),
     }  # fmt: skip
 
 
@@ -162,11 +172,11 @@
         processes, minutes, sizes = 8, 0.05, "8,64"
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 65_536), hard))
-    result = asyncio.run(play(processes, minutes * 60.0, seed)) if processes else {}
+    result = asyncio.run(run_processes(processes, minutes * 60.0, seed)) if processes else {}
     print(json.dumps(result))
     result["simulated"] = []
     for size in sizes.split(","):
-        result["simulated"].append(simulate(int(size), seed))
+        result["simulated"].append(run_simulated(int(size), seed))
         print(json.dumps(result["simulated"][-1]))
     if short:
         counts = ("false_dead", "missed_dead", "stale_raised", "rules_broken")
--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -28,69 +28,85 @@
 from martentide_lab.servers import SessionServer
 from martentide_lab.simulated_site import SimulatedServer, SimulatedSite
 
-RATE, USE = 20.0, 0.8  # set-ups/s of a server, and the share of it that is planned
-SHARES = (0.74, 0.05, 0.21)  # of the classes
-SURGE, BEGIN, SPAN, END = 1.7, 10.0, 6.0, 34.0  # times the plan; s
-WORTHS = {name: worth for name, worth, _, _ in CLASSES}
-AIMS = {name: aim for name, _, aim, _ in CLASSES}
+SERVER_RATE, PLANNED_USE = 20.0, 0.8  # set-ups/s of a server, and the share of it that is planned
+CLASS_SHARES = (0.74, 0.05, 0.21)  # of the classes
+SURGE_FACTOR, SURGE_BEGIN_S, SURGE_SPAN_S, END_S = 1.7, 10.0, 6.0, 34.0  # times the plan; s
+CLASS_WORTHS = {name: served_worth for name, served_worth, _, _ in CLASSES}
+CLASS_AIMS_MS = {name: aim for name, _, aim, _ in CLASSES}
 VARIANTS = {"alone": None, "duty": "", "fleet": "overload #true"}  # text in the fleet node; None: no fleet
-REDIALS = 3
+MAX_REDIALS = 3
 
 
-def worth(stories: Iterable[tuple[str, float, float | None]]) -> float:
+def served_worth(calls: Iterable[tuple[str, float, float | None]]) -> float:
     """Worth that stood within the aim over the worth asked for; kind, begin and when it stood, in ms."""
-    got = asked = 0.0
-    for kind, began, stood in stories:
-        asked += WORTHS[kind]
-        if stood is not None and stood - began <= AIMS[kind]:
-            got += WORTHS[kind]
-    return got / asked if asked else 1.0
+    served = offered = 0.0
+    for class_name, started_at, stood_at in calls:
+        offered += CLASS_WORTHS[class_name]
+        if stood_at is not None and stood_at - started_at <= CLASS_AIMS_MS[class_name]:
+            served += CLASS_WORTHS[class_name]
+    return served / offered if offered else 1.0
 
 
-def bound(
-    stories: Sequence[tuple[str, float, float | None]], begin: float, end: float, capacity: float
+def worth_bound(
+    calls: Sequence[tuple[str, float, float | None]], begin: float, end: float, capacity: float
 ) -> float:
     """What an all-knowing admission serves of the span's stories: the worthiest that the servers can do, a
     second at a time, with the aim's room at the end of each."""
-    got = asked = 0.0
-    spare = 0.0
-    at = begin
-    while at < end:
-        due = sorted((WORTHS[kind] for kind, began, _ in stories if at <= began < at + 1_000.0), reverse=True)
-        room = capacity + spare
-        served = due[: int(room)]
-        spare = min(0.2 * capacity, max(0.0, room - len(due)))
-        got, asked = got + sum(served), asked + sum(due)
-        at += 1_000.0
-    return min(1.0, got / asked) if asked else 1.0
-
-
-def figures(
-    stories: Sequence[tuple[str, float, float | None]],
-    tries: Sequence[int],
+    served = offered = 0.0
+    spare_capacity = 0.0
+    second_start = begin
+    while second_start < end:
+        second_worths = sorted(
+            (
+                CLASS_WORTHS[class_name]
+                for class_name, started_at, _ in calls
+                if second_start <= started_at < second_start + 1_000.0
+            ),
+            reverse=True,
+        )
+        available = capacity + spare_capacity
+        served_worths = second_worths[: int(available)]
+        spare_capacity = min(0.2 * capacity, max(0.0, available - len(second_worths)))
+        served, offered = served + sum(served_worths), offered + sum(second_worths)
+        second_start += 1_000.0
+    return min(1.0, served / offered) if offered else 1.0
+
+
+def surge_figures(
+    calls: Sequence[tuple[str, float, float | None]],
+    dials: Sequence[int],
     begin: float,
     capacity: float,
 ) -> dict[str, float]:
     """``begin`` of the surge in ms, on the stories' clock."""
-    until = begin + 1_000.0 * SPAN
-
-    def between(one: float, other: float) -> list[tuple[str, float, float | None]]:
-        return [story for story in stories if one <= story[1] < other]
-
-    surge, steady = between(begin, until), worth(between(begin - 5_000.0, begin))
-    whole = until
-    while whole < until + 16_000.0 and worth(between(whole, whole + 1_000.0)) < 0.95 * steady:
-        whole += 500.0
-    by_class = {kind: worth([one for one in surge if one[0] == kind]) for kind in WORTHS}
-    order = [by_class[kind] for kind in sorted(WORTHS, key=lambda kind: -WORTHS[kind])]
-    dialled = [tries[at] for at, one in enumerate(stories) if begin <= one[1] < until]
+    end = begin + 1_000.0 * SURGE_SPAN_S
+
+    def calls_between(lower: float, upper: float) -> list[tuple[str, float, float | None]]:
+        return [call for call in calls if lower <= call[1] < upper]
+
+    surge_calls, steady_worth = calls_between(begin, end), served_worth(calls_between(begin - 5_000.0, begin))
+    recovered_at = end
+    while (
+        recovered_at < end + 16_000.0
+        and served_worth(calls_between(recovered_at, recovered_at + 1_000.0)) < 0.95 * steady_worth
+    ):
+        recovered_at += 500.0
+    by_class = {
+        class_name: served_worth([call for call in surge_calls if call[0] == class_name])
+        for class_name in CLASS_WORTHS
+    }
+    worths_by_rank = [
+        by_class[class_name]
+        for class_name in sorted(CLASS_WORTHS, key=lambda class_name: -CLASS_WORTHS[class_name])
+    ]
+    surge_dials = [dials[index] for index, call in enumerate(calls) if begin <= call[1] < end]
     return {
-        "surge_worth": worth(surge), "surge_bound": bound(stories, begin, until, capacity),
-        "after_worth": worth(between(until + 2_000.0, until + 6_000.0)),
-        "first_2s_after": worth(between(until, until + 2_000.0)),
-        "recover_s": (whole - until) / 1_000.0, "dials_a_story": statistics.mean(dialled) if dialled else 0.0,
-        "class_order_kept": float(all(one >= other - 0.03 for one, other in itertools.pairwise(order))),
-        **{f"surge_{kind}": share for kind, share in by_class.items()},
+        "surge_worth": served_worth(surge_calls), "surge_bound": worth_bound(calls, begin, end, capacity),
+        "after_worth": served_worth(calls_between(end + 2_000.0, end + 6_000.0)),
+        "first_2s_after": served_worth(calls_between(end, end + 2_000.0)),
+        "recover_s": (recovered_at - end) / 1_000.0, "dials_a_story": statistics.mean(surge_dials) if surge_dials else 0.0,
+        "class_order_kept": float(all(call >= other - 0.03 for call, other in itertools.pairwise(worths_by_rank))),
+        **{f"surge_{class_name}": share for class_name, share in by_class.items()},
     }  # fmt: skip
 
 
@@ -105,53 +121,67 @@
 }
 
 
-async def real(
-    processes: int, servers: int, extra: str | None, seed: int, fault: str = "none"
-) -> tuple[dict[str, float], list[float], Chances]:
-    capacity = RATE * servers
-    surge = (Step(1000 * BEGIN, "surge", (SURGE,)), Step(1000 * (BEGIN + SPAN), "surge", (1.0,)))
-    more = (Step(1000 * (BEGIN + at), verb, tuple(rest)) for at, verb, *rest in FAULTS[fault])
-    steps = tuple(sorted((*surge, *more), key=lambda step: step.at))
-    script = Scenario(
-        proxies=processes, servers=servers, seconds=END, seed=seed, rate=USE * capacity, steps=steps
+async def run_processes(
+    processes: int, servers: int, fleet_settings: str | None, seed: int, fault: str = "none"
+) -> tuple[dict[str, float], list[float], ServedByProxy]:
+    capacity = SERVER_RATE * servers
+    surge_steps = (
+        Step(1000 * SURGE_BEGIN_S, "surge", (SURGE_FACTOR,)),
+        Step(1000 * (SURGE_BEGIN_S + SURGE_SPAN_S), "surge", (1.0,)),
+    )
+    fault_steps = (
+        Step(1000 * (SURGE_BEGIN_S + after_s), verb, tuple(arguments))
+        for after_s, verb, *arguments in FAULTS[fault]
+    )
+    steps = tuple(sorted((*surge_steps, *fault_steps), key=lambda step: step.at))
+    scenario = Scenario(
+        proxies=processes, servers=servers, seconds=END_S, seed=seed, rate=PLANNED_USE * capacity, steps=steps
     )
     async with Rig(
-        script, with_fleet=extra is not None, extra_settings=extra or "", redials=REDIALS, shares=SHARES
+        scenario,
+        with_fleet=fleet_settings is not None,
+        extra_settings=fleet_settings or "",
+        redials=MAX_REDIALS,
+        shares=CLASS_SHARES,
     ) as rig:
         for server in rig.servers:
-            server.behavior.rate, server.keep_received_set_ups = RATE, True
-        if extra is not None:
+            server.behavior.rate, server.keep_received_set_ups = SERVER_RATE, True
+        if fleet_settings is not None:
             await rig.wait_until(rig.is_converged, 60.0)
         await rig.play()
-        shift = rig.loop.time() * 1000.0 - rig.now()
-        begin = rig.scenario_started_at + shift + 1000 * BEGIN
+        clock_shift = rig.loop.time() * 1000.0 - rig.now()
+        surge_begin = rig.scenario_started_at + clock_shift + 1000 * SURGE_BEGIN_S
         await asyncio.sleep(0.5)
-        told = [(name, story) for name, load in rig.all_load_generators for story in load.redialed_calls]
-        stories = [(story.class_name, story.started_at, story.stood_at) for _, story in told]
-        broken = rig.violations()
-        for line in broken[:5]:
+        placed_calls = [
+            (name, call) for name, load in rig.all_load_generators for call in load.redialed_calls
+        ]
+        calls = [(call.class_name, call.started_at, call.stood_at) for _, call in placed_calls]
+        violations = rig.violations()
+        for line in violations[:5]:
             print(line, file=sys.stderr)
-        seen = {
-            **figures(stories, [story.dials for _, story in told], begin, capacity),
+        figures = {
+            **surge_figures(calls, [call.dials for _, call in placed_calls], surge_begin, capacity),
             "set_ups": float(sum(len(server.received_set_ups) for server in rig.servers)),
-            "further_share": further(rig.servers) / max(1, len(told)),
+            "further_share": further_attempts(rig.servers) / max(1, len(placed_calls)),
             "tests": float(sum(len(server.health_checks) for server in rig.servers)),
-            "rules_broken": float(len(broken)),
+            "rules_broken": float(len(violations)),
         }
-        homes = [name for name, _ in told]
-        return seen, series(stories, begin), chances_of(stories, homes, begin)
+        proxy_names = [name for name, _ in placed_calls]
+        return figures, worth_by_second(calls, surge_begin), served_by_proxy(calls, proxy_names, surge_begin)
 
 
-def further(servers: Iterable[SessionServer]) -> int:
+def further_attempts(servers: Iterable[SessionServer]) -> int:
     """Attempts beyond the first of each call, by what came to the servers."""
-    came = Counter(one.call for server in servers for one in server.received_set_ups)
-    return sum(count - 1 for count in came.values())
+    received = Counter(set_up.call for server in servers for set_up in server.received_set_ups)
+    return sum(count - 1 for count in received.values())
 
 
-def simulated(proxies: int, servers: int, variant: str, seed: int) -> tuple[dict[str, float], Chances]:
+def run_simulated(
+    proxies: int, servers: int, variant: str, seed: int
+) -> tuple[dict[str, float], ServedByProxy]:
     settings = dataclasses.replace(settings_from(site_settings(servers)), proxies=proxies)
-    machines = [SimulatedServer(f"s{at}", at, RATE) for at in range(servers)]
-    site = SimulatedSite(settings, proxies, machines, seed)
+    simulated_servers = [SimulatedServer(f"s{index}", index, SERVER_RATE) for index in range(servers)]
+    site = SimulatedSite(settings, proxies, simulated_servers, seed)
     if variant != "alone":
         without = frozenset({variant.removeprefix("without-")} & set(ABLATION_PARTS))
         site.join_fleet(
@@ -159,66 +189,77 @@
             overload_control=variant != "duty",
             without=without,
         )
-    planned = USE * RATE * servers
-    site.offer_calls(1000 * END, planned, SHARES)
-    site.now = 1000 * BEGIN
-    site.offer_calls(1000 * (BEGIN + SPAN), planned * (SURGE - 1.0), SHARES)
+    planned_rate = PLANNED_USE * SERVER_RATE * servers
+    site.offer_calls(1000 * END_S, planned_rate, CLASS_SHARES)
+    site.now = 1000 * SURGE_BEGIN_S
+    site.offer_calls(1000 * (SURGE_BEGIN_S + SURGE_SPAN_S), planned_rate * (SURGE_FACTOR - 1.0), CLASS_SHARES)
     site.now = 0.0
-    site.run(1000 * END + 3_000.0)
-    kinds = [kind.name for kind in settings.classes]
-    stories = [(kinds[one.class_index], one.started_at, one.stood_at) for one in site.calls]
-    tries = [one.dials for one in site.calls]
-    homes = [str(one.home_proxy) for one in site.calls]
-    seen = figures(stories, tries, 1000 * BEGIN, RATE * servers)
-    chances = chances_of(stories, homes, 1000 * BEGIN)
-    return {**seen, "set_ups": float(len(site.sent_set_ups))}, chances
+    site.run(1000 * END_S + 3_000.0)
+    class_names = [call_class.name for call_class in settings.classes]
+    calls = [(class_names[call.class_index], call.started_at, call.stood_at) for call in site.calls]
+    dials = [call.dials for call in site.calls]
+    proxy_names = [str(call.home_proxy) for call in site.calls]
+    figures = surge_figures(calls, dials, 1000 * SURGE_BEGIN_S, SERVER_RATE * servers)
+    served = served_by_proxy(calls, proxy_names, 1000 * SURGE_BEGIN_S)
+    return {**figures, "set_ups": float(len(site.sent_set_ups))}, served
 
 
-Chances = dict[str, list[float]]  # by proxy: whether each call of the least class was served in time
+ServedByProxy = dict[str, list[float]]  # by proxy: whether each call of the least class was served in time
 
 
-def chances_of(
-    stories: Sequence[tuple[str, float, float | None]], homes: Sequence[str], begin: float
-) -> Chances:
-    found: Chances = {}
-    for home, (kind, began, stood) in zip(homes, stories, strict=True):
-        if begin + 1_000.0 <= began < begin + 1_000.0 * SPAN and kind == "status-check":
-            found.setdefault(home, []).append(float(stood is not None and stood - began <= AIMS[kind]))
-    return found
+def served_by_proxy(
+    calls: Sequence[tuple[str, float, float | None]], proxy_names: Sequence[str], begin: float
+) -> ServedByProxy:
+    served: ServedByProxy = {}
+    for proxy_name, (class_name, started_at, stood_at) in zip(proxy_names, calls, strict=True):
+        if begin + 1_000.0 <= started_at < begin + 1_000.0 * SURGE_SPAN_S and class_name == "status-check":
+            served.setdefault(proxy_name, []).append(
+                float(stood_at is not None and stood_at - started_at <= CLASS_AIMS_MS[class_name])
+            )
+    return served
 
 
-def summary(plays: Sequence[dict[str, float]], chances: Sequence[Chances]) -> dict[str, float]:
+def summarize(runs: Sequence[dict[str, float]], served_runs: Sequence[ServedByProxy]) -> dict[str, float]:
     """Means over the plays; ``unfairness``: best over worst chance of the least class between proxies, over
     all plays together, since in one, chance alone makes 1.3 of some fifty calls a proxy."""
-    found = {name: round(statistics.mean(play[name] for play in plays), 3) for name in plays[0]}
-    pooled = [
-        statistics.mean(served for one in chances for served in one.get(home, [])) for home in chances[0]
+    means = {name: round(statistics.mean(run[name] for run in runs), 3) for name in runs[0]}
+    served_shares = [
+        statistics.mean(in_time for served_run in served_runs for in_time in served_run.get(proxy_name, []))
+        for proxy_name in served_runs[0]
     ]
-    return {**found, "unfairness": round(max(pooled) / max(0.01, min(pooled)), 3)}
+    return {**means, "unfairness": round(max(served_shares) / max(0.01, min(served_shares)), 3)}
 
 
-def series(stories: Sequence[tuple[str, float, float | None]], begin: float) -> list[float]:
+def worth_by_second(calls: Sequence[tuple[str, float, float | None]], begin: float) -> list[float]:
     """Worth by second, from 5 s before the surge on."""
-    first = begin - 5_000.0
+    first_at = begin - 5_000.0
     return [
-        worth([one for one in stories if first + 1_000.0 * at <= one[1] < first + 1_000.0 * (at + 1)])
-        for at in range(int(END - BEGIN + 5.0) - 4)
+        served_worth(
+            [
+                call
+                for call in calls
+                if first_at + 1_000.0 * second <= call[1] < first_at + 1_000.0 * (second + 1)
+            ]
+        )
+        for second in range(int(END_S - SURGE_BEGIN_S + 5.0) - 4)
     ]
 
 
-def draw(name: str, lines: dict[str, list[list[float]]]) -> None:
+def draw_chart(path: str, runs_by_variant: dict[str, list[list[float]]]) -> None:
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(7.0, 3.2), layout="constrained")
     axes = figure.subplots()
-    axes.axvspan(0.0, SPAN, color="0.9", label=f"{SURGE} times the planned load")
-    for variant, plays in lines.items():
-        middle = [statistics.mean(play[at] for play in plays) for at in range(len(plays[0]))]
-        axes.plot([at - 4.5 for at in range(len(middle))], middle, label=f"{variant} (mean of {len(plays)})")
+    axes.axvspan(0.0, SURGE_SPAN_S, color="0.9", label=f"{SURGE_FACTOR} times the planned load")
+    for variant, runs in runs_by_variant.items():
+        means = [statistics.mean(run[second] for run in runs) for second in range(len(runs[0]))]
+        axes.plot(
+            [second - 4.5 for second in range(len(means))], means, label=f"{variant} (mean of {len(runs)})"
+        )
     axes.set(xlabel="s from the begin of the surge", ylabel="worth served in time", ylim=(0.0, 1.03))
     axes.legend(loc="lower right", fontsize="small")
-    for ending in ("svg", "png"):
-        figure.savefig(f"{name}.{ending}")
+    for extension in ("svg", "png"):
+        figure.savefig(f"{path}.{extension}")
 
 
 @click.command()
@@ -249,30 +290,32 @@
     for size in filter(None, sizes.split(",")):
         for variant in chosen:
             count = 1 if short else 2 if int(size) > 100 else 5
-            plays = [simulated(int(size), 8, variant, seed) for seed in range(1, count + 1)]
-            found = result[f"simulated-{size}-{variant}"] = summary(*zip(*plays, strict=True))
-            print(json.dumps({"size": size, "variant": variant, **found}), flush=True)
+            runs = [run_simulated(int(size), 8, variant, seed) for seed in range(1, count + 1)]
+            means = result[f"simulated-{size}-{variant}"] = summarize(*zip(*runs, strict=True))
+            print(json.dumps({"size": size, "variant": variant, **means}), flush=True)
     for part in ABLATION_PARTS if parts else ():
-        plays = [simulated(parts, 8, f"without-{part}", seed) for seed in range(1, 6)]
-        found = result[f"simulated-{parts}-without-{part}"] = summary(*zip(*plays, strict=True))
-        print(json.dumps({"size": parts, "without": part, **found}), flush=True)
-    lines: dict[str, list[list[float]]] = {}
-    chances: dict[str, list[Chances]] = {}
-    real_plays: dict[str, list[dict[str, float]]] = {}
-    plays_of = [(fault, seed, variant) for fault in faults.split(",") for seed in range(1, seeds + 1)
+        runs = [run_simulated(parts, 8, f"without-{part}", seed) for seed in range(1, 6)]
+        means = result[f"simulated-{parts}-without-{part}"] = summarize(*zip(*runs, strict=True))
+        print(json.dumps({"size": parts, "without": part, **means}), flush=True)
+    worths: dict[str, list[list[float]]] = {}
+    served: dict[str, list[ServedByProxy]] = {}
+    figures_by_name: dict[str, list[dict[str, float]]] = {}
+    run_arguments = [(fault, seed, variant) for fault in faults.split(",") for seed in range(1, seeds + 1)
                 for variant in chosen]  # fmt: skip
-    for fault, seed, variant in plays_of if processes else ():
-        play, line, seen = asyncio.run(real(processes, servers, VARIANTS[variant], seed, fault))
+    for fault, seed, variant in run_arguments if processes else ():
+        run_figures, worth_series, served_run = asyncio.run(
+            run_processes(processes, servers, VARIANTS[variant], seed, fault)
+        )
         name = variant if fault == "none" else f"{variant}-{fault}"
-        lines.setdefault(name, []).append(line)
-        real_plays.setdefault(name, []).append(play)
-        chances.setdefault(name, []).append(seen)
-        print(json.dumps({"seed": seed, "variant": name, **play}), flush=True)
-    for name, kept in real_plays.items():
-        if kept:
-            result[f"real-{name}"] = summary(kept, chances[name])
+        worths.setdefault(name, []).append(worth_series)
+        figures_by_name.setdefault(name, []).append(run_figures)
+        served.setdefault(name, []).append(served_run)
+        print(json.dumps({"seed": seed, "variant": name, **run_figures}), flush=True)
+    for name, kept_figures in figures_by_name.items():
+        if kept_figures:
+            result[f"real-{name}"] = summarize(kept_figures, served[name])
     if chart is not None:
-        draw(chart, lines)
+        draw_chart(chart, worths)
     if short:
         assert result["real-fleet"]["rules_broken"] == 0, result
         # Simulated time has no speed: the same figures on every machine.
--- a/benchmarks/fleet_tests_duty.py
+++ b/benchmarks/fleet_tests_duty.py
@@ -25,64 +25,73 @@
 from martentide_lab.servers import DRAINING, READY, SessionServer
 from martentide_lab.simulated_site import SimulatedServer, SimulatedSite
 
-RATE = 120.0  # calls a second, all proxies together
-SETTLE, SEEN = 6.0, 12.0  # s: before counting, and counted
-BACK = 12.0  # s in which all should send calls there again
-COLD = 4_000.0  # ms the cold server has been up when the counting begins
+TOTAL_RATE = 120.0  # calls a second, all proxies together
+SETTLE_S, COUNTED_S = 6.0, 12.0  # s: before counting, and counted
+RETURN_WAIT_S = 12.0  # s in which all should send calls there again
+COLD_AGE_MS = 4_000.0  # ms the cold server has been up when the counting begins
 
 
-def rate(times: list[float], begin: float, end: float) -> float:
-    return round(sum(begin <= at < end for at in times) / (end - begin) * 1000.0, 2)
+def events_per_second(times: list[float], begin: float, end: float) -> float:
+    return round(sum(begin <= time_ms < end for time_ms in times) / (end - begin) * 1000.0, 2)
 
 
-def back_after(rig: Rig, server: SessionServer, since: float) -> tuple[float, int]:
+def time_until_all_return(rig: Rig, server: SessionServer, since: float) -> tuple[float, int]:
     """When the last of the proxies sent a call there again, in ms, and how many did."""
-    first: dict[str, float] = {}
+    first_call_after: dict[str, float] = {}
     for arrival in server.received_set_ups:
         if arrival.received_at >= since:
-            owner = next(
+            member = next(
                 (name for name, load in rig.load_generators.items() if arrival.call in load.calls), None
             )
-            if owner is not None:
-                first.setdefault(owner, arrival.received_at - since)
-    return (max(first.values()) if first else -1.0), len(first)
+            if member is not None:
+                first_call_after.setdefault(member, arrival.received_at - since)
+    return (max(first_call_after.values()) if first_call_after else -1.0), len(first_call_after)
 
 
-async def real(processes: int, fleet: bool, seen: float, seed: int) -> dict[str, Any]:
-    script = Scenario(proxies=processes, servers=5, rate=RATE, seed=seed)
-    async with Rig(script, with_fleet=fleet) as rig:
+async def run_processes(processes: int, fleet: bool, counted_s: float, seed: int) -> dict[str, Any]:
+    scenario = Scenario(proxies=processes, servers=5, rate=TOTAL_RATE, seed=seed)
+    async with Rig(scenario, with_fleet=fleet) as rig:
         hung, mute, cold = rig.servers[0], rig.servers[1], rig.servers[2]
         if fleet:
             await rig.wait_until(rig.is_converged, 60.0)
         await asyncio.sleep(2.0)
         await rig.execute_step(Step(0, "server", ("s0", "hung")))
         await rig.execute_step(Step(0, "server", ("s1", "mute")))
-        await asyncio.sleep(SETTLE)
+        await asyncio.sleep(SETTLE_S)
         rig.discovery.publish([(cold, DRAINING)])
         rig.discovery.publish([(cold, READY)], started=int(unix_ms()))
         begin = unix_ms()
-        await asyncio.sleep(seen)
+        await asyncio.sleep(counted_s)
         end = unix_ms()
         figures = {
-            "tests_hung": rate(hung.health_checks, begin, end),
-            "tests_mute": rate(mute.health_checks, begin, end),
-            "tests_cold": rate(cold.health_checks, begin, end),
-            "set_ups_hung": rate([one.received_at for one in hung.received_set_ups], begin, end),
-            "set_ups_mute": rate([one.received_at for one in mute.received_set_ups], begin, end),
+            "tests_hung": events_per_second(hung.health_checks, begin, end),
+            "tests_mute": events_per_second(mute.health_checks, begin, end),
+            "tests_cold": events_per_second(cold.health_checks, begin, end),
+            "set_ups_hung": events_per_second(
+                [set_up.received_at for set_up in hung.received_set_ups], begin, end
+            ),
+            "set_ups_mute": events_per_second(
+                [set_up.received_at for set_up in mute.received_set_ups], begin, end
+            ),
         }
         since = unix_ms()
         await rig.execute_step(Step(0, "server", ("s0", "well")))
-        await asyncio.sleep(BACK)
-        last, count = back_after(rig, hung, since)
-        broken = [line for line in rig.violations() if not line.startswith(("late", "missing"))]
-        for line in broken[:10]:
+        await asyncio.sleep(RETURN_WAIT_S)
+        last_ms, count = time_until_all_return(rig, hung, since)
+        violations = [line for line in rig.violations() if not line.startswith(("late", "missing"))]
+        for line in violations[:10]:
             print(line, file=sys.stderr)
-        return {**figures, "back_s": round(last / 1000.0, 2), "back": count, "rules_broken": len(broken)}
+        return {
+            **figures,
+            "back_s": round(last_ms / 1000.0, 2),
+            "back": count,
+            "rules_broken": len(violations),
+        }
 
 
-def simulated(proxies: int, fleet: bool, seed: int) -> dict[str, Any]:
+def run_simulated(proxies: int, fleet: bool, seed: int) -> dict[str, Any]:
     settings = dataclasses.replace(settings_from(site_settings(8)), proxies=proxies)
-    servers = [SimulatedServer(f"s{at}", at, 20.0) for at in range(8)]
+    servers = [SimulatedServer(f"s{index}", index, 20.0) for index in range(8)]
     site = SimulatedSite(settings, proxies, servers, seed)
     if fleet:
         site.join_fleet(SimulatedFleet(proxies, seed, encode_datagrams=False))
@@ -91,9 +100,9 @@
     servers[0].ignore_set_ups = servers[0].ignore_health_checks = servers[1].ignore_set_ups = True
     site.run(30_000.0)
     figures = {}
-    for name, one in (("hung", servers[0]), ("mute", servers[1])):
-        figures[f"tests_{name}"] = rate(one.health_checks, 10_000.0, 30_000.0)
-        figures[f"set_ups_{name}"] = rate(one.received_at, 10_000.0, 30_000.0)
+    for name, server in (("hung", servers[0]), ("mute", servers[1])):
+        figures[f"tests_{name}"] = events_per_second(server.health_checks, 10_000.0, 30_000.0)
+        figures[f"set_ups_{name}"] = events_per_second(server.received_at, 10_000.0, 30_000.0)
     return {**figures, "served": round(site.served(10_000.0, 27_000.0), 3)}
 
 
@@ -103,17 +112,17 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--short", is_flag=True, help="4 and 8 processes; asserts the counts only")
 def main(sizes: str, simulated_sizes: str, seed: int, short: bool) -> None:
-    seen = SEEN
+    counted_s = COUNTED_S
     if short:
-        sizes, simulated_sizes, seen = "4,8", "8,40", 6.0
+        sizes, simulated_sizes, counted_s = "4,8", "8,40", 6.0
     result: dict[str, Any] = {"real": {}, "simulated": {}}
     for kind, chosen in (("simulated", simulated_sizes), ("real", sizes)):
         for size in filter(None, chosen.split(",")):
             for fleet in (False, True):
                 if kind == "real":
-                    figures = asyncio.run(real(int(size), fleet, seen, seed))
+                    figures = asyncio.run(run_processes(int(size), fleet, counted_s, seed))
                 else:
-                    figures = simulated(int(size), fleet, seed)
+                    figures = run_simulated(int(size), fleet, seed)
                 result[kind][f"{size}-{'fleet' if fleet else 'alone'}"] = figures
                 print(json.dumps({"size": size, "kind": kind, "fleet": fleet, **figures}), flush=True)
     if short:
@@ -121,8 +130,10 @@
             assert not result["real"][name]["rules_broken"], result
             assert result["real"][name]["back"] == int(name.split("-")[0]), result
         # At 40 the holders' tests are few, whatever the machine: simulated time has no speed.
-        one, many = (result["simulated"][name]["tests_hung"] for name in ("8-fleet", "40-fleet"))
-        assert 0 < many <= 1.5 * max(one, 2.0), result
+        small_fleet, large_fleet = (
+            result["simulated"][name]["tests_hung"] for name in ("8-fleet", "40-fleet")
+        )
+        assert 0 < large_fleet <= 1.5 * max(small_fleet, 2.0), result
     print("RESULT " + json.dumps(result))
 
 
--- a/benchmarks/learned_kills.py
+++ b/benchmarks/learned_kills.py
@@ -27,7 +27,7 @@
 from martentide_lab.proxy import ProxyProcess
 from martentide_lab.servers import DiscoveryServer, SessionServer
 
-EXTRAS = """
+EXTRA_SETTINGS = """
 learned-state {{
     folder "{folder}"
     times period-ms=50 gap-ms=10
@@ -35,79 +35,79 @@
 """
 
 
-def on_disk(folder: Path) -> tuple[int, int]:
+def read_saved_files(folder: Path) -> tuple[int, int]:
     """The highest save among the whole files (0: none), and how many are not whole."""
-    best = spoilt = 0
+    newest = damaged = 0
     for name in (STATE, OLD):
         path = folder / name
         if not path.exists():
             continue
         try:
-            best = max(best, read_state(path.read_bytes(), None).sequence)
+            newest = max(newest, read_state(path.read_bytes(), None).sequence)
         except StateError:
-            spoilt += 1
-    return best, spoilt
+            damaged += 1
+    return newest, damaged
 
 
-async def one_life(proxy: ProxyProcess, folder: Path, dice: random.Random, counts: dict[str, int]) -> float:
+async def run_until_killed(
+    proxy: ProxyProcess, folder: Path, rng: random.Random, counts: dict[str, int]
+) -> float:
     """Start, check what the start said against the files, load, kill. Returns the ms that reading took."""
-    before, spoilt = on_disk(folder)
-    counts["half_seen"] += spoilt
+    saved_sequence, damaged = read_saved_files(folder)
+    counts["half_seen"] += damaged
     try:
         await proxy.start()
     except (RuntimeError, TimeoutError):
         counts["failed_starts"] += 1
         return 0.0
     line = next(line for line in proxy.log if "state-start" in line)
-    start = line.split("start=")[1].split()[0]
-    taken = float(line.split("load_ms=")[1].split()[0])
-    expected = ("last-good", "earlier-good", "aged-out") if before else ("nothing",)
-    if start not in expected:
+    outcome = line.split("start=")[1].split()[0]
+    load_ms = float(line.split("load_ms=")[1].split()[0])
+    expected = ("last-good", "earlier-good", "aged-out") if saved_sequence else ("nothing",)
+    if outcome not in expected:
         counts["bad"] += 1
-        print("BAD", start, "expected", expected, line)
-    counts["last_good" if start != "nothing" else "none"] += 1
-    load = LoadGenerator(
-        proxy.caller_address, ("status-check", "qualified-sign"), 120.0, dice.getrandbits(32)
-    )
+        print("BAD", outcome, "expected", expected, line)
+    counts["last_good" if outcome != "nothing" else "none"] += 1
+    load = LoadGenerator(proxy.caller_address, ("status-check", "qualified-sign"), 120.0, rng.getrandbits(32))
     task = asyncio.create_task(load.run())
-    if dice.random() < 0.1:
+    if rng.random() < 0.1:
         await asyncio.sleep(0.0)  # before the first save
-    elif dice.random() < 0.67:
+    elif rng.random() < 0.67:
         end = time.monotonic() + 1.0
-        new = folder / "state.new"
-        await asyncio.sleep(dice.uniform(0.05, 0.15))
-        while time.monotonic() < end and not new.exists():
+        temporary_file = folder / "state.new"
+        await asyncio.sleep(rng.uniform(0.05, 0.15))
+        while time.monotonic() < end and not temporary_file.exists():
             await asyncio.sleep(0)
     else:
-        await asyncio.sleep(dice.uniform(0.02, 0.3))
+        await asyncio.sleep(rng.uniform(0.02, 0.3))
     proxy.send_signal(signal.SIGKILL)
     await proxy.wait_until_ended()
     await load.stop(task)
     proxy.log.clear()
-    return taken
+    return load_ms
 
 
 async def measure(kills: int, seed: int) -> dict[str, Any]:
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     folder = Path(tempfile.mkdtemp(prefix="martentide-state-"))
     counts = dict.fromkeys(("last_good", "none", "bad", "half_seen", "failed_starts"), 0)
-    servers, board = [SessionServer(number) for number in range(4)], DiscoveryServer()
+    servers, discovery = [SessionServer(number) for number in range(4)], DiscoveryServer()
     for server in servers:
         await server.start()
-    await board.start()
+    await discovery.start()
     servers[0].behavior.hold_back = 0.5
-    times = []
-    proxy = ProxyProcess(board, servers, EXTRAS.format(folder=folder))
+    load_times = []
+    proxy = ProxyProcess(discovery, servers, EXTRA_SETTINGS.format(folder=folder))
     for number in range(kills):
         if number % 25 == 0:  # now and then from nothing
             for name in os.listdir(folder):
                 os.unlink(folder / name)
-        times.append(await one_life(proxy, folder, dice, counts))
+        load_times.append(await run_until_killed(proxy, folder, rng, counts))
     await proxy.kill()
     for server in servers:
         await server.stop()
-    await board.stop()
-    return {"kills": kills, **counts, "median_load_ms": round(statistics.median(times), 2)}
+    await discovery.stop()
+    return {"kills": kills, **counts, "median_load_ms": round(statistics.median(load_times), 2)}
 
 
 @click.command()
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -20,11 +20,11 @@
 from martentide_lab.proxy import ProxyProcess
 from martentide_lab.servers import DiscoveryServer, SessionServer
 
-LIMIT, OF = 10.0, 0.9  # s in which so many must be ready
-PROBE_AGAIN = 0.005  # s
+READY_LIMIT_S, READY_SHARE = 10.0, 0.9  # s in which so many must be ready
+PROBE_INTERVAL_S = 0.005  # s
 
 
-async def passed(address: str) -> None:
+async def wait_until_ready(address: str) -> None:
     """Until a front's test passes there."""
     host, port = address.split(":")
     while True:
@@ -34,38 +34,40 @@
         writer.close()
         if answer.cause() == 1:
             return
-        await asyncio.sleep(PROBE_AGAIN)
+        await asyncio.sleep(PROBE_INTERVAL_S)
 
 
 async def restart(proxy: ProxyProcess) -> tuple[float, float, float]:
     """Seconds to the first line, to ``serving`` and to the passed test."""
-    begin = time.monotonic()
-    first: list[float] = []
+    started_at = time.monotonic()
+    first_line_after: list[float] = []
     proxy.log.clear()
-    proxy.on_log_line = lambda _, line: first.append(time.monotonic() - begin) if not first else None
+    proxy.on_log_line = lambda _, line: (
+        first_line_after.append(time.monotonic() - started_at) if not first_line_after else None
+    )
     await proxy.start()
-    serving = time.monotonic() - begin
-    await passed(proxy.caller_address)
-    return first[0], serving, time.monotonic() - begin
+    serving_after = time.monotonic() - started_at
+    await wait_until_ready(proxy.caller_address)
+    return first_line_after[0], serving_after, time.monotonic() - started_at
 
 
 async def measure(fleet: int, share: float, servers: int) -> list[tuple[float, float, float]]:
-    stand_ins = [SessionServer(at) for at in range(servers)]
-    board = DiscoveryServer()
-    for one in stand_ins:
-        await one.start()
-    await board.start()
-    proxies = [ProxyProcess(board, stand_ins, None, name=f"n{at}") for at in range(fleet)]
+    session_servers = [SessionServer(index) for index in range(servers)]
+    discovery = DiscoveryServer()
+    for server in session_servers:
+        await server.start()
+    await discovery.start()
+    proxies = [ProxyProcess(discovery, session_servers, None, name=f"n{index}") for index in range(fleet)]
     for proxy in proxies:
         await proxy.start()
-    times: list[tuple[float, float, float]] = []
-    group = max(1, math.floor(fleet * share))
-    for at in range(0, fleet, group):
-        part = proxies[at : at + group]
-        await asyncio.gather(*(proxy.kill() for proxy in part))
-        times += await asyncio.gather(*(restart(proxy) for proxy in part))
+    durations: list[tuple[float, float, float]] = []
+    batch_size = max(1, math.floor(fleet * share))
+    for index in range(0, fleet, batch_size):
+        batch = proxies[index : index + batch_size]
+        await asyncio.gather(*(proxy.kill() for proxy in batch))
+        durations += await asyncio.gather(*(restart(proxy) for proxy in batch))
     await asyncio.gather(*(proxy.kill() for proxy in proxies))
-    return times
+    return durations
 
 
 @click.command()
@@ -73,21 +75,21 @@
 @click.option("--share", default=0.1, show_default=True, help="of the fleet restarted at a time")
 @click.option("--servers", default=24, show_default=True)
 def main(fleet: int, share: float, servers: int) -> None:
-    times = asyncio.run(measure(fleet, share, servers))
-    ready = sorted(one[2] for one in times)
-    within = sum(one <= LIMIT for one in ready) / len(ready)
+    durations = asyncio.run(measure(fleet, share, servers))
+    ready_times = sorted(entry[2] for entry in durations)
+    share_within = sum(entry <= READY_LIMIT_S for entry in ready_times) / len(ready_times)
     result = {
-        "processes": len(times),
+        "processes": len(durations),
         "together": max(1, math.floor(fleet * share)),
-        "first_line_s": round(statistics.median(one[0] for one in times), 3),
-        "serving_s": round(statistics.median(one[1] for one in times), 3),
-        "ready_p50_s": round(statistics.median(ready), 3),
-        "ready_p90_s": round(ready[int(OF * (len(ready) - 1))], 3),
-        "ready_most_s": round(ready[-1], 3),
-        "ready_10s_share": round(within, 3),
+        "first_line_s": round(statistics.median(entry[0] for entry in durations), 3),
+        "serving_s": round(statistics.median(entry[1] for entry in durations), 3),
+        "ready_p50_s": round(statistics.median(ready_times), 3),
+        "ready_p90_s": round(ready_times[int(READY_SHARE * (len(ready_times) - 1))], 3),
+        "ready_most_s": round(ready_times[-1], 3),
+        "ready_10s_share": round(share_within, 3),
     }
     print("RESULT", json.dumps(result))
-    raise SystemExit(0 if within >= OF else 1)
+    raise SystemExit(0 if share_within >= READY_SHARE else 1)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -11,7 +11,7 @@
 
 import click
 
-from benchmarks.fleet_rules import simulated
+from benchmarks.fleet_rules import run_simulated
 from benchmarks.scale import latency, membership, page, processes, state, tier
 from benchmarks.scale.fits import fit
 from benchmarks.scale.results import Row, draw, save
@@ -79,7 +79,7 @@
 @click.option("--short", is_flag=True)
 def config_command(sizes: str, short: bool) -> None:
     """What the leader of the agreement sends, a change of rules each second."""
-    rows: list[Row] = [simulated(count, VOTERS, 1) for count in ([9, 25] if short else numbers(sizes))]
+    rows: list[Row] = [run_simulated(count, VOTERS, 1) for count in ([9, 25] if short else numbers(sizes))]
     show(rows)
     if short:
         check(all(not row["broken"] for row in rows), "an invariant of the agreement is broken")
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -33,11 +33,11 @@
 from martentide_lab.proxy import ProxyProcess
 from martentide_lab.servers import DiscoveryServer, ServerBehavior, SessionServer
 
-TIME_LEFT = 2.5  # s a caller waits
-LATE = 0.5  # s beyond it in which an answer is still waited for, to tell a late one from none
-MUTE_SHARE = 0.1  # of the set-ups that a session server leaves without an answer
-KEPT, FRESH = 6, 4  # callers on kept connections, and callers that open one for each call
-ENDS = 8.0  # s for a call that is over to be released to its caller
+TIME_LEFT_S = 2.5  # s a caller waits
+LATE_WAIT_S = 0.5  # s beyond it in which an answer is still waited for, to tell a late one from none
+IGNORED_SHARE = 0.1  # of the set-ups that a session server leaves without an answer
+KEPT_CALLERS, FRESH_CALLERS = 6, 4  # callers on kept connections, and callers that open one for each call
+RELEASE_WAIT_S = 8.0  # s for a call that is over to be released to its caller
 
 
 class Caller:
@@ -51,24 +51,24 @@
         self.rng = random.Random(number)
         self.number = number
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
-        self.begun = bytearray()
+        self.receive_buffer = bytearray()
         self.stopping = False
 
     async def run(self) -> None:
-        made = 0
+        call_count = 0
         while not self.stopping:
-            made += 1
-            call = (self.number << 32 | made).to_bytes(8, "big")
+            call_count += 1
+            call = (self.number << 32 | call_count).to_bytes(8, "big")
             try:
-                await self._one(call)
+                await self._place_call(call)
             except ConnectionRefusedError:
-                self._broke_off(call, "refused")
+                self._close_failed(call, "refused")
             except (ConnectionResetError, BrokenPipeError):
-                self._broke_off(call, "reset")
+                self._close_failed(call, "reset")
             except EOFError:
-                self._broke_off(call, "unread")
+                self._close_failed(call, "unread")
             except TimeoutError:
-                self._broke_off(call, "missing")
+                self._close_failed(call, "missing")
             if not self.kept and self.streams is not None:
                 self.streams[1].close()
                 self.streams = None
@@ -76,37 +76,37 @@
         if self.streams is not None:
             self.streams[1].close()
 
-    def _broke_off(self, call: bytes, how: str) -> None:
+    def _close_failed(self, call: bytes, outcome: str) -> None:
         """The call's connection is of no more use; without its answer the call is lost."""
-        self.counts[how] += 1
+        self.counts[outcome] += 1
         self.ledger.expire(call)
         if self.streams is not None:
             self.streams[1].close()
         self.streams = None
 
-    async def _one(self, call: bytes) -> None:
+    async def _place_call(self, call: bytes) -> None:
         if self.streams is None:
             host, _, port = self.address.rpartition(":")
             # Each caller is a machine of its own.
-            local = (f"127.0.1.{self.number}", 0)
-            self.streams = await asyncio.open_connection(host, int(port), local_addr=local)
-            self.begun.clear()
+            local_address = (f"127.0.1.{self.number}", 0)
+            self.streams = await asyncio.open_connection(host, int(port), local_addr=local_address)
+            self.receive_buffer.clear()
         reader, writer = self.streams
         self.counts["calls"] += 1
         parameters: dict[int, bytes] = {
             Code.CLASS: b"status-check",
-            Code.TIME_LEFT: str(int(TIME_LEFT * 1000)).encode(),
+            Code.TIME_LEFT: str(int(TIME_LEFT_S * 1000)).encode(),
             Code.NUMBER: call.hex().encode(),
             Code.FIGURES: f"dest:{self.rng.randrange(2)};width:1;via:-1".encode(),
             Code.DESCRIPTION: call,
         }
         message = write_message(Type.SET_UP, call, parameters)
-        cut = self.rng.randrange(1, len(message))
-        writer.write(message[:cut])  # in two pieces, so that some are half read as a connection moves
+        split_at = self.rng.randrange(1, len(message))
+        writer.write(message[:split_at])  # in two pieces, so that some are half read as a connection moves
         await asyncio.sleep(self.rng.uniform(0.0, 0.005))
-        writer.write(message[cut:])
+        writer.write(message[split_at:])
         self.ledger.record_set_up(call, self.loop.time() * 1000.0)
-        answer = await self._answer(reader, writer, call)
+        answer = await self._receive_final_answer(reader, writer, call)
         if answer.type != Type.ANSWER:
             self.counts["turned_away"] += 1
             return
@@ -115,50 +115,50 @@
         await asyncio.sleep(self.rng.uniform(0.0, 0.3))
         if self.rng.random() < 0.5:
             writer.write(write_release(call, Cause.NORMAL))
-            async with asyncio.timeout(LATE):
-                while (await self._next(reader)).type != Type.RELEASE_ACK:
+            async with asyncio.timeout(LATE_WAIT_S):
+                while (await self._receive_message(reader)).type != Type.RELEASE_ACK:
                     pass
         else:
-            async with asyncio.timeout(ENDS):
-                if (await self._hear(reader, call)).type != Type.RELEASE:
+            async with asyncio.timeout(RELEASE_WAIT_S):
+                if (await self._receive_call_message(reader, call)).type != Type.RELEASE:
                     self.counts["doubled"] += 1
 
-    async def _answer(
+    async def _receive_final_answer(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, call: bytes
     ) -> Message:
         """The final answer; raises TimeoutError where the caller's time was over before it came."""
-        hearing = self.loop.create_task(self._hear(reader, call))
-        await asyncio.wait({hearing}, timeout=TIME_LEFT)
-        if not hearing.done():
+        receive_task = self.loop.create_task(self._receive_call_message(reader, call))
+        await asyncio.wait({receive_task}, timeout=TIME_LEFT_S)
+        if not receive_task.done():
             await read_pending_bytes()
-        if hearing.done():
-            answer = hearing.result()
+        if receive_task.done():
+            answer = receive_task.result()
             self.ledger.record_final_answer(call)
             return answer
         self.ledger.expire(call)
         writer.write(write_release(call, Cause.NORMAL))
         try:
-            async with asyncio.timeout(LATE):
-                await hearing
+            async with asyncio.timeout(LATE_WAIT_S):
+                await receive_task
             self.ledger.record_final_answer(call)
         except EOFError:
             pass
         raise TimeoutError
 
-    async def _hear(self, reader: asyncio.StreamReader, call: bytes) -> Message:
-        while (message := await self._next(reader)).type not in (Type.ANSWER, Type.RELEASE):
+    async def _receive_call_message(self, reader: asyncio.StreamReader, call: bytes) -> Message:
+        while (message := await self._receive_message(reader)).type not in (Type.ANSWER, Type.RELEASE):
             pass
         if message.call != call:
             self.counts["doubled"] += 1  # a second message on an earlier call
-            return await self._hear(reader, call)
+            return await self._receive_call_message(reader, call)
         return message
 
-    async def _next(self, reader: asyncio.StreamReader) -> Message:
-        while (body := next(split(self.begun), None)) is None:
+    async def _receive_message(self, reader: asyncio.StreamReader) -> Message:
+        while (body := next(split(self.receive_buffer), None)) is None:
             data = await reader.read(65536)
             if not data:
                 raise EOFError
-            self.begun += data
+            self.receive_buffer += data
         return read_message(body)
 
 
@@ -171,72 +171,78 @@
                 server.end_call(call)
 
 
-def two_out(servers: list[SessionServer]) -> int:
+def count_overlapping_attempts(servers: list[SessionServer]) -> int:
     """Calls that had a second attempt out while the first was not over."""
-    spans: dict[bytes, list[tuple[float, float]]] = {}
+    spans_by_call: dict[bytes, list[tuple[float, float]]] = {}
     for server in servers:
-        for one in server.received_set_ups:
-            spans.setdefault(one.call, []).append(
-                (one.received_at, one.ended_at if one.ended_at is not None else one.received_at)
+        for set_up in server.received_set_ups:
+            spans_by_call.setdefault(set_up.call, []).append(
+                (set_up.received_at, set_up.ended_at if set_up.ended_at is not None else set_up.received_at)
             )
     return sum(
-        any(later[0] < earlier[1] for earlier, later in zip(sorted(times), sorted(times)[1:], strict=False))
-        for times in spans.values()
+        any(
+            later[0] < earlier[1]
+            for earlier, later in zip(sorted(call_spans), sorted(call_spans)[1:], strict=False)
+        )
+        for call_spans in spans_by_call.values()
     )
 
 
 async def measure(upgrades: int, seed: int, shared: bool) -> dict[str, Any]:
     rng = random.Random(seed)
-    servers = [SessionServer(number, ServerBehavior(ignored_share=MUTE_SHARE)) for number in (0, 1)]
-    board, ledger = DiscoveryServer(), CallLedger()
+    servers = [SessionServer(number, ServerBehavior(ignored_share=IGNORED_SHARE)) for number in (0, 1)]
+    discovery, ledger = DiscoveryServer(), CallLedger()
     for server in servers:
         await server.start()
-    await board.start()
+    await discovery.start()
     counts: Counter[str] = Counter()
-    proxy = ProxyProcess(board, servers, None, with_operator=True, with_temporary_directory=not shared)
+    proxy = ProxyProcess(discovery, servers, None, with_operator=True, with_temporary_directory=not shared)
     await proxy.start()
-    callers = [Caller(proxy.caller_address, at + 1, at < KEPT, counts, ledger) for at in range(KEPT + FRESH)]
+    callers = [
+        Caller(proxy.caller_address, index + 1, index < KEPT_CALLERS, counts, ledger)
+        for index in range(KEPT_CALLERS + FRESH_CALLERS)
+    ]
     tasks = [asyncio.create_task(caller.run()) for caller in callers]
-    ending = [asyncio.create_task(end_calls(server, rng)) for server in servers]
-    descriptors, resident, failed = 0, 0.0, 0
+    end_tasks = [asyncio.create_task(end_calls(server, rng)) for server in servers]
+    peak_descriptors, peak_rss_mb, failed_ends = 0, 0.0, 0
     for _ in range(upgrades):
         await asyncio.sleep(rng.uniform(0.2, 0.6))
-        new = await proxy.start_successor()
+        successor = await proxy.start_successor()
         await asyncio.sleep(rng.uniform(0.0, 0.1))
-        descriptors = max(descriptors, proxy.open_descriptors() + new.open_descriptors())
-        resident = max(resident, proxy.resident_memory_mb() + new.resident_memory_mb())
+        peak_descriptors = max(peak_descriptors, proxy.open_descriptors() + successor.open_descriptors())
+        peak_rss_mb = max(peak_rss_mb, proxy.resident_memory_mb() + successor.resident_memory_mb())
         proxy.send_signal(signal.SIGTERM)
-        failed += await proxy.wait_until_ended() != 0
+        failed_ends += await proxy.wait_until_ended() != 0
         await proxy.kill()
-        proxy = new
+        proxy = successor
     await asyncio.sleep(0.3)
     for caller in callers:
         caller.stopping = True
     await asyncio.gather(*tasks)
-    for task in ending:
+    for task in end_tasks:
         task.cancel()
     await proxy.kill()
     for server in servers:
         await server.stop()
-    await board.stop()
-    names = ("refused", "reset", "unread", "missing", "wrong", "turned_away")
-    faults, two = ledger.counts(), two_out(servers)
+    await discovery.stop()
+    count_keys = ("refused", "reset", "unread", "missing", "wrong", "turned_away")
+    faults, overlapping = ledger.counts(), count_overlapping_attempts(servers)
     return {
         "upgrades": upgrades,
         "requests": counts["calls"],
         "lost": faults[CallFault.LOST] + faults[CallFault.LATE],
         "late": faults[CallFault.LATE],
         "doubled": faults[CallFault.DOUBLED] + counts["doubled"],
-        "rules_broken": two + counts["wrong"] + failed,
-        **{name: counts[name] for name in names},
-        "two_out": two,
-        "failed_ends": failed,
-        "peak_descriptors": descriptors,
-        "peak_rss_mb": round(resident, 1),
+        "rules_broken": overlapping + counts["wrong"] + failed_ends,
+        **{name: counts[name] for name in count_keys},
+        "two_out": overlapping,
+        "failed_ends": failed_ends,
+        "peak_descriptors": peak_descriptors,
+        "peak_rss_mb": round(peak_rss_mb, 1),
     }
 
 
-FAULTS = ("lost", "late", "doubled", "rules_broken", "refused", "reset", "unread", "missing")
+FAULT_KEYS = ("lost", "late", "doubled", "rules_broken", "refused", "reset", "unread", "missing")
 
 
 @click.command()
@@ -249,7 +255,7 @@
     for name, value in result.items():
         print(f"{name:<16} {value}")
     print("RESULT " + json.dumps(result))
-    raise SystemExit(1 if any(result[name] for name in FAULTS) else 0)
+    raise SystemExit(1 if any(result[name] for name in FAULT_KEYS) else 0)
 
 
 if __name__ == "__main__":
