--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: ``python -m benchmarks.NAME``."""
+"""Benchmarks; run one by ``python -m benchmarks.NAME``."""
--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -1,9 +1,11 @@
 """What all proxies together send a cold server: ``python -m benchmarks.cold_sum [--seeds N] [--short]``.
 
-Simulated time, the real decisions: eight servers, one of them replaced by a cold one 10 s after the start.
-The table counts, for N set-ups that the settings allow in the fall time and for so many proxies, the worst
-window over N + 2 * sqrt(N) + 2 (over 1 is a broken rule), and what came to the cold server of what comes to a
-warm one (the ramp's service). The last line is ``RESULT {json}``; the exit code tells whether a sum was over.
+Runs the product's decisions in simulated time with eight servers; one of them is replaced by a cold server
+10 s after the start. N is the number of set-ups that the settings allow a cold server within the fall time.
+The table shows, for each N and each number of proxies, the set-ups of the worst window divided by
+N + 2 * sqrt(N) + 2 (a value over 1 violates the rule), and the set-ups that the cold server received divided
+by those of a warm one (the ramp's service). The last line is ``RESULT {json}``; the exit code is 1 if any
+window exceeded its bound.
 """
 
 from __future__ import annotations
@@ -36,14 +38,18 @@
 SETTINGS = settings_from(site_settings(4))
 CLASS_SHARES = (0.74, 0.05, 0.21)  # in the order of the settings' classes
 SERVER_COUNT = 8
-START_MS, REPLACED_AFTER_MS = 1_000_000.0, 10_000.0  # Unix ms; ms after it
-PLANNED_LOAD, SURGE_LOAD = 0.8, 1.6  # of what all servers take
-UNEVEN_FACTOR = 6.0  # times the mean, that one proxy gets in the uneven case
+START_MS, REPLACED_AFTER_MS = 1_000_000.0, 10_000.0  # Unix ms; ms after START_MS
+PLANNED_LOAD, SURGE_LOAD = 0.8, 1.6  # share of the capacity of all servers
+UNEVEN_FACTOR = 6.0  # load of the first proxy in the uneven case, as a multiple of each other proxy's
 CASES = ("together", "late", "apart", "uneven", "restarts", "surge")
 
 
 def run_simulated(case: str, proxies: int, allowed_set_ups: float, seed: int) -> tuple[float, float]:
-    """The worst window over its bound, and the cold server's calls over those of the mean warm one."""
+    """Runs one case in simulated time.
+
+    Returns the worst window divided by its bound, and the cold server's set-ups divided by the mean of the
+    warm servers.
+    """
     settings = dataclasses.replace(SETTINGS, proxies=proxies)
     window = settings.fall_multiple * settings.cold_share * settings.fall_time / 1000.0
     rate = allowed_set_ups / window
@@ -64,10 +70,10 @@
     cold = SimulatedServer("cold", 0, rate, started_at=site.now)
     list_delays = {"late": lambda index: 3_000.0, "apart": lambda index: site.rng.uniform(0.0, 5_000.0)}
     site.replace("s0", cold, list_delays.get(case, lambda index: 500.0))
-    if case == "restarts":  # a tenth at a time, all of them within the ramp
+    if case == "restarts":  # one tenth of the proxies each second, all within the ramp
         for index in range(proxies):
-            received_at = site.now + 1_000.0 + 1_000.0 * math.floor(10.0 * index / proxies)
-            site.schedule_at(received_at, lambda index=index: site.restart(index, lambda old, new: None))  # type: ignore[misc]
+            restart_at = site.now + 1_000.0 + 1_000.0 * math.floor(10.0 * index / proxies)
+            site.schedule_at(restart_at, lambda index=index: site.restart(index, lambda old, new: None))  # type: ignore[misc]
     site.run(end)
     worst_ratio = site.cold_start_load_beyond_chance(cold)
     warm = [
@@ -78,8 +84,11 @@
 
 
 async def run_processes(proxies: int, allowed_set_ups: float, seed: int) -> tuple[float, float]:
-    """The same on real processes: one with several times the mean, a quarter of them killed and started again
-    in the ramp. The worst window over its bound, and the cold server's calls over the mean warm one's."""
+    """Runs real proxy processes, one of them with ``UNEVEN_FACTOR`` times the load of each other one.
+
+    A quarter of the proxies is killed and restarted during the ramp, in three groups. Returns the same
+    figures as ``run_simulated``.
+    """
     rate = allowed_set_ups / (OVERLOAD_MULTIPLE * COLD_SHARE * OVERLOAD_TIME_MS / 1000.0)
     servers = [SessionServer(index) for index in range(4)]
     discovery, load_tasks = DiscoveryServer(), list[tuple[LoadGenerator, asyncio.Task[None]]]()
@@ -118,7 +127,7 @@
     await asyncio.sleep((started + COLD_TIME_MS - unix_ms()) / 1000.0)
     for load, task in load_tasks:
         await load.stop(task)
-    await asyncio.gather(*(set_up.kill() for set_up in fleet))
+    await asyncio.gather(*(proxy.kill() for proxy in fleet))
     worst_ratio = cold_start_load_beyond_chance(cold)
     received_counts = [
         sum(1 for set_up in server.received_set_ups if set_up.received_at > started) for server in servers
@@ -131,6 +140,7 @@
 def run_case(
     case_arguments: tuple[str, int, float, int],
 ) -> tuple[str, int, float, list[tuple[float, float]]]:
+    """Runs one case in simulated time, once per seed; the entry point of the worker processes."""
     case, proxies, allowed_set_ups, seeds = case_arguments
     return (
         case,
@@ -142,38 +152,41 @@
 
 @click.command()
 @click.option("--seeds", default=10, show_default=True)
-@click.option("--workers", default=2, show_default=True, help="processes that play at a time")
-@click.option("--short", is_flag=True, help="two seeds of few cases")
-@click.option("--processes", default=0, help="real processes instead, so many")
+@click.option("--workers", default=2, show_default=True, help="worker processes that run at the same time")
+@click.option("--short", is_flag=True, help="two seeds, fewer cases")
+@click.option("--processes", default=0, help="run this many real proxies instead of simulated ones")
 def main(seeds: int, workers: int, short: bool, processes: int) -> None:
+    """Measures the set-ups that all proxies together send a cold server."""
     if processes:
         outcomes = [
             asyncio.run(run_processes(processes, limit, seed))
             for limit in (10.0, 30.0)
             for seed in range(seeds)
         ]
-        rows = [f"{ratios:.2f} of the bound, service {served:.2f}" for ratios, served in outcomes]
+        rows = [f"{ratio:.2f} of the bound, service {served:.2f}" for ratio, served in outcomes]
         print("\n".join(rows))
-        highest = max(ratios for ratios, _ in outcomes)
-        over = sum(ratios > 1.0 for ratios, _ in outcomes)
+        highest = max(ratio for ratio, _ in outcomes)
+        over = sum(ratio > 1.0 for ratio, _ in outcomes)
         print(
             "RESULT", json.dumps({"plays": len(outcomes), "over": over, "cold_sum_worst": round(highest, 3)})
         )
         raise SystemExit(1 if over else 0)
-    fleets, sums = ((20,), (3.0, 30.0)) if short else ((20, 30, 200), (3.0, 10.0, 30.0, 100.0))
-    case_arguments = [(*entry, 2 if short else seeds) for entry in product(CASES, fleets, sums)]
+    fleet_sizes, limits = ((20,), (3.0, 30.0)) if short else ((20, 30, 200), (3.0, 10.0, 30.0, 100.0))
+    case_arguments = [
+        (*combination, 2 if short else seeds) for combination in product(CASES, fleet_sizes, limits)
+    ]
     over, runs, highest = 0, 0, 0.0
     print("| case | proxies | N | worst window over N + 2 sqrt(N) + 2: mean, highest | ramp's service |")
     print("| --- | --- | --- | --- | --- |")
     with ProcessPoolExecutor(workers) as pool:
         for case, proxies, allowed_set_ups, outcomes in pool.map(run_case, case_arguments):
-            ratios = [entry[0] for entry in outcomes]
-            over, runs = over + sum(entry > 1.0 for entry in ratios), runs + len(ratios)
+            ratios = [outcome[0] for outcome in outcomes]
+            over, runs = over + sum(ratio > 1.0 for ratio in ratios), runs + len(ratios)
             highest = max(highest, *ratios)
-            served = statistics.fmean(entry[1] for entry in outcomes)
+            served = statistics.fmean(outcome[1] for outcome in outcomes)
             print(
-                f"| {case} | {proxies} | {allowed_set_ups:.0f} | {statistics.fmean(ratios):.2f}, {max(ratios):.2f} "
-                f"| {served:.2f} |",
+                f"| {case} | {proxies} | {allowed_set_ups:.0f} "
+                f"| {statistics.fmean(ratios):.2f}, {max(ratios):.2f} | {served:.2f} |",
                 flush=True,
             )
     print("RESULT", json.dumps({"plays": runs, "over": over, "cold_sum_worst": round(highest, 3)}))
--- a/benchmarks/extproc.py
+++ b/benchmarks/extproc.py
@@ -1,9 +1,10 @@
 """External processor mode, measured: ``python -m benchmarks.extproc [--requests N] [--short]``.
 
-Four parts, each against a real process on loopback: *mixed* (open loop at a fixed rate; servers that stall,
-one that drains and is replaced; cancels in mid-decision; broken streams), *envoy* (the same rate by Envoy's
-service), *flat out* (both services, as fast as the proxy decides), *memory* (growth over many requests). The
-rules are checked on what went over the wire and at the servers. The last line is ``RESULT {json}``.
+Four parts against real proxy processes on loopback: *mixed* (open loop at a fixed rate, with servers that
+stall, one server that drains and is replaced, requests cancelled before the decision, and broken streams),
+*envoy* (a fifth of that rate through Envoy's service), *flat out* (both services, as fast as the proxy
+decides) and *memory* (growth over many requests). The rules are checked against the messages on the wire and
+the set-ups that the servers received. The last line is ``RESULT {json}``.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 import click
 
-import martentide.grpc_engine  # noqa: F401  (before grpc)
+import martentide.grpc_engine  # noqa: F401  (must be imported before grpc)
 import grpc
 from hdrh.histogram import HdrHistogram
 
@@ -38,9 +39,9 @@
 from martentide_lab.servers import DRAINING, GONE, READY, DiscoveryServer, SessionServer
 
 CLASSES = (("status-check", 0.74), ("envelope-prep", 0.21), ("qualified-sign", 0.05))
-WORKER_COUNT = 5  # processes that play fronts in the mixed part, two fronts each
-WARM_UP_S = 1.0  # s from which on delays count; the rules count from the first request
-TIME_LEFT_MS = 3000  # ms that a caller waits
+WORKER_COUNT = 5  # processes in the mixed part; each runs two front proxies
+WARM_UP_S = 1.0  # delays are recorded after this time; the rules are checked from the first request on
+TIME_LEFT_MS = 3000  # time that a caller waits
 EXTRA_SETTINGS = """
 external-processor {
     listen "127.0.0.1:0"
@@ -50,30 +51,31 @@
 
 
 def new_histogram() -> HdrHistogram:
-    return HdrHistogram(1, 60_000_000, 3)  # microseconds
+    """An empty histogram of durations in microseconds."""
+    return HdrHistogram(1, 60_000_000, 3)
 
 
 def percentile(recorded: HdrHistogram, share: float) -> float:
-    """Milliseconds; 0 where nothing was recorded."""
+    """The percentile in ms; 0 if nothing was recorded."""
     return float(recorded.get_value_at_percentile(share)) / 1000.0 if recorded.get_total_count() else 0.0
 
 
 @dataclass
 class Observations:
-    """What the fronts saw."""
+    """What the front proxies observed; durations in microseconds."""
 
+    # Time from the request to the first verdict: decided at once, and decided after the proxy held it.
     direct: HdrHistogram = field(default_factory=new_histogram)
     held: HdrHistogram = field(default_factory=new_histogram)
-    decision_time: HdrHistogram = field(
-        default_factory=new_histogram
-    )  # as the proxy says: from question to verdict
-    after_break: HdrHistogram = field(
-        default_factory=new_histogram
-    )  # whose stream broke, or was down, meanwhile
+    # Decision time of the direct verdicts as the proxy reports it, from request to verdict.
+    decision_time: HdrHistogram = field(default_factory=new_histogram)
+    # Requests whose stream broke, or was not connected, before the verdict.
+    after_break: HdrHistogram = field(default_factory=new_histogram)
     final_counts: Counter[str] = field(default_factory=Counter)
     refusal_reasons: Counter[str] = field(default_factory=Counter)
 
     def as_dict(self) -> dict[str, Any]:
+        """The form that a worker process prints as JSON."""
         return {
             "direct": self.direct.encode().decode("ascii"),
             "held": self.held.encode().decode("ascii"),
@@ -84,6 +86,7 @@
         }
 
     def merge(self, raw: dict[str, Any]) -> None:
+        """Adds the observations of a worker process, in the form of ``as_dict``."""
         self.direct.decode_and_add(raw["direct"].encode("ascii"))
         self.held.decode_and_add(raw["held"].encode("ascii"))
         self.decision_time.decode_and_add(raw["inner"].encode("ascii"))
@@ -91,17 +94,18 @@
         self.final_counts += Counter(raw["finals"])
         self.refusal_reasons += Counter(raw["why"])
 
-    def record_verdict(self, verdict: Any, begun: float, now: float, connection_broke: bool) -> None:
+    def record_verdict(self, verdict: Any, started_at: float, now: float, connection_broke: bool) -> None:
+        """Records the delay of a first verdict; times in s of the monotonic clock."""
         target = self.held if getattr(verdict, "held", False) else self.direct
         if connection_broke:
             target = self.after_break
         elif target is self.direct:
             self.decision_time.record_value(max(1, int(getattr(verdict, "waited", 0.0) * 1000.0)))
-        target.record_value(max(1, int((now - begun) * 1e6)))
+        target.record_value(max(1, int((now - started_at) * 1e6)))
 
 
 class BenchmarkSite:
-    """Servers and board; ``trouble`` plays stalls and a replacement until cancelled."""
+    """Session servers and their discovery service."""
 
     def __init__(self, servers: int, delay: float) -> None:
         self.servers = [SessionServer(number) for number in range(servers)]
@@ -112,11 +116,13 @@
         self.all_servers = list(self.servers)
 
     async def start(self) -> None:
+        """Starts the servers and the discovery service."""
         for server in self.servers:
             await server.start()
         await self.discovery.start()
 
     async def inject_faults(self, interval_s: float) -> None:
+        """Stalls the servers in turn and replaces the first one once; runs until it is cancelled."""
         step = 0
         while True:
             await asyncio.sleep(interval_s)
@@ -137,6 +143,7 @@
 
 
 def draw_class(rng: random.Random) -> str:
+    """Draws a class name by the shares of ``CLASSES``."""
     remainder = rng.random()
     for name, share in CLASSES:
         remainder -= share
@@ -146,7 +153,10 @@
 
 
 class MixedFronts:
-    """Fronts on the own service that carry real set-ups."""
+    """Front proxies on the proxy's own service that send real set-ups to the session servers.
+
+    ``breaks``: probability per request that the stream of its front proxy is reset.
+    """
 
     def __init__(self, address: str, fronts: int, seed: int, breaks: float) -> None:
         self.address, self.breaks, self.warm_up_ends_at = address, breaks, 0.0
@@ -157,7 +167,8 @@
         self.clients: list[Client] = []
         self.connections = [UpstreamConnections(seed * 100 + index + 1) for index in range(fronts)]
 
-    async def place_call(self, index: int, begun: float, number: str) -> None:
+    async def place_call(self, index: int, started_at: float, number: str) -> None:
+        """Places one call through the front proxy ``index``; 5% are cancelled before the verdict."""
         client, connections = self.clients[index], self.connections[index]
         class_name = draw_class(self.rng)
         call = client.ask_nowait(class_name, number, TIME_LEFT_MS)
@@ -168,13 +179,14 @@
                 self.observations.final_counts["Cancelled"] += 1
                 return
         try:
-            await self._carry(call, connections, class_name, begun, number)
+            await self._make_attempts(call, connections, class_name, started_at, number)
         except ClientClosed:
             self.observations.final_counts["closed"] += 1
 
-    async def _carry(
+    async def _make_attempts(
         self, call: Call, connections: UpstreamConnections, class_name: str, started_at: float, number: str
     ) -> None:
+        """Follows the proxy's verdicts until the call stands or has failed, then releases it."""
         client = call.client
         breaks, was_connected = client.breaks, client.connected.is_set()
         verdict = await call.next()
@@ -208,6 +220,7 @@
         checker.observe(message, unix_ms())
 
     async def run(self, requests: int, rate: float) -> None:
+        """Sends ``requests`` requests at ``rate`` a second, open loop, and waits until all have ended."""
         for index, (relay, checker) in enumerate(zip(self.relays, self.checkers, strict=True)):
             await relay.start()
             observe = functools.partial(self._observe, checker)
@@ -224,7 +237,7 @@
                 await asyncio.sleep(delay)
             index = number % len(self.clients)
             if self.rng.random() < self.breaks:
-                self.relays[index].reset_connections()  # with all that is on it
+                self.relays[index].reset_connections()  # with all pending requests
             task = asyncio.create_task(self.place_call(index, started_at, f"n{self.seed:x}-{number:x}"))
             running.add(task)
             task.add_done_callback(running.discard)
@@ -240,7 +253,7 @@
 async def run_envoy_load(
     address: str, requests: int, rate: float, connections: UpstreamConnections, seed: int
 ) -> Observations:
-    """Requests by Envoy's service, open loop; 5% are reset before the verdict."""
+    """Sends requests through Envoy's service, open loop; 5% are reset before the verdict."""
     rng, observations = random.Random(seed), Observations()
 
     async def place_call(channel: Any, started_at: float, number: int) -> None:
@@ -254,7 +267,7 @@
             task = asyncio.create_task(stream.request(headers))
             await asyncio.sleep(rng.random() * 0.002)
             stream.reset()
-            task.cancel()  # a stream reset before it was begun wakes nobody
+            task.cancel()  # resetting a stream that has not started doesn't wake the task that waits on it
             await asyncio.gather(task, return_exceptions=True)
             observations.final_counts["Cancelled"] += 1
             return
@@ -266,7 +279,7 @@
         if response.WhichOneof("response") != "request_headers":
             observations.final_counts["missing"] += 1
             return
-        mutated = {o.header.key: o.header.raw_value.decode() for o in
+        mutated = {option.header.key: option.header.raw_value.decode() for option in
                   response.request_headers.response.header_mutation.set_headers}  # fmt: skip
         upstream = mutated["x-envoy-original-dst-host"]
         route = Route(0, 0, "", upstream, "", float(mutated["x-envoy-upstream-rq-timeout-ms"]), 1000.0)
@@ -301,15 +314,18 @@
     return observations
 
 
-# ---- flat out: workers are processes of their own, so that the proxy is what limits -----------------------
+# ---- worker processes: with the load in other processes, the proxy is the limit of the throughput ---------
 
 
 async def run_worker(
     address: str, kind: str, requests: int, concurrency: int, name: str, rate: float, breaks: float
 ) -> None:
-    """``mixed``: print what was seen as JSON. Else ask ``requests`` questions, ``beside`` at a time; each
-    stands at once and is over at once."""
-    gc.disable()  # the load's own pauses are none of the proxy's
+    """Generates load in a worker process.
+
+    The kind ``mixed`` runs two front proxies and prints their observations as JSON. The other kinds send
+    ``requests`` requests, ``concurrency`` at a time; each call stands and is over immediately.
+    """
+    gc.disable()  # collector pauses of the load generator would count as delay of the proxy
     sys.setswitchinterval(0.0002)
     remaining = iter(range(requests))
 
@@ -362,8 +378,11 @@
 
 
 async def run_mixed_workers(proxy: ProxyProcess, requests: int, rate: float, workers: int, seed: int) -> Any:
-    """The fronts in processes of their own: in one, they would measure each other's work. The first has all
-    the breaks, 1% of all requests, and a relay in its path that makes them."""
+    """Runs the mixed part in worker processes and adds up their observations.
+
+    In one process the front proxies would measure each other's work. Only the first worker breaks streams,
+    for 1% of all requests, with a relay between its front proxies and the proxy.
+    """
     processes = [
         await asyncio.create_subprocess_exec(
             sys.executable, "-m", "benchmarks.extproc", "--worker", "mixed",
@@ -391,7 +410,7 @@
 async def measure_throughput(
     proxy: ProxyProcess, kind: str, requests: int, workers: int
 ) -> tuple[float, float]:
-    """Decisions a second and the proxy's processor time for each, in ms."""
+    """Decisions a second, and the proxy's processor time for each decision in ms."""
     cpu_before, start = proxy.processor_seconds(), time.monotonic()
     requests_each = requests // workers
     processes = [
@@ -412,6 +431,7 @@
 
 
 async def measure(requests: int, rate: float, memory: int, seed: int) -> dict[str, Any]:
+    """Runs all parts; ``memory``: requests of the memory part."""
     site = BenchmarkSite(4, delay=8.0)
     await site.start()
     result: dict[str, Any] = {"requests": requests}
@@ -431,10 +451,10 @@
         violations += server_violations
         for violation in violations[:5]:
             print("BROKEN", violation)
-        settled = sum(observations.final_counts.values())
+        ended = sum(observations.final_counts.values())
         result.update(
             missing=counts["missing"]
-            + (requests - settled)
+            + (requests - ended)
             + observations.final_counts["closed"]
             + envoy_observations.final_counts["missing"],
             doubled=counts["doubled"] + counts["unasked"],
@@ -461,13 +481,13 @@
             server.keep_received_set_ups = False
     async with ProxyProcess(site.discovery, site.servers, EXTRA_SETTINGS) as proxy:
         await measure_throughput(proxy, "own", max(3000, memory // 20), 3)
-        settled_mb = proxy.resident_memory_mb()
+        warm_mb = proxy.resident_memory_mb()
         own_rate, own_cpu = await measure_throughput(proxy, "own", memory, 3)
         result.update(
             decisions_per_s=round(own_rate),
             cpu_ms_own=round(own_cpu, 3),
             rss_mb=round(proxy.resident_memory_mb(), 1),
-            rss_growth_mb=round(proxy.resident_memory_mb() - settled_mb, 1),
+            rss_growth_mb=round(proxy.resident_memory_mb() - warm_mb, 1),
         )
         envoy_rate, envoy_cpu = await measure_throughput(proxy, "envoy", max(3000, memory // 20), 3)
         result.update(envoy_decisions_per_s=round(envoy_rate), cpu_ms_envoy=round(envoy_cpu, 3))
@@ -478,24 +498,27 @@
 
 
 def format_table(result: dict[str, Any]) -> str:
+    """One line per figure."""
     width = max(map(len, result))
     return "\n".join(f"{name:<{width}}  {value}" for name, value in result.items())
 
 
 def passed(result: dict[str, Any]) -> bool:
+    """Whether no rule was violated."""
     return not any(result[name] for name in ("missing", "doubled", "late", "wrong_server", "two_out"))
 
 
 def run_async(coroutine_function: Callable[[], Awaitable[Any]]) -> Any:
+    """Runs the coroutine that the function returns in a new event loop."""
     return asyncio.run(coroutine_function())  # type: ignore[arg-type]
 
 
 @click.command()
 @click.option("--requests", default=10_000, show_default=True)
 @click.option("--rate", default=500.0, show_default=True, help="requests a second in the mixed part")
-@click.option("--memory", default=200_000, show_default=True, help="requests flat out")
+@click.option("--memory", default=200_000, show_default=True, help="requests of the memory part")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--short", is_flag=True, help="the form that CI runs")
+@click.option("--short", is_flag=True, help="the short run of CI")
 @click.option("--worker", type=click.Choice(["own", "envoy", "mixed"]), hidden=True)
 @click.option("--address", default="", hidden=True)
 @click.option("--name", default="w", hidden=True)
@@ -511,8 +534,9 @@
     name: str,
     breaks: float,
 ) -> None:
+    """Measures the external processor mode."""
     if worker is not None:
-        run_async(lambda: globals()["worker"](address, worker, requests, 48, name, rate, breaks))
+        run_async(lambda: globals()["run_worker"](address, worker, requests, 48, name, rate, breaks))
         return
     if short:
         requests, memory = 1500, 6000
--- a/benchmarks/fleet_membership.py
+++ b/benchmarks/fleet_membership.py
@@ -1,8 +1,8 @@
 """Membership of a fleet: ``python -m benchmarks.fleet_membership [--processes N] [--minutes M] [--short]``.
 
-First real processes on loopback under 5% loss: stops of half a second, kills, restarts, splits. What is
-measured is what members logged of each other, on the rig's clock. Then the same core in simulated time, at
-8, 64, 200 and 1,000 members. The last line is ``RESULT {json}``.
+First runs real processes on loopback with 5% datagram loss: stops of half a second, kills, restarts and
+splits. The figures come from what the members logged about each other, on the rig's clock. Then runs the same
+membership code in simulated time with 8, 64, 200 and 1,000 members. The last line is ``RESULT {json}``.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from martentide_lab.fleet.scenario import Scenario, Step
 from martentide_lab.fleet.simulated import SimulatedFleet
 
-LIMIT_S = 60.0  # s for what has to come
+CONVERGENCE_TIMEOUT_S = 60.0  # for convergence after a start, a restart or a split
 LOSS_SHARE = 0.05
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Seconds, of values in ms; -1 where there are none."""
+    """The quantile in seconds of values in ms; -1 if there are none."""
     if not values:
         return -1.0
     ordered = sorted(values)
@@ -36,7 +36,7 @@
 
 
 def detection_delays(rig: Rig, about: str, since: float, states: tuple[State, ...]) -> dict[str, float]:
-    """By observer, when it first held the member for one of the states, in ms after ``since``."""
+    """By observer, the time in ms after ``since`` when it first saw the member in one of the states."""
     delays: dict[str, float] = {}
     for event in rig.log:
         matches = event.at >= since and event.kind == "member" and event.subject == about
@@ -46,10 +46,12 @@
 
 
 def is_split(rig: Rig, half: list[str], rest: list[str]) -> bool:
+    """Whether each side of the split sees all members of the other side as dead."""
     return rig.known_dead(*half, by=rest) and rig.known_dead(*rest, by=half)
 
 
 async def run_processes(processes: int, seconds: float, seed: int) -> dict[str, Any]:
+    """Runs real processes with faults for the given time and returns the figures."""
     rng = random.Random(seed)
     scenario = Scenario(proxies=processes, servers=0, seed=seed)
     detection_ms: list[float] = []
@@ -57,7 +59,7 @@
     heal_ms: list[float] = []
     missed = stops = kills = 0
     async with Rig(scenario, with_load=False, base=Link(loss=LOSS_SHARE, jitter=2.0)) as rig:
-        await rig.wait_until(rig.is_converged, LIMIT_S)
+        await rig.wait_until(rig.is_converged, CONVERGENCE_TIMEOUT_S)
         await asyncio.sleep(5.0)
         names = scenario.names()
         resident = {name: rig.resident_memory_mb(name) for name in names}
@@ -82,25 +84,24 @@
                 missed += 1
             detection_ms += detection_delays(rig, name, since, (State.DEAD, State.LEFT)).values()
             await rig.execute_step(Step(0, "start", (name,)))
-            cpu_before[name] = processor_seconds(
-                rig.proxies[name]
-            )  # imports and settings: no cost of the fleet
+            # Imports and settings are no cost of the membership.
+            cpu_before[name] = processor_seconds(rig.proxies[name])
             start_cpu += cpu_before[name]
             since = rig.now() - 1_000.0
             try:
-                await rig.wait_until(rig.is_converged, LIMIT_S)
+                await rig.wait_until(rig.is_converged, CONVERGENCE_TIMEOUT_S)
             except TimeoutError:
                 missed += 1
             learned_after = sorted(detection_delays(rig, name, since, (State.ALIVE,)).values())
-            spread_ms += [one - learned_after[0] for one in learned_after]
+            spread_ms += [delay - learned_after[0] for delay in learned_after]
             if kills % 6 == 0:
                 half = rng.sample(names, len(names) // 2)
-                rest = [one for one in names if one not in half]
+                rest = [member for member in names if member not in half]
                 await rig.execute_step(Step(0, "split", (",".join(half), ",".join(rest))))
-                await rig.wait_until(lambda: is_split(rig, half, rest), LIMIT_S)  # noqa: B023
+                await rig.wait_until(lambda: is_split(rig, half, rest), CONVERGENCE_TIMEOUT_S)  # noqa: B023
                 await rig.execute_step(Step(0, "heal"))
-                heal_ms.append(await rig.wait_until(rig.is_converged, LIMIT_S))
-                await asyncio.sleep(7.0)  # the checker owes nobody anything right after
+                heal_ms.append(await rig.wait_until(rig.is_converged, CONVERGENCE_TIMEOUT_S))
+                await asyncio.sleep(7.0)  # the checker expects no detection shortly after a split
         span = (rig.now() - started_at) / 1000.0
         cpu_used += sum(processor_seconds(rig.proxies[name]) - cpu_before[name] for name in names)
         violations = rig.violations()
@@ -127,7 +128,7 @@
 
 
 def run_simulated(members: int, seed: int) -> dict[str, Any]:
-    """The same figures in simulated time: a minute's stretch, five kills, a split."""
+    """Measures in simulated time: traffic in 10 calm seconds, then kills and published changes in turn."""
     wall_start = time.monotonic()
     fleet = SimulatedFleet(members, seed, base=Link(delay=1.0, jitter=2.0, loss=LOSS_SHARE))
     fleet.start_acquainted()
@@ -155,7 +156,8 @@
         fleet.run(since + 3_000.0)
         spread_ms += [event.at - since for event in fleet.log if event.at >= since and event.kind == "facet"]
     return {
-        "members": members, "detect_p50_s": quantile(detection_ms, 0.5), "detect_p99_s": quantile(detection_ms, 0.99),
+        "members": members,
+        "detect_p50_s": quantile(detection_ms, 0.5), "detect_p99_s": quantile(detection_ms, 0.99),
         "spread_p99_ms": round(1000 * quantile(spread_ms, 0.99)), "bytes_per_s": round(bytes_rate),
         "heard": len(spread_ms), "wall_s": round(time.monotonic() - wall_start, 1),
     }  # fmt: skip
@@ -168,6 +170,7 @@
 @click.option("--short", is_flag=True, help="8 processes, one kill; asserts the counts only")
 @click.option("--sizes", default="8,64,200,1000", show_default=True, help="members in simulated time")
 def main(processes: int, minutes: float, seed: int, short: bool, sizes: str) -> None:
+    """Measures the membership of a fleet."""
     if short:
         processes, minutes, sizes = 8, 0.05, "8,64"
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -1,8 +1,9 @@
-"""Overload handled alone and as one: ``python -m benchmarks.fleet_overload [--processes N] [--short]``.
+"""Overload control per proxy and by fleet: ``python -m benchmarks.fleet_overload [--processes N] [--short]``.
 
-Real processes, servers with a processor and a line, callers who dial again: 1.7 times the planned load for
-6 s, and what comes after it. Variants are played in turn for each seed. Beside it the same in simulated time.
-The last line is ``RESULT {json}``. ``--chart FILE`` draws the worth served, second by second (SVG, PNG).
+Runs real processes with servers that have one processor and a queue, and callers who redial: 1.7 times the
+planned load for 6 s, and the recovery after it. For each seed the variants run one after the other. The same
+is measured in simulated time. The last line is ``RESULT {json}``. ``--chart FILE`` draws the worth served in
+each second (SVG, PNG).
 """
 
 from __future__ import annotations
@@ -28,17 +29,24 @@
 from martentide_lab.servers import SessionServer
 from martentide_lab.simulated_site import SimulatedServer, SimulatedSite
 
-SERVER_RATE, PLANNED_USE = 20.0, 0.8  # set-ups/s of a server, and the share of it that is planned
-CLASS_SHARES = (0.74, 0.05, 0.21)  # of the classes
-SURGE_FACTOR, SURGE_BEGIN_S, SURGE_SPAN_S, END_S = 1.7, 10.0, 6.0, 34.0  # times the plan; s
-CLASS_WORTHS = {name: served_worth for name, served_worth, _, _ in CLASSES}
+SERVER_RATE, PLANNED_USE = 20.0, 0.8  # set-ups/s of a server, and the planned share of that
+CLASS_SHARES = (0.74, 0.05, 0.21)  # in the order of CLASSES
+SURGE_FACTOR, SURGE_BEGIN_S, SURGE_SPAN_S, END_S = 1.7, 10.0, 6.0, 34.0  # multiple of the planned load; s
+CLASS_WORTHS = {name: worth for name, worth, _, _ in CLASSES}
 CLASS_AIMS_MS = {name: aim for name, _, aim, _ in CLASSES}
-VARIANTS = {"alone": None, "duty": "", "fleet": "overload #true"}  # text in the fleet node; None: no fleet
+VARIANTS = {
+    "alone": None,
+    "duty": "",
+    "fleet": "overload #true",
+}  # settings of the fleet node; None: no fleet
 MAX_REDIALS = 3
 
 
 def served_worth(calls: Iterable[tuple[str, float, float | None]]) -> float:
-    """Worth that stood within the aim over the worth asked for; kind, begin and when it stood, in ms."""
+    """Worth of the calls that stood within their aim, divided by the worth of all calls.
+
+    A call is its class name, when it started and when it stood (None: never), in ms.
+    """
     served = offered = 0.0
     for class_name, started_at, stood_at in calls:
         offered += CLASS_WORTHS[class_name]
@@ -50,8 +58,11 @@
 def worth_bound(
     calls: Sequence[tuple[str, float, float | None]], begin: float, end: float, capacity: float
 ) -> float:
-    """What an all-knowing admission serves of the span's stories: the worthiest that the servers can do, a
-    second at a time, with the aim's room at the end of each."""
+    """Upper bound of the worth served: admission with full knowledge of the offered calls.
+
+    In each second it serves the calls of the highest worth that the servers have capacity for. Unused
+    capacity carries over to the next second up to 20%, because calls may wait as long as their aim.
+    """
     served = offered = 0.0
     spare_capacity = 0.0
     second_start = begin
@@ -78,7 +89,7 @@
     begin: float,
     capacity: float,
 ) -> dict[str, float]:
-    """``begin`` of the surge in ms, on the stories' clock."""
+    """The figures of one run; ``begin``: start of the surge in ms, on the clock of the calls."""
     end = begin + 1_000.0 * SURGE_SPAN_S
 
     def calls_between(lower: float, upper: float) -> list[tuple[str, float, float | None]]:
@@ -104,13 +115,16 @@
         "surge_worth": served_worth(surge_calls), "surge_bound": worth_bound(calls, begin, end, capacity),
         "after_worth": served_worth(calls_between(end + 2_000.0, end + 6_000.0)),
         "first_2s_after": served_worth(calls_between(end, end + 2_000.0)),
-        "recover_s": (recovered_at - end) / 1_000.0, "dials_a_story": statistics.mean(surge_dials) if surge_dials else 0.0,
-        "class_order_kept": float(all(call >= other - 0.03 for call, other in itertools.pairwise(worths_by_rank))),
+        "recover_s": (recovered_at - end) / 1_000.0,
+        "dials_a_story": statistics.mean(surge_dials) if surge_dials else 0.0,
+        "class_order_kept": float(
+            all(higher >= lower - 0.03 for higher, lower in itertools.pairwise(worths_by_rank))
+        ),
         **{f"surge_{class_name}": share for class_name, share in by_class.items()},
     }  # fmt: skip
 
 
-# Faults beside the surge: s after its begin, verb, arguments.
+# Faults during the surge: seconds after its start, verb, arguments.
 FAULTS: dict[str, tuple[tuple[Any, ...], ...]] = {
     "none": (),
     "split": ((1.0, "split", "n0,n1,n2,n3,n4,n5,n6,n7", "n8,n9,n10,n11"), (7.0, "heal")),
@@ -124,6 +138,10 @@
 async def run_processes(
     processes: int, servers: int, fleet_settings: str | None, seed: int, fault: str = "none"
 ) -> tuple[dict[str, float], list[float], ServedByProxy]:
+    """Runs real processes through the surge.
+
+    Returns the figures of the run, the worth served in each second, and the calls served by each proxy.
+    """
     capacity = SERVER_RATE * servers
     surge_steps = (
         Step(1000 * SURGE_BEGIN_S, "surge", (SURGE_FACTOR,)),
@@ -171,7 +189,7 @@
 
 
 def further_attempts(servers: Iterable[SessionServer]) -> int:
-    """Attempts beyond the first of each call, by what came to the servers."""
+    """Attempts beyond the first of each call, counted from the set-ups that the servers received."""
     received = Counter(set_up.call for server in servers for set_up in server.received_set_ups)
     return sum(count - 1 for count in received.values())
 
@@ -179,6 +197,7 @@
 def run_simulated(
     proxies: int, servers: int, variant: str, seed: int
 ) -> tuple[dict[str, float], ServedByProxy]:
+    """Runs the surge in simulated time; returns the figures and the calls served by each proxy."""
     settings = dataclasses.replace(settings_from(site_settings(servers)), proxies=proxies)
     simulated_servers = [SimulatedServer(f"s{index}", index, SERVER_RATE) for index in range(servers)]
     site = SimulatedSite(settings, proxies, simulated_servers, seed)
@@ -204,12 +223,13 @@
     return {**figures, "set_ups": float(len(site.sent_set_ups))}, served
 
 
-ServedByProxy = dict[str, list[float]]  # by proxy: whether each call of the least class was served in time
+ServedByProxy = dict[str, list[float]]  # by proxy: 1 for each call of the lowest class served in time, else 0
 
 
 def served_by_proxy(
     calls: Sequence[tuple[str, float, float | None]], proxy_names: Sequence[str], begin: float
 ) -> ServedByProxy:
+    """The calls of the lowest class by proxy, from 1 s after the start of the surge until its end."""
     served: ServedByProxy = {}
     for proxy_name, (class_name, started_at, stood_at) in zip(proxy_names, calls, strict=True):
         if begin + 1_000.0 <= started_at < begin + 1_000.0 * SURGE_SPAN_S and class_name == "status-check":
@@ -220,8 +240,12 @@
 
 
 def summarize(runs: Sequence[dict[str, float]], served_runs: Sequence[ServedByProxy]) -> dict[str, float]:
-    """Means over the plays; ``unfairness``: best over worst chance of the least class between proxies, over
-    all plays together, since in one, chance alone makes 1.3 of some fifty calls a proxy."""
+    """Means over the runs, and their ``unfairness``.
+
+    ``unfairness`` is the highest share of calls of the lowest class that a proxy served, divided by the
+    lowest share of a proxy. It is taken over all runs together: with some fifty calls a proxy in a single
+    run, chance alone makes a ratio of 1.3.
+    """
     means = {name: round(statistics.mean(run[name] for run in runs), 3) for name in runs[0]}
     served_shares = [
         statistics.mean(in_time for served_run in served_runs for in_time in served_run.get(proxy_name, []))
@@ -231,7 +255,7 @@
 
 
 def worth_by_second(calls: Sequence[tuple[str, float, float | None]], begin: float) -> list[float]:
-    """Worth by second, from 5 s before the surge on."""
+    """The worth served in each second, from 5 s before the surge on."""
     first_at = begin - 5_000.0
     return [
         served_worth(
@@ -246,6 +270,7 @@
 
 
 def draw_chart(path: str, runs_by_variant: dict[str, list[list[float]]]) -> None:
+    """Draws the mean worth of each variant as ``path.svg`` and ``path.png``."""
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(7.0, 3.2), layout="constrained")
@@ -256,7 +281,7 @@
         axes.plot(
             [second - 4.5 for second in range(len(means))], means, label=f"{variant} (mean of {len(runs)})"
         )
-    axes.set(xlabel="s from the begin of the surge", ylabel="worth served in time", ylim=(0.0, 1.03))
+    axes.set(xlabel="s from the start of the surge", ylabel="worth served in time", ylim=(0.0, 1.03))
     axes.legend(loc="lower right", fontsize="small")
     for extension in ("svg", "png"):
         figure.savefig(f"{path}.{extension}")
@@ -268,9 +293,11 @@
 @click.option("--seeds", default=5, show_default=True)
 @click.option("--variants", default="alone,duty,fleet", show_default=True)
 @click.option("--sizes", default="8,12,50,200", show_default=True, help="proxies in simulated time")
-@click.option("--parts", default=12, show_default=True, help="proxies in simulated time, a part left out")
-@click.option("--faults", default="none", show_default=True, help=f"beside the surge: {', '.join(FAULTS)}")
-@click.option("--chart", default=None, help="file without its ending; needs matplotlib")
+@click.option(
+    "--parts", default=12, show_default=True, help="proxies in simulated time with one part disabled"
+)
+@click.option("--faults", default="none", show_default=True, help=f"during the surge: {', '.join(FAULTS)}")
+@click.option("--chart", default=None, help="file name without extension; needs matplotlib")
 @click.option("--short", is_flag=True, help="4 processes, 3 servers, one seed; asserts the counts only")
 def main(
     processes: int,
@@ -283,6 +310,7 @@
     chart: str | None,
     short: bool,
 ) -> None:
+    """Measures overload control per proxy and by fleet."""
     if short:
         processes, servers, seeds, variants, sizes, parts = 4, 3, 1, "fleet", "8", 0
     result: dict[str, Any] = {"processes": processes, "servers": servers, "seeds": seeds}
@@ -311,14 +339,14 @@
         figures_by_name.setdefault(name, []).append(run_figures)
         served.setdefault(name, []).append(served_run)
         print(json.dumps({"seed": seed, "variant": name, **run_figures}), flush=True)
-    for name, kept_figures in figures_by_name.items():
-        if kept_figures:
-            result[f"real-{name}"] = summarize(kept_figures, served[name])
+    for name, variant_figures in figures_by_name.items():
+        if variant_figures:
+            result[f"real-{name}"] = summarize(variant_figures, served[name])
     if chart is not None:
         draw_chart(chart, worths)
     if short:
         assert result["real-fleet"]["rules_broken"] == 0, result
-        # Simulated time has no speed: the same figures on every machine.
+        # Simulated time gives the same figures on every machine.
         assert result["simulated-8-fleet"]["after_worth"] > 0.95, result
         assert result["simulated-8-fleet"]["class_order_kept"] == 1, result
     print("RESULT " + json.dumps(result))
--- a/benchmarks/fleet_rules.py
+++ b/benchmarks/fleet_rules.py
@@ -1,12 +1,13 @@
 """Versions that a fleet agrees on, under faults: ``python -m benchmarks.fleet_rules [--faults N] [--short]``.
 
-Real processes in three zones, five of them voters, with load. First versions without faults; then faults
-drawn from a seed while versions are proposed all the while: four in a row take the same server away, and
-allow one attempt or three (one server answers with errors, so that further ones are made). Whether two acted
-on rules that contradict each other is read from what came to the servers after a proposer had heard that the
-version is in force: calls with more attempts, and set-ups at the server that was taken away, but for those of
-members that were on safe rules just then, who use what answers them. Last, one member is cut off: what safe
-rules serve there. Then 64 and 200 members in simulated time. The last line is ``RESULT {json}``.
+Runs real processes in three zones under load, five of them voters. First versions are proposed without
+faults; then faults drawn from a seed are injected while versions are proposed continuously. Four versions in
+a row remove the same server and allow either one attempt or three (one server answers with errors, so that
+calls need further attempts). Whether members acted on contradicting rules is read from the set-ups that the
+servers received after the proposer was notified that the version is in force: calls with more attempts than
+allowed, and set-ups at the removed server. Set-ups of members on safe rules at that time are not counted,
+because these members use any server that answers. Last, one member is cut off to measure what safe rules
+serve. Then 9, 64 and 200 members run in simulated time. The last line is ``RESULT {json}``.
 """
 
 from __future__ import annotations
@@ -32,30 +33,30 @@
 from martentide_lab.fleet.simulated_agreement import SimulatedAgreementFleet, rule_set
 from martentide_lab.proxy import CLASSES
 
-LIMIT_S = 60.0  # s for what has to come
+TIMEOUT_S = 60.0  # for convergence, and for the first version in force
 BOUND_MS = LeaseTimings().bound
 SERVER_COUNT = 6
-VERSIONS_PER_RUN = 4  # versions in a row that forbid the same: what acts against them can be seen for so long
-PROPOSAL_GAP_S = 1.0  # s between two proposals
-CUT_OFF_S = 8.0  # s that one member is cut off at the end
+VERSIONS_PER_RUN = 4  # versions in a row that forbid the same, so that violations show for several seconds
+PROPOSAL_GAP_S = 1.0  # between two proposals
+CUT_OFF_S = 8.0  # that one member is observed while it is cut off
 
 
 @dataclass
 class Proposal:
-    """One proposal: its token, the server it takes away, when it was made and what was heard of it (Unix
-    ms)."""
+    """One proposed version and its outcome; times in Unix ms."""
 
     token: str
-    server: int
+    server: int  # index of the removed server
     proposed_at: float
-    answered_at: float = 0.0
+    answered_at: float = 0.0  # 0: no answer
     in_force: bool = False
     number: int = 0
-    attempts: int = 3
-    refused: bool = False  # at once, as a bad file
+    attempts: int = 3  # allowed per call
+    refused: bool = False  # rejected as an invalid file
 
 
 def make_rules(removed_server: int, attempts: int, invalid: bool = False) -> dict[str, Any]:
+    """The rules of a version; ``invalid`` ones name an unknown class."""
     classes = {
         name: {"repeat": "harmless", "deadline_ms": deadline, "pools": None}
         for name, _, _, deadline in CLASSES
@@ -75,6 +76,7 @@
 async def propose_version(
     rig: Rig, proposals: list[Proposal], member: str, invalid: bool = False
 ) -> Proposal:
+    """Proposes the next version at a member, appends it to ``proposals`` and waits for the answer."""
     run = len(proposals) // VERSIONS_PER_RUN
     proposal = Proposal(f"t{len(proposals)}", run % SERVER_COUNT, unix_ms(), attempts=1 + 2 * (run % 2))
     proposals.append(proposal)
@@ -97,7 +99,7 @@
 
 
 async def keep_proposing(rig: Rig, proposals: list[Proposal], rng: random.Random) -> None:
-    """One proposal a gap, at whichever member runs; a tenth are bad."""
+    """Proposes a version at a random running member after each gap; a tenth are invalid."""
     while True:
         await asyncio.sleep(PROPOSAL_GAP_S)
         running = [name for name in rig.proxies if rig.proxies[name].operator_address]
@@ -106,7 +108,10 @@
 
 
 async def inject_faults(rig: Rig, count: int, rng: random.Random) -> Counter[str]:
-    """So many faults, each mended soon after; two may overlap."""
+    """Injects ``count`` random faults one after the other and reverts each; returns the number of each kind.
+
+    A changed clock stays changed while later faults run.
+    """
     names = rig.scenario.names()
     kinds: Counter[str] = Counter()
 
@@ -161,7 +166,7 @@
 
 
 def safe_spans(rig: Rig) -> dict[str, list[tuple[float, float]]]:
-    """By member, when it was on safe rules (Unix ms), until it acted on a version again."""
+    """By member, the intervals (Unix ms) on safe rules, each until the member acted on a version again."""
     clock_shift = unix_ms() - rig.now()
     spans: dict[str, list[tuple[float, float]]] = {name: [] for name in rig.scenario.names()}
     since: dict[str, float | None] = dict.fromkeys(spans)
@@ -182,8 +187,12 @@
 
 
 def find_contradictions(rig: Rig, proposals: list[Proposal]) -> tuple[float, int, int]:
-    """From what came to the servers: how long after a version was heard to be in force it was still acted
-    against, until the next one was proposed; how often that was after the bound; how often at all."""
+    """Set-ups that a version in force forbids, found in what the servers received.
+
+    Counts from the notification that the version is in force until a version that allows them is proposed.
+    Returns the longest delay after the notification in ms, the number of set-ups later than the bound, and
+    the number of all of them.
+    """
     delays_ms: list[float] = []
     safe_intervals = safe_spans(rig)
     member_by_call = {call: name for name, load in rig.all_load_generators for call in load.calls}
@@ -193,18 +202,10 @@
             arrivals_by_call.setdefault(arrival.call, []).append(arrival.received_at)
     repeated_at = [min(times) for times in arrivals_by_call.values() if len(times) > 1]
     for proposal in [proposal for proposal in proposals if proposal.in_force]:
-        # What it forbids stays forbidden until a version that allows it again is proposed.
-        later_proposals = [
-            later_proposal
-            for later_proposal in proposals
-            if later_proposal.proposed_at > proposal.proposed_at
-        ]
+        # What a version forbids stays forbidden until a version that allows it again is proposed.
+        later_proposals = [later for later in proposals if later.proposed_at > proposal.proposed_at]
         valid_until = min(
-            (
-                later_proposal.proposed_at
-                for later_proposal in later_proposals
-                if later_proposal.attempts != proposal.attempts
-            ),
+            (later.proposed_at for later in later_proposals if later.attempts != proposal.attempts),
             default=unix_ms(),
         )
         if proposal.attempts == 1:
@@ -214,11 +215,7 @@
                 if proposal.answered_at < received_at < valid_until
             ]
         valid_until = min(
-            (
-                later_proposal.proposed_at
-                for later_proposal in later_proposals
-                if later_proposal.server != proposal.server
-            ),
+            (later.proposed_at for later in later_proposals if later.server != proposal.server),
             default=unix_ms(),
         )
         for arrival in rig.servers[proposal.server].received_set_ups:
@@ -229,26 +226,31 @@
                 delays_ms.append(arrival.received_at - proposal.answered_at)
     return (
         max(delays_ms, default=0.0),
-        sum(received_at > BOUND_MS for received_at in delays_ms),
+        sum(delay > BOUND_MS for delay in delays_ms),
         len(delays_ms),
     )
 
 
 def count_lost_versions(rig: Rig, proposals: list[Proposal]) -> tuple[int, int]:
-    """Versions that a proposer heard of and that are another's, or nobody's, in what members acted on;
-    numbers that two versions had."""
+    """Acknowledged versions that were lost, and numbers that two versions had.
+
+    A version is lost if its proposer was notified that it is in force, but the members that logged its number
+    hold another version, or no member reached its number.
+    """
     tokens_by_number: dict[int, set[str]] = {}
     for event in rig.log:
         if event.kind == "in-force":
             tokens_by_number.setdefault(event.fields["number"], set()).add(event.fields["by"])
     newest = max(tokens_by_number, default=0)
-    lost = sum(proposal.in_force and (proposal.number > newest or tokens_by_number.get(proposal.number, {proposal.token}) != {proposal.token})
+    lost = sum(proposal.in_force and (
+                   proposal.number > newest
+                   or tokens_by_number.get(proposal.number, {proposal.token}) != {proposal.token})
                for proposal in proposals)  # fmt: skip
     return lost, sum(len(tokens) > 1 for tokens in tokens_by_number.values())
 
 
 def time_until_used_ms(rig: Rig, number: int, since: float) -> float:
-    """ms from the proposal until the last member that runs acted by the version; -1 if some never did."""
+    """ms from the proposal until the last running member acted on the version; -1 if one never did."""
     first_used: dict[str, float] = {}
     clock_shift = unix_ms() - rig.now()
     for event in rig.log:
@@ -258,12 +260,13 @@
 
 
 def quantile(values: list[float], share: float) -> float:
+    """The quantile of the values that are not negative; -1 if there are none."""
     ordered = sorted(value for value in values if value >= 0.0)
     return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))]) if ordered else -1.0
 
 
 def mean_safe_rules_s(rig: Rig, begin: float, end: float) -> float:
-    """Mean s a member that runs was on safe rules in the span, by its own log."""
+    """Mean seconds that a running member was on safe rules between the two times, by its own log."""
     total = 0.0
     for name in rig.scenario.names():
         safe_since: float | None = begin
@@ -290,6 +293,7 @@
 
 
 def served_worth(calls: list[Any], begin: float, end: float) -> float:
+    """Worth of the calls that stood within their aim, divided by the worth of all calls of the span."""
     worths = {name: worth for name, worth, _, _ in CLASSES}
     class_aims = {name: aim for name, _, aim, _ in CLASSES}
     offered = served = 0.0
@@ -304,6 +308,7 @@
 async def run_processes(
     processes: int, voters: int, count: int, calm_versions: int, seed: int
 ) -> dict[str, Any]:
+    """Runs real processes: versions without faults, versions under faults, then one member cut off."""
     rng = random.Random(seed)
     scenario = Scenario(proxies=processes, servers=SERVER_COUNT, zones=3, seed=seed, rate=12.0 * processes)
     folder = Path(tempfile.mkdtemp(prefix="martentide-rules-"))
@@ -318,9 +323,9 @@
         for server in rig.servers:
             server.keep_received_set_ups = True
         await rig.execute_step(Step(0.0, "server", ("s0", "error")))
-        await rig.wait_until(rig.is_converged, LIMIT_S)
+        await rig.wait_until(rig.is_converged, TIMEOUT_S)
         proposals: list[Proposal] = []
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not (proposals and proposals[-1].in_force):  # until there is a leader
                 await propose_version(rig, proposals, names[-1])
         delays_ms = []
@@ -339,9 +344,9 @@
         await asyncio.sleep(6.0)
         proposing.cancel()
         await asyncio.gather(proposing, return_exceptions=True)
-        await rig.wait_until(rig.is_converged, LIMIT_S)
+        await rig.wait_until(rig.is_converged, TIMEOUT_S)
         await rig.execute_step(Step(0.0, "server", ("s0", "well")))
-        # What safe rules serve: one member is cut off from the others, and from nothing else.
+        # Measures what safe rules serve: one member is cut off from the other members only.
         cut_off = names[-1]
         await rig.execute_step(Step(0.0, "split", (cut_off, ",".join(names[:-1]))))
         await asyncio.sleep(BOUND_MS / 1_000.0)
@@ -369,32 +374,36 @@
             cut_off_until,
         )
         await rig.execute_step(Step(0.0, "heal"))
-        calls = [arrival.call for proposal in rig.servers for arrival in proposal.received_set_ups]
+        calls = [arrival.call for server in rig.servers for arrival in server.received_set_ups]
         lost_versions, duplicate_numbers = count_lost_versions(rig, proposals)
         violations = rig.violations()
-        longest_ms, stale_sends, against_in_force = find_contradictions(
-            rig, proposals
-        )  # keeps this process for seconds, callers and all
+        # Blocks the event loop, and with it the callers, for seconds.
+        longest_ms, stale_sends, against_in_force = find_contradictions(rig, proposals)
         for line in violations[:10]:
             print(line, file=sys.stderr)
         return {
             "processes": processes, "voters": voters, "versions": len(proposals),
             "accepted": sum(proposal.in_force for proposal in proposals),
-            "turned_down": sum(proposal.refused or (bool(proposal.answered_at) and not proposal.in_force) for proposal in proposals),
+            "turned_down": sum(
+                proposal.refused or (bool(proposal.answered_at) and not proposal.in_force)
+                for proposal in proposals
+            ),
             "faults": count,
             "kinds": dict(kinds), "contradiction_max_ms": round(longest_ms), "bound_ms": BOUND_MS,
             "against_in_force": against_in_force,
             "further_attempts": len(calls) - len(set(calls)), "stale_sends": stale_sends,
             "lost_acknowledged": lost_versions, "two_in_force": duplicate_numbers,
             "in_force_p50_ms": quantile(delays_ms, 0.5), "in_force_p99_ms": quantile(delays_ms, 0.99),
-            "calm_versions": len(delays_ms), "unavailable_s": mean_safe_rules_s(rig, faults_began, faults_ended),
-            "span_s": round((faults_ended - faults_began) / 1_000.0), "safe_rules_worth": safe_worth, "served_worth": other_worth,
+            "calm_versions": len(delays_ms),
+            "unavailable_s": mean_safe_rules_s(rig, faults_began, faults_ended),
+            "span_s": round((faults_ended - faults_began) / 1_000.0),
+            "safe_rules_worth": safe_worth, "served_worth": other_worth,
             "worth_under_faults": worth_under_faults, "rules_broken": len(violations),
         }  # fmt: skip
 
 
 def run_simulated(members: int, voters: int, seed: int) -> dict[str, Any]:
-    """Twenty versions without faults: how long they take, what the leader says and hears."""
+    """Twenty versions without faults in simulated time, and the messages that the leader and others send."""
     fleet = SimulatedAgreementFleet(members, seed, voters, base=Link(delay=1.0, jitter=2.0))
     for name in fleet.members:
         fleet.start(name)
@@ -426,6 +435,7 @@
 @click.option("--sizes", default="9,64,200", show_default=True, help="members in simulated time")
 @click.option("--short", is_flag=True, help="5 processes, 6 faults; asserts the counts only")
 def main(processes: int, voters: int, count: int, calm: int, seed: int, sizes: str, short: bool) -> None:
+    """Measures versions that a fleet agrees on, under faults."""
     if short:
         processes, voters, count, calm, sizes = 5, 3, 6, 3, "9"
     result = asyncio.run(run_processes(processes, voters, count, calm, seed)) if processes else {}
--- a/benchmarks/fleet_tests_duty.py
+++ b/benchmarks/fleet_tests_duty.py
@@ -1,9 +1,10 @@
-"""Tests and trial calls that a failing server gets: ``python -m benchmarks.fleet_tests_duty [--short]``.
+"""Health checks and trial calls at a failing server: ``python -m benchmarks.fleet_tests_duty [--short]``.
 
-Real processes, alone and as a fleet, at the same total load: one server hung (answers nothing), one mute
-(answers tests, no set-up), one cold. Counted is what came to the servers; how long it takes until every proxy
-sends the hung one calls again is read from the callers' own numbers. Then the same in simulated time, also at
-sizes that processes can't reach. The last line is ``RESULT {json}``.
+Runs real processes, without a fleet and as a fleet, at the same total load: one server hung (answers
+nothing), one mute (answers health checks but no set-up), one cold. Counts the health checks and set-ups that
+the servers received, and measures the time until every proxy sends calls to the recovered hung server. Then
+the same in simulated time, also with more proxies than one machine can run as processes. The last line is
+``RESULT {json}``.
 """
 
 from __future__ import annotations
@@ -26,17 +27,18 @@
 from martentide_lab.simulated_site import SimulatedServer, SimulatedSite
 
 TOTAL_RATE = 120.0  # calls a second, all proxies together
-SETTLE_S, COUNTED_S = 6.0, 12.0  # s: before counting, and counted
-RETURN_WAIT_S = 12.0  # s in which all should send calls there again
-COLD_AGE_MS = 4_000.0  # ms the cold server has been up when the counting begins
+SETTLE_S, COUNTED_S = 6.0, 12.0  # before counting; counted
+RETURN_WAIT_S = 12.0  # within which all proxies should send calls to the recovered server
+COLD_AGE_MS = 4_000.0  # age of the cold server when counting starts
 
 
 def events_per_second(times: list[float], begin: float, end: float) -> float:
+    """Events between two times; all times in ms."""
     return round(sum(begin <= time_ms < end for time_ms in times) / (end - begin) * 1000.0, 2)
 
 
 def time_until_all_return(rig: Rig, server: SessionServer, since: float) -> tuple[float, int]:
-    """When the last of the proxies sent a call there again, in ms, and how many did."""
+    """ms until the last proxy sent the server a call (-1: none did), and the number of proxies that did."""
     first_call_after: dict[str, float] = {}
     for arrival in server.received_set_ups:
         if arrival.received_at >= since:
@@ -49,6 +51,7 @@
 
 
 async def run_processes(processes: int, fleet: bool, counted_s: float, seed: int) -> dict[str, Any]:
+    """Runs real processes with a hung, a mute and a cold server; the hung one recovers at the end."""
     scenario = Scenario(proxies=processes, servers=5, rate=TOTAL_RATE, seed=seed)
     async with Rig(scenario, with_fleet=fleet) as rig:
         hung, mute, cold = rig.servers[0], rig.servers[1], rig.servers[2]
@@ -90,6 +93,7 @@
 
 
 def run_simulated(proxies: int, fleet: bool, seed: int) -> dict[str, Any]:
+    """Runs a hung and a mute server in simulated time."""
     settings = dataclasses.replace(settings_from(site_settings(8)), proxies=proxies)
     servers = [SimulatedServer(f"s{index}", index, 20.0) for index in range(8)]
     site = SimulatedSite(settings, proxies, servers, seed)
@@ -112,6 +116,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--short", is_flag=True, help="4 and 8 processes; asserts the counts only")
 def main(sizes: str, simulated_sizes: str, seed: int, short: bool) -> None:
+    """Measures health checks and trial calls at failing servers."""
     counted_s = COUNTED_S
     if short:
         sizes, simulated_sizes, counted_s = "4,8", "8,40", 6.0
@@ -129,7 +134,7 @@
         for name in ("4-fleet", "8-fleet"):
             assert not result["real"][name]["rules_broken"], result
             assert result["real"][name]["back"] == int(name.split("-")[0]), result
-        # At 40 the holders' tests are few, whatever the machine: simulated time has no speed.
+        # The health checks of a server don't grow with the fleet. Simulated time is the same on any machine.
         small_fleet, large_fleet = (
             result["simulated"][name]["tests_hung"] for name in ("8-fleet", "40-fleet")
         )
--- a/benchmarks/learned_benefit.py
+++ b/benchmarks/learned_benefit.py
@@ -1,9 +1,9 @@
-"""What learned state is worth: ``python -m benchmarks.learned_benefit [--seeds N] [--short]``.
+"""The benefit of learned state: ``python -m benchmarks.learned_benefit [--seeds N] [--short]``.
 
-One day in simulated time, with the real decisions: four servers, one 4 times slower, one replaced by a cold
-one 2 s before all proxies are restarted, 100% of the planned load. The same day is played with the state kept
-(last saved 0.5 s before the end) and without. And the cost of saving with 5,000 servers. The last line is
-``RESULT {json}``.
+Runs the product's decisions in simulated time at 100% of the planned load with four servers: one is 4 times
+slower, one is replaced by a cold one 2 s before all proxies restart. The same run is made with the state
+restored (last saved 0.5 s before the restart) and without. Also measures the cost of saving the state with
+5,000 servers. The last line is ``RESULT {json}``.
 """
 
 from __future__ import annotations
@@ -29,11 +29,12 @@
 SETTINGS = dataclasses.replace(settings_from(site_settings(4)), proxies=6)
 CLASS_SHARES = (0.74, 0.05, 0.21)  # in the order of the settings' classes
 SERVER_RATE, PLANNED_RATE = 20.0, 58.0  # set-ups/s of a warm server; calls/s of the whole site
-RESTART_AFTER_MS, COUNTED_MS = 20_000.0, 10_000.0  # ms
-START_MS = 1_000_000.0  # Unix ms at which the day begins: 0 would be "long ago" to a server's start
+RESTART_AFTER_MS, COUNTED_MS = 20_000.0, 10_000.0  # after the start; after the restart
+START_MS = 1_000_000.0  # Unix ms at which a run starts; 0 as a start of a server would mean "long ago"
 
 
 def run_simulated(seed: int, keep: bool) -> dict[str, float]:
+    """One run; ``keep``: the restarted proxies restore the saved state."""
     servers = [SimulatedServer(f"s{index}", index, SERVER_RATE) for index in range(4)]
     servers[0].slowdown = 4.0
     site = SimulatedSite(SETTINGS, SETTINGS.proxies, servers, seed)
@@ -72,7 +73,7 @@
 
 
 def saving_cost(server_count: int) -> dict[str, float]:
-    """Of one save: the longest slice on the loop, the whole snapshot, and the bytes."""
+    """The cost of one save: the longest slice on the event loop, the whole snapshot and its bytes."""
     servers = [SimulatedServer(f"s{index}", index, SERVER_RATE) for index in range(server_count)]
     site = SimulatedSite(SETTINGS, 1, servers, 1)
     controller, snapshots = site.controllers[0], Snapshots()
@@ -82,7 +83,7 @@
     learned = None
     for _ in range(5):
         for server in list(controller.servers.values())[::10]:
-            server.wait += 1.0  # a tenth changes between saves
+            server.wait += 1.0  # a tenth of the records changes between saves
         slices, run_total, run_longest = snapshots.slices(controller, START_MS), 0.0, 0.0
         while True:
             started_at = time.perf_counter()
@@ -91,7 +92,7 @@
             run_total, run_longest = run_total + elapsed, max(run_longest, elapsed)
             if learned is not None:
                 break
-        longest_s, total_s = run_longest, run_total  # of the last: the first takes every record
+        longest_s, total_s = run_longest, run_total  # of the last save: the first one copies every record
     assert learned is not None
     started_at = time.perf_counter()
     data = write_state(learned, fingerprint(SETTINGS))
@@ -105,8 +106,9 @@
 
 @click.command()
 @click.option("--seeds", default=5, show_default=True)
-@click.option("--short", is_flag=True, help="the form that CI runs")
+@click.option("--short", is_flag=True, help="the short run of CI")
 def main(seeds: int, short: bool) -> None:
+    """Measures the benefit of learned state and the cost of saving it."""
     runs = {
         keep: [run_simulated(seed, keep) for seed in range(1, (2 if short else seeds) + 1)]
         for keep in (True, False)
--- a/benchmarks/learned_kills.py
+++ b/benchmarks/learned_kills.py
@@ -1,9 +1,8 @@
 """Learned state and kills: ``python -m benchmarks.learned_kills [--kills N] [--short]``.
 
-A real process under load is killed at random points, two of three times while a save is likely under way, and
-started again on the same folder. Each start must take the last good state or none; between the kill and the
-start the files are read here as well, by what the process was heard to have saved. The last line is
-``RESULT {json}``.
+A real process under load is killed at random points, some 60% of the times while a save is likely in
+progress, and started again on the same folder. Each start must load the last good state, or none if there is
+none: before each start the benchmark reads the files itself and compares. The last line is ``RESULT {json}``.
 """
 
 from __future__ import annotations
@@ -36,7 +35,7 @@
 
 
 def read_saved_files(folder: Path) -> tuple[int, int]:
-    """The highest save among the whole files (0: none), and how many are not whole."""
+    """The highest sequence number of the valid files (0: none), and the number of damaged files."""
     newest = damaged = 0
     for name in (STATE, OLD):
         path = folder / name
@@ -52,7 +51,10 @@
 async def run_until_killed(
     proxy: ProxyProcess, folder: Path, rng: random.Random, counts: dict[str, int]
 ) -> float:
-    """Start, check what the start said against the files, load, kill. Returns the ms that reading took."""
+    """Starts the proxy, compares its log with the files, offers load and kills it.
+
+    Returns the time in ms that the proxy took to load the state; 0 if it didn't start.
+    """
     saved_sequence, damaged = read_saved_files(folder)
     counts["half_seen"] += damaged
     try:
@@ -88,6 +90,7 @@
 
 
 async def measure(kills: int, seed: int) -> dict[str, Any]:
+    """Kills and restarts a proxy ``kills`` times; returns the counts of the outcomes."""
     rng = random.Random(seed)
     folder = Path(tempfile.mkdtemp(prefix="martentide-state-"))
     counts = dict.fromkeys(("last_good", "none", "bad", "half_seen", "failed_starts"), 0)
@@ -99,7 +102,7 @@
     load_times = []
     proxy = ProxyProcess(discovery, servers, EXTRA_SETTINGS.format(folder=folder))
     for number in range(kills):
-        if number % 25 == 0:  # now and then from nothing
+        if number % 25 == 0:  # every 25th start has no files
             for name in os.listdir(folder):
                 os.unlink(folder / name)
         load_times.append(await run_until_killed(proxy, folder, rng, counts))
@@ -113,8 +116,9 @@
 @click.command()
 @click.option("--kills", default=500, show_default=True)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--short", is_flag=True, help="the form that CI runs")
+@click.option("--short", is_flag=True, help="the short run of CI")
 def main(kills: int, seed: int, short: bool) -> None:
+    """Kills a proxy under load and checks the learned state after each restart."""
     result = asyncio.run(measure(12 if short else kills, seed))
     for name, value in result.items():
         print(f"{name:<16} {value}")
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -1,9 +1,10 @@
 """How long restarted proxies take to be ready: ``python -m benchmarks.ready [--fleet N] [--share S]``.
 
-A fleet of real processes runs; a share of it at a time is killed and started again together, with the list
-of the moment, on this machine. Measured from the start of a process to the front's test that passes, split
-at the first line of the log (interpreter, imports, configuration) and at ``serving`` (list, servers' actors,
-listener). The last line is ``RESULT {json}``; the exit code tells whether nine in ten were ready within 10 s.
+Runs a fleet of real processes on this machine; one share of it at a time is killed and restarted together,
+with the current server list. Measures from the start of a process until a health check of a front proxy
+passes, split at the first log line (interpreter, imports, configuration) and at ``serving`` (server list,
+tasks per server, listener). The last line is ``RESULT {json}``; the exit code is 0 if nine in ten were ready
+within 10 s.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 from martentide_lab.proxy import ProxyProcess
 from martentide_lab.servers import DiscoveryServer, SessionServer
 
-READY_LIMIT_S, READY_SHARE = 10.0, 0.9  # s in which so many must be ready
-PROBE_INTERVAL_S = 0.005  # s
+READY_LIMIT_S, READY_SHARE = 10.0, 0.9  # this share must be ready within the limit
+PROBE_INTERVAL_S = 0.005
 
 
 async def wait_until_ready(address: str) -> None:
-    """Until a front's test passes there."""
+    """Sends health checks as a front proxy does until one passes."""
     host, port = address.split(":")
     while True:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -38,7 +39,7 @@
 
 
 async def restart(proxy: ProxyProcess) -> tuple[float, float, float]:
-    """Seconds to the first line, to ``serving`` and to the passed test."""
+    """Starts the proxy; returns the seconds to the first log line, to ``serving`` and to a passed check."""
     started_at = time.monotonic()
     first_line_after: list[float] = []
     proxy.log.clear()
@@ -52,6 +53,7 @@
 
 
 async def measure(fleet: int, share: float, servers: int) -> list[tuple[float, float, float]]:
+    """Restarts the whole fleet, one share at a time; returns the times of ``restart`` for each proxy."""
     session_servers = [SessionServer(index) for index in range(servers)]
     discovery = DiscoveryServer()
     for server in session_servers:
@@ -72,17 +74,18 @@
 
 @click.command()
 @click.option("--fleet", default=100, show_default=True)
-@click.option("--share", default=0.1, show_default=True, help="of the fleet restarted at a time")
+@click.option("--share", default=0.1, show_default=True, help="share of the fleet restarted at a time")
 @click.option("--servers", default=24, show_default=True)
 def main(fleet: int, share: float, servers: int) -> None:
+    """Measures how long restarted proxies take to be ready."""
     durations = asyncio.run(measure(fleet, share, servers))
-    ready_times = sorted(entry[2] for entry in durations)
-    share_within = sum(entry <= READY_LIMIT_S for entry in ready_times) / len(ready_times)
+    ready_times = sorted(duration[2] for duration in durations)
+    share_within = sum(ready_time <= READY_LIMIT_S for ready_time in ready_times) / len(ready_times)
     result = {
         "processes": len(durations),
         "together": max(1, math.floor(fleet * share)),
-        "first_line_s": round(statistics.median(entry[0] for entry in durations), 3),
-        "serving_s": round(statistics.median(entry[1] for entry in durations), 3),
+        "first_line_s": round(statistics.median(duration[0] for duration in durations), 3),
+        "serving_s": round(statistics.median(duration[1] for duration in durations), 3),
         "ready_p50_s": round(statistics.median(ready_times), 3),
         "ready_p90_s": round(ready_times[int(READY_SHARE * (len(ready_times) - 1))], 3),
         "ready_most_s": round(ready_times[-1], 3),
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,10 +1,10 @@
 """Upgrades under load: ``python -m benchmarks.upgrade [--upgrades N] [--short]``.
 
-Callers on kept connections and callers that open one for each call offer calls without a pause, while the
-process is replaced again and again: a second one is started beside it, and the first gets SIGTERM once the
-second is in service. The session servers leave a share of the set-ups without an answer, so that attempts run
-into the end of their caller's time. Counted is what callers and session servers saw, not what the program
-says: ``lost`` calls had no whole answer when their caller's time was over, ``late`` ones got it afterwards.
+Callers with persistent connections and callers that open one for each call place calls continuously, while
+the proxy is replaced repeatedly: a second process is started next to it, and the first one gets SIGTERM once
+the second is in service. The session servers leave a share of the set-ups unanswered, so that attempts last
+until their caller's time is over. The counts come from the callers and the session servers, not from the
+proxy: ``lost`` calls had no complete answer when their caller's time was over, ``late`` ones got it later.
 The last line is ``RESULT {json}``.
 """
 
@@ -33,15 +33,15 @@
 from martentide_lab.proxy import ProxyProcess
 from martentide_lab.servers import DiscoveryServer, ServerBehavior, SessionServer
 
-TIME_LEFT_S = 2.5  # s a caller waits
-LATE_WAIT_S = 0.5  # s beyond it in which an answer is still waited for, to tell a late one from none
-IGNORED_SHARE = 0.1  # of the set-ups that a session server leaves without an answer
-KEPT_CALLERS, FRESH_CALLERS = 6, 4  # callers on kept connections, and callers that open one for each call
-RELEASE_WAIT_S = 8.0  # s for a call that is over to be released to its caller
+TIME_LEFT_S = 2.5  # time that a caller waits for an answer
+LATE_WAIT_S = 0.5  # further wait for an answer, to tell late from missing, and for a release acknowledgement
+IGNORED_SHARE = 0.1  # share of the set-ups that a session server leaves unanswered
+KEPT_CALLERS, FRESH_CALLERS = 6, 4  # callers with a persistent connection, and with one for each call
+RELEASE_WAIT_S = 8.0  # for the release of a call that its server ended
 
 
 class Caller:
-    """One caller, one call at a time; ``kept``: on one connection for good."""
+    """Places one call at a time; ``kept``: on one persistent connection."""
 
     def __init__(
         self, address: str, number: int, kept: bool, counts: Counter[str], ledger: CallLedger
@@ -55,6 +55,7 @@
         self.stopping = False
 
     async def run(self) -> None:
+        """Places calls until ``stopping`` is set."""
         call_count = 0
         while not self.stopping:
             call_count += 1
@@ -77,7 +78,7 @@
             self.streams[1].close()
 
     def _close_failed(self, call: bytes, outcome: str) -> None:
-        """The call's connection is of no more use; without its answer the call is lost."""
+        """Closes the connection of a failed call and records that the call got no answer in time."""
         self.counts[outcome] += 1
         self.ledger.expire(call)
         if self.streams is not None:
@@ -85,9 +86,10 @@
         self.streams = None
 
     async def _place_call(self, call: bytes) -> None:
+        """Places one call and, if it stands, releases it or waits until the server ends it."""
         if self.streams is None:
             host, _, port = self.address.rpartition(":")
-            # Each caller is a machine of its own.
+            # Each caller has its own source address, like a separate machine.
             local_address = (f"127.0.1.{self.number}", 0)
             self.streams = await asyncio.open_connection(host, int(port), local_addr=local_address)
             self.receive_buffer.clear()
@@ -102,7 +104,7 @@
         }
         message = write_message(Type.SET_UP, call, parameters)
         split_at = self.rng.randrange(1, len(message))
-        writer.write(message[:split_at])  # in two pieces, so that some are half read as a connection moves
+        writer.write(message[:split_at])  # in two parts, so that some are half received at a handover
         await asyncio.sleep(self.rng.uniform(0.0, 0.005))
         writer.write(message[split_at:])
         self.ledger.record_set_up(call, self.loop.time() * 1000.0)
@@ -126,7 +128,7 @@
     async def _receive_final_answer(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, call: bytes
     ) -> Message:
-        """The final answer; raises TimeoutError where the caller's time was over before it came."""
+        """The final answer; raises TimeoutError if it was not received within the caller's time."""
         receive_task = self.loop.create_task(self._receive_call_message(reader, call))
         await asyncio.wait({receive_task}, timeout=TIME_LEFT_S)
         if not receive_task.done():
@@ -146,6 +148,7 @@
         raise TimeoutError
 
     async def _receive_call_message(self, reader: asyncio.StreamReader, call: bytes) -> Message:
+        """The next answer or release of the call; counts those of earlier calls as doubled."""
         while (message := await self._receive_message(reader)).type not in (Type.ANSWER, Type.RELEASE):
             pass
         if message.call != call:
@@ -154,6 +157,7 @@
         return message
 
     async def _receive_message(self, reader: asyncio.StreamReader) -> Message:
+        """The next message; raises EOFError if the connection is closed."""
         while (body := next(split(self.receive_buffer), None)) is None:
             data = await reader.read(65536)
             if not data:
@@ -163,7 +167,7 @@
 
 
 async def end_calls(server: SessionServer, rng: random.Random) -> None:
-    """The server ends each call that has stood for a moment, but for those that its caller ends before."""
+    """Ends random standing calls of the server until cancelled."""
     while True:
         await asyncio.sleep(0.05)
         for call in list(server.standing):
@@ -172,7 +176,7 @@
 
 
 def count_overlapping_attempts(servers: list[SessionServer]) -> int:
-    """Calls that had a second attempt out while the first was not over."""
+    """Calls that had a second attempt pending while the first one was not over."""
     spans_by_call: dict[bytes, list[tuple[float, float]]] = {}
     for server in servers:
         for set_up in server.received_set_ups:
@@ -189,6 +193,7 @@
 
 
 async def measure(upgrades: int, seed: int, shared: bool) -> dict[str, Any]:
+    """Replaces the proxy ``upgrades`` times under load; ``shared``: without a directory for the handover."""
     rng = random.Random(seed)
     servers = [SessionServer(number, ServerBehavior(ignored_share=IGNORED_SHARE)) for number in (0, 1)]
     discovery, ledger = DiscoveryServer(), CallLedger()
@@ -248,9 +253,10 @@
 @click.command()
 @click.option("--upgrades", default=40, show_default=True)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--short", is_flag=True, help="the form that CI runs")
+@click.option("--short", is_flag=True, help="the short run of CI")
 @click.option("--shared", is_flag=True, help="without $TMPDIR: both listen by SO_REUSEPORT, for comparison")
 def main(upgrades: int, seed: int, short: bool, shared: bool) -> None:
+    """Measures the calls that fail while the proxy is upgraded."""
     result = asyncio.run(measure(4 if short else upgrades, seed, shared))
     for name, value in result.items():
         print(f"{name:<16} {value}")
