--- a/benchmarks/fleet_tests_duty.py
+++ b/benchmarks/fleet_tests_duty.py
@@ -94,7 +94,7 @@
     for name, one in (("hung", servers[0]), ("mute", servers[1])):
         figures[f"tests_{name}"] = rate(one.health_checks, 10_000.0, 30_000.0)
         figures[f"set_ups_{name}"] = rate(one.received_at, 10_000.0, 30_000.0)
-    return {**figures, "served": round(site.served(10_000.0, 27_000.0), 3)}
+    return {**figures, "served": round(site.served_share(10_000.0, 27_000.0), 3)}
 
 
 @click.command()
--- a/benchmarks/learned_benefit.py
+++ b/benchmarks/learned_benefit.py
@@ -58,7 +58,7 @@
     site.run(end + 3_000.0)
     after = [name for when, name in site.sent_set_ups if START + RESTART <= when < START + RESTART + 3_000.0]
     return {
-        "worth": site.served(START + RESTART, end),
+        "worth": site.served_share(START + RESTART, end),
         "slow": float(after.count("s0")),
         "cold": float(after.count("s9")),
         "cold_use": site.cold_start_load(cold),
--- a/martentide_lab/__init__.py
+++ b/martentide_lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, written from the public specifications; the product never imports them."""
+"""Test doubles and simulations, written from the public specifications; the product never imports them."""
--- a/martentide_lab/call_ledger.py
+++ b/martentide_lab/call_ledger.py
@@ -1,8 +1,9 @@
-"""Checks the first rule from the callers' side: one final answer for each set-up, while its caller waits.
+"""Checks on the caller side that each set-up gets exactly one final answer while its caller waits.
 
-A caller enters each set-up as its last byte is written, each final answer as it was read, and the end of its
-own time. The product tells nothing here. A caller that is late itself blames nobody: what had come by the
-time it looked counts as come in time (``EXPIRY_LOOP_TURNS``).
+A caller records each set-up when its last byte is written, each final answer when it has been read, and the
+expiry of its own waiting time. The ledger uses no data from the product. Delays of the caller's own event
+loop are not counted as faults: an answer that has arrived before the expiry check counts as in time
+(``EXPIRY_LOOP_ITERATIONS``).
 """
 
 from __future__ import annotations
@@ -12,21 +13,21 @@
 from dataclasses import dataclass
 from enum import Enum
 
-EXPIRY_LOOP_TURNS = 4  # turns of the caller's loop in which bytes that lie here reach the ledger
-MAX_REMEMBERED_CALLS = 20_000  # calls that are remembered; faults of older ones stay counted
+EXPIRY_LOOP_ITERATIONS = 4  # event loop iterations after which bytes already received have reached the ledger
+MAX_REMEMBERED_CALLS = 20_000  # entries kept; faults of dropped entries stay counted
 
 
 class CallFault(Enum):
-    """What a caller may complain of."""
+    """Faults of a call that its caller can observe."""
 
-    LOST = "lost"  # its time is over, and no final answer had come
-    LATE = "late"  # lost, and a final answer came afterwards
+    LOST = "lost"  # no final answer before the caller's time expired
+    LATE = "late"  # a final answer arrived after the expiry
     DOUBLED = "doubled"  # a second final answer
 
 
 @dataclass(slots=True)
 class LedgerEntry:
-    """One set-up that was written; ``written_at`` in ms of the caller's clock."""
+    """A set-up that was written; ``written_at`` is in ms of the caller's clock."""
 
     written_at: float
     final_answers: int = 0
@@ -34,6 +35,7 @@
 
     @property
     def fault(self) -> CallFault | None:
+        """The fault of this call, or None."""
         if self.final_answers > 1:
             return CallFault.DOUBLED
         if self.expired:
@@ -42,14 +44,14 @@
 
 
 class CallLedger:
-    """The set-ups of one caller or of several; ids must be unique among them."""
+    """Records the set-ups of one or more callers; call ids must be unique among them."""
 
     def __init__(self) -> None:
         self.entries: OrderedDict[bytes, LedgerEntry] = OrderedDict()
-        self.dropped_faults: list[tuple[CallFault, float]] = []  # faults of calls that are remembered no more
+        self.dropped_faults: list[tuple[CallFault, float]] = []  # of entries that were dropped
 
     def record_set_up(self, call: bytes, at: float) -> None:
-        """The last byte of the set-up was written."""
+        """Record that the last byte of a set-up was written at ``at`` (ms)."""
         self.entries[call] = LedgerEntry(at)
         if len(self.entries) > MAX_REMEMBERED_CALLS:
             entry = self.entries.popitem(last=False)[1]
@@ -57,12 +59,12 @@
                 self.dropped_faults.append((entry.fault, entry.written_at))
 
     def record_final_answer(self, call: bytes) -> None:
-        """A whole final answer was read."""
+        """Record that a complete final answer was read."""
         if (entry := self.entries.get(call)) is not None:
             entry.final_answers += 1
 
     def expire(self, call: bytes) -> bool:
-        """The caller's time is over; whether the call is lost by that."""
+        """Record that the caller's time is over; return True if there was no final answer."""
         entry = self.entries.get(call)
         if entry is None or entry.final_answers:
             return False
@@ -70,17 +72,18 @@
         return True
 
     def faults(self) -> list[tuple[CallFault, float]]:
-        """Each fault so far, with when its set-up was written."""
-        known = [
+        """Return each fault so far with the time in ms at which its set-up was written."""
+        remembered = [
             (entry.fault, entry.written_at) for entry in self.entries.values() if entry.fault is not None
         ]
-        return [*self.dropped_faults, *known]
+        return [*self.dropped_faults, *remembered]
 
     def counts(self) -> Counter[CallFault]:
+        """Return the number of faults of each kind."""
         return Counter(fault for fault, _ in self.faults())
 
 
 async def read_pending_bytes() -> None:
-    """Let what already lies at this process reach its readers."""
-    for _ in range(EXPIRY_LOOP_TURNS):
+    """Let bytes that this process has already received reach their readers."""
+    for _ in range(EXPIRY_LOOP_ITERATIONS):
         await asyncio.sleep(0)
--- a/martentide_lab/relay.py
+++ b/martentide_lab/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay between a client and a server, that a test can cut or freeze as a network would."""
+"""A TCP relay between a client and a server with which a test simulates network failures."""
 
 from __future__ import annotations
 
@@ -7,8 +7,10 @@
 
 
 class Relay:
-    """Passes bytes both ways. ``reset_connections`` resets what is open; ``pause`` keeps it open and passes
-    nothing, both ways or one: ``forward`` to the target, ``backward`` from it."""
+    """Forwards bytes between clients and ``target``; connections can be reset, or paused in each direction.
+
+    The direction ``forward`` is towards the target, ``backward`` from it.
+    """
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
@@ -23,30 +25,35 @@
 
     @property
     def address(self) -> str:
+        """Address on which the relay listens."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self) -> None:
+        """Listen on a free port of the loopback interface."""
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            there, back = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
             writer.close()
             return
-        self.writers |= {writer, back}
-        for source, sink, flows in ((reader, back, self.forward_open), (there, writer, self.backward_open)):
-            task = asyncio.get_running_loop().create_task(self._pass(source, sink, flows))
+        self.writers |= {writer, target_writer}
+        for source, sink, gate in (
+            (reader, target_writer, self.forward_open),
+            (target_reader, writer, self.backward_open),
+        ):
+            task = asyncio.get_running_loop().create_task(self._forward(source, sink, gate))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _pass(
-        self, source: asyncio.StreamReader, sink: asyncio.StreamWriter, flows: asyncio.Event
+    async def _forward(
+        self, source: asyncio.StreamReader, sink: asyncio.StreamWriter, gate: asyncio.Event
     ) -> None:
         try:
             while data := await source.read(65536):
-                await flows.wait()
+                await gate.wait()
                 sink.write(data)
                 await sink.drain()
         except OSError:
@@ -56,7 +63,7 @@
             sink.close()
 
     def reset_connections(self) -> None:
-        """Reset all that is open; new connections are taken as before."""
+        """Reset all open connections; new ones are still accepted."""
         self.resets += 1
         for writer in tuple(self.writers):
             sock = writer.get_extra_info("socket")
@@ -66,14 +73,16 @@
         self.writers.clear()
 
     def pause(self, forward: bool = True, backward: bool = True) -> None:
-        """Pass nothing in these directions; what is not named passes."""
+        """Stop forwarding in the given directions, leaving connections open; the others are resumed."""
         (self.forward_open.clear if forward else self.forward_open.set)()
         (self.backward_open.clear if backward else self.backward_open.set)()
 
     def resume(self) -> None:
+        """Forward in both directions."""
         self.pause(False, False)
 
     async def stop(self) -> None:
+        """Stop listening and reset all connections."""
         if self.server is not None:
             self.server.close()
         self.reset_connections()
--- a/martentide_lab/simulation.py
+++ b/martentide_lab/simulation.py
@@ -1,4 +1,4 @@
-"""Simulated time: what is to happen, in order, from one queue."""
+"""Discrete-event simulation: a clock and a queue of scheduled callbacks."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class Simulation:
-    """``now`` is ms since the beginning. Events of one moment happen in the order in which they were set."""
+    """``now`` is ms since the start. Callbacks for the same time run in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = itertools.count()
 
-    def schedule(self, delay: float, what: Callable[[], None]) -> None:
-        """Let it happen ``delay`` ms from now."""
-        heapq.heappush(self.queue, (self.now + delay, next(self.sequence), what))
+    def schedule(self, delay: float, callback: Callable[[], None]) -> None:
+        """Schedule ``callback`` to run ``delay`` ms from now."""
+        heapq.heappush(self.queue, (self.now + delay, next(self.sequence), callback))
 
     def run(self, until: float) -> None:
-        """All that happens up to that time."""
+        """Run all callbacks due up to ``until`` (ms) and set the clock to it."""
         while self.queue and self.queue[0][0] <= until:
             self.step()
         self.now = until
 
     def step(self) -> None:
-        """The next thing that happens."""
-        self.now, _, what = heapq.heappop(self.queue)
-        what()
+        """Advance the clock to the next callback and run it."""
+        self.now, _, callback = heapq.heappop(self.queue)
+        callback()
--- a/tests/extproc/test_services.py
+++ b/tests/extproc/test_services.py
@@ -16,7 +16,7 @@
 from martentide.client import Attempt, Call, Client, ClientClosed, Ending, Refused, Route, Standing
 from martentide.codec.messages import Code, Type, body_length, read_message, write_message
 from martentide.decisions.v1 import decisions_pb2 as pb
-from martentide_lab.fronts import EnvoyStream, RawFrontProxy, UpstreamConnections, set_headers
+from martentide_lab.fronts import EnvoyStream, RawFrontProxy, UpstreamConnections, headers_set_by
 from martentide_lab.proxy import PROJECT_ROOT, ProxyProcess
 from martentide_lab.relay import Relay
 from martentide_lab.servers import DRAINING, DiscoveryServer, SessionServer
@@ -187,7 +187,7 @@
             routes = [(await front.next("route")).route for _ in range(2)]
             await front.outcome(2)
             await front.next("stands")
-            front.break_off()
+            front.reset_stream()
             await env.proxy.wait_for_log_line(
                 "raw/1 reason=peer-"
             )  # peer-reset, or peer-closed if the end was read first
@@ -200,7 +200,7 @@
             assert (once_more.request, once_more.server) == (1, routes[0].server)
             await again.outcome(1)
             assert (await again.next("stands")).stands.request == 1
-            again.break_off()
+            again.reset_stream()
             await asyncio.sleep(0.4)  # the lease
             await front.open()
             await front.send(pb.FrontMessage(hello=pb.Hello(front="raw", session=front.token)))
@@ -406,19 +406,19 @@
         async with grpc.aio.insecure_channel(env.proxy.external_processor_address) as channel:
             stream = EnvoyStream(channel)
             asked = await stream.request(ASKED)
-            added_headers = set_headers(asked)
+            added_headers = headers_set_by(asked)
             assert added_headers["x-envoy-original-dst-host"] in [server.address for server in env.servers]
             assert (
                 added_headers["x-martentide-attempt"] == "0"
                 and int(added_headers["x-envoy-upstream-rq-timeout-ms"]) > 0
             )
             passed = await stream.response(200, x_load_report="x0:10;x1:20;eps:0.1")
-            assert passed.WhichOneof("response") == "response_headers" and not set_headers(passed)
+            assert passed.WhichOneof("response") == "response_headers" and not headers_set_by(passed)
             await stream.done()
             full = EnvoyStream(channel)
             await full.request(ASKED)
             answered = await full.response(503)
-            assert set_headers(answered) == {"x-martentide-why": "decided"}
+            assert headers_set_by(answered) == {"x-martentide-why": "decided"}
 
     run_scenario(scenario)
 
@@ -465,11 +465,11 @@
     async def scenario(env: Environment) -> None:
         async with grpc.aio.insecure_channel(env.proxy.external_processor_address) as channel:
             stream = EnvoyStream(channel)
-            address = set_headers(await stream.request(ASKED))["x-envoy-original-dst-host"]
+            address = headers_set_by(await stream.request(ASKED))["x-envoy-original-dst-host"]
             await stream.response(200)
             env.board.publish([(env.server(address), 2)])
             with pytest.raises(grpc.aio.AioRpcError) as caught:
-                await stream._read()
+                await stream._receive()
             assert caught.value.code() is grpc.StatusCode.UNAVAILABLE
 
     run_scenario(scenario)
--- a/tests/test_call_ledger.py
+++ b/tests/test_call_ledger.py
@@ -1,4 +1,4 @@
-"""The callers' ledger: each fault is found, and what came in time is none."""
+"""Tests of the call ledger: it counts each fault, and an answer that arrived in time is no fault."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     ("events", "fault"),
     [
         ("wf", None),
-        ("wfx", None),  # its answer had come when the caller looked
+        ("wfx", None),  # the answer arrived before the expiry check
         ("wx", CallFault.LOST),
         ("wxf", CallFault.LATE),
         ("wff", CallFault.DOUBLED),
         ("wxff", CallFault.DOUBLED),
-        ("fx", None),  # of a call that was never written whole
+        ("fx", None),  # the set-up was never written completely
     ],
 )
 def test_faults(events: str, fault: CallFault | None) -> None:
@@ -35,7 +35,7 @@
     assert ledger.faults() == ([(fault, 5.0)] if fault else [])
 
 
-def test_a_fault_of_a_forgotten_call_stays_counted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_fault_of_a_dropped_entry_stays_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(call_ledger, "MAX_REMEMBERED_CALLS", 1)
     ledger = CallLedger()
     ledger.record_set_up(CALL, 1.0)
