--- a/benchmarks/learned_benefit.py
+++ b/benchmarks/learned_benefit.py
@@ -65,7 +65,7 @@
         if START_MS + RESTART_AFTER_MS <= sent_at < START_MS + RESTART_AFTER_MS + 3_000.0
     ]
     return {
-        "worth": site.served(START_MS + RESTART_AFTER_MS, end),
+        "worth": site.served_share(START_MS + RESTART_AFTER_MS, end),
         "slow": float(servers_after_restart.count("s0")),
         "cold": float(servers_after_restart.count("s9")),
         "cold_use": site.cold_start_load(cold),
