--- a/benchmarks/fleet_membership.py
+++ b/benchmarks/fleet_membership.py
@@ -19,7 +19,7 @@
 
 from martentide.fleet.wire import State
 from martentide_lab.fleet.faults import Link
-from martentide_lab.fleet.rig import Rig, processor_seconds
+from martentide_lab.fleet.rig import Rig, cpu_seconds
 from martentide_lab.fleet.scenario import Scenario, Step
 from martentide_lab.fleet.simulated import SimulatedFleet
 
@@ -46,7 +46,7 @@
 
 
 def apart(rig: Rig, half: list[str], rest: list[str]) -> bool:
-    return rig.known_dead(*half, by=rest) and rig.known_dead(*rest, by=half)
+    return rig.are_known_dead(*half, by=rest) and rig.are_known_dead(*rest, by=half)
 
 
 async def play(processes: int, seconds: float, seed: int) -> dict[str, Any]:
@@ -62,7 +62,7 @@
         names = script.names()
         resident = {name: rig.resident_memory_mb(name) for name in names}
         began, sent = rig.now(), sum(rig.hub.sent_bytes.values())
-        used = {name: processor_seconds(rig.proxies[name]) for name in names}
+        used = {name: cpu_seconds(rig.proxies[name]) for name in names}
         spent = begun = 0.0
         while rig.now() - began < seconds * 1000.0:
             for name in dice.sample(names, 2):
@@ -72,17 +72,17 @@
                 stops += 1
             await asyncio.sleep(1.0)
             name = dice.choice(names)
-            spent += processor_seconds(rig.proxies[name]) - used[name]
+            spent += cpu_seconds(rig.proxies[name]) - used[name]
             since = rig.now()
             await rig.execute_step(Step(0, "kill", (name,)))
             kills += 1
             try:
-                await rig.wait_until(lambda: rig.known_dead(name), 15.0)  # noqa: B023
+                await rig.wait_until(lambda: rig.are_known_dead(name), 15.0)  # noqa: B023
             except TimeoutError:
                 missed += 1
             detect += delays(rig, name, since, (State.DEAD, State.LEFT)).values()
             await rig.execute_step(Step(0, "start", (name,)))
-            used[name] = processor_seconds(rig.proxies[name])  # imports and settings: no cost of the fleet
+            used[name] = cpu_seconds(rig.proxies[name])  # imports and settings: no cost of the fleet
             begun += used[name]
             since = rig.now() - 1_000.0
             try:
@@ -100,7 +100,7 @@
                 heal.append(await rig.wait_until(rig.is_converged, LIMIT))
                 await asyncio.sleep(7.0)  # the checker owes nobody anything right after
         span = (rig.now() - began) / 1000.0
-        spent += sum(processor_seconds(rig.proxies[name]) - used[name] for name in names)
+        spent += sum(cpu_seconds(rig.proxies[name]) - used[name] for name in names)
         broken = rig.violations()
         lived = [
             name for name in names if not any(e.kind == "killed" and e.observer == name for e in rig.log)
@@ -126,7 +126,7 @@
     """The same figures in simulated time: a minute's stretch, five kills, a split."""
     begin = time.monotonic()
     fleet = SimulatedFleet(members, seed, base=Link(delay=1.0, jitter=2.0, loss=LOSS))
-    fleet.start_acquainted()
+    fleet.start_converged()
     fleet.run(5_000.0)
     sent = {name: node.sent_bytes for name, node in fleet.members.items()}
     fleet.run(15_000.0)
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -13,7 +13,7 @@
 def measure(members: int, seed: int = 1) -> Row:
     """Each member says one entry a second that counts for four."""
     fleet = SimulatedFleet(members, seed, base=Link(delay=1.0, jitter=2.0))
-    fleet.start_acquainted()
+    fleet.start_converged()
 
     def publish(name: str) -> None:
         fleet.publish(name, KIND, bytes(BODY), LIFE)
@@ -28,7 +28,7 @@
         fleet.run(fleet.now + 1_000.0)
         for node in fleet.members.values():
             assert node.core is not None
-            held = sum(1 for _ in node.core.state_entries_of(KIND, node.own_time(fleet.now)))
+            held = sum(1 for _ in node.core.state_entries_of(KIND, node.local_time(fleet.now)))
             wanted += members - 1
             missing += members - 1 - held
     total = sum(node.sent_bytes for node in fleet.members.values()) - sent
--- a/martentide_lab/control/simulated.py
+++ b/martentide_lab/control/simulated.py
@@ -161,8 +161,8 @@
     def cut_network(self, here: Iterable[str], there: Iterable[str]) -> None:
         """Nothing passes between the two groups of zones and control nodes."""
         one, other = list(here), list(there)
-        self.fleet.network.set(one, other, cut=True)
-        self.fleet.network.set(other, one, cut=True)
+        self.fleet.network.set_links(one, other, cut=True)
+        self.fleet.network.set_links(other, one, cut=True)
 
     def split_by_region(self, region: str) -> tuple[list[str], list[str]]:
         """Zones and control nodes of a region, and all others."""
--- a/martentide_lab/fleet/__init__.py
+++ b/martentide_lab/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Several proxies with faults between them: real processes (``rig``) or simulated time (``simulated``).
+"""Fault injection for a fleet of proxies, as real processes (``rig``) or in simulated time (``simulated``).
 
-One script of faults, one event log and one checker serve both.
+Both share the scenario format, the event log and the invariant checker.
 """
--- a/martentide_lab/fleet/faults.py
+++ b/martentide_lab/fleet/faults.py
@@ -1,4 +1,4 @@
-"""What a network does to each directed pair of members; the same for real datagrams and simulated ones."""
+"""Network faults by directed pair of members, for real datagrams and simulated ones alike."""
 
 from __future__ import annotations
 
@@ -11,66 +11,69 @@
 
 @dataclass(frozen=True, slots=True)
 class Link:
-    """One direction between two members; shares 0 to 1, times in ms."""
+    """Faults of one direction between two members; shares 0 to 1, times in ms."""
 
     cut: bool = False
     loss: float = 0.0
     delay: float = 0.0
-    jitter: float = 0.0  # on top of the delay, evenly up to this: what makes order change
+    jitter: float = 0.0  # uniform, added to the delay; reorders datagrams
     duplicate: float = 0.0
-    damage: float = 0.0  # one byte of the datagram is another
+    damage: float = 0.0  # share of datagrams with one byte changed
 
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """One arrival: after ``delay`` ms, with a byte changed where ``corrupted``."""
+    """One arrival of a datagram, after ``delay`` ms; one byte is changed where ``corrupted``."""
 
     delay: float
     corrupted: bool
 
 
 class Network:
-    """Links of all pairs: what all have (``base``), and what single ones have beside it."""
+    """The links of all pairs: ``base``, and in ``links`` the pairs that differ from it."""
 
     def __init__(self, base: Link | None = None) -> None:
         self.base = base or Link()
         self.links: dict[Pair, Link] = {}
 
     def link(self, pair: Pair) -> Link:
+        """The link from the first member of the pair to the second."""
         return self.links.get(pair, self.base)
 
-    def set(self, sources: Iterable[str], targets: Iterable[str], **figures: float | bool) -> None:
-        """Change the links from each source to each target; a name is never linked to itself."""
-        there = list(targets)
+    def set_links(self, sources: Iterable[str], targets: Iterable[str], **changes: float | bool) -> None:
+        """Change the links from each source to each target; a member has no link to itself."""
+        target_names = list(targets)
         for source in sources:
-            for target in there:
+            for target in target_names:
                 if source != target:
                     pair = (source, target)
-                    self.links[pair] = replace(self.link(pair), **figures)  # type: ignore[arg-type]
+                    self.links[pair] = replace(self.link(pair), **changes)  # type: ignore[arg-type]
 
-    def set_all(self, **figures: float | bool) -> None:
-        """Change what all links have."""
-        self.base = replace(self.base, **figures)  # type: ignore[arg-type]
-        self.links = {pair: replace(one, **figures) for pair, one in self.links.items()}  # type: ignore[arg-type]
+    def set_all_links(self, **changes: float | bool) -> None:
+        """Change all links, those that differ from ``base`` included."""
+        self.base = replace(self.base, **changes)  # type: ignore[arg-type]
+        self.links = {pair: replace(link, **changes) for pair, link in self.links.items()}  # type: ignore[arg-type]
 
     def heal(self) -> None:
-        """Every pair is as all are, and nothing is cut."""
+        """Reset every pair to ``base``, and undo a cut of ``base``."""
         self.links.clear()
         self.base = replace(self.base, cut=False)
 
-    def deliveries(self, pair: Pair, dice: random.Random) -> list[Delivery]:
-        """What becomes of one datagram: no arrival, one, or two."""
-        one = self.link(pair)
-        if one.cut or dice.random() < one.loss:
+    def deliveries(self, pair: Pair, rng: random.Random) -> list[Delivery]:
+        """The arrivals of one datagram: none, one or two."""
+        link = self.link(pair)
+        if link.cut or rng.random() < link.loss:
             return []
-        copies = 2 if one.duplicate and dice.random() < one.duplicate else 1
+        copies = 2 if link.duplicate and rng.random() < link.duplicate else 1
         return [
-            Delivery(one.delay + one.jitter * dice.random(), bool(one.damage) and dice.random() < one.damage)
+            Delivery(
+                link.delay + link.jitter * rng.random(), bool(link.damage) and rng.random() < link.damage
+            )
             for _ in range(copies)
         ]
 
 
-def corrupt(data: bytes, dice: random.Random) -> bytes:
-    """The datagram with one byte changed."""
-    at = dice.randrange(len(data))
-    return data[:at] + bytes((data[at] ^ dice.randrange(1, 256),)) + data[at + 1 :]
+def corrupt(data: bytes, rng: random.Random) -> bytes:
+    """Return the datagram with one byte changed."""
+    position = rng.randrange(len(data))
+    return data[:position] + bytes((data[position] ^ rng.randrange(1, 256),)) + data[position + 1 :]
--- a/martentide_lab/fleet/invariants.py
+++ b/martentide_lab/fleet/invariants.py
@@ -1,13 +1,14 @@
-"""What must hold in a fleet, read from the log of what was done to processes and what *others* saw of them.
+"""Invariants of a fleet, checked on the log of what was done to processes and what *others* observed of them.
 
-    found-dead     a process that is killed, or left, is known as such to every other within
+    found-dead     every other member holds a process that was killed or left as dead or left within
                    ``Bounds.detection``
-    not-accused    a process that runs, and that an observer can reach, is not taken for dead by it
-    not-raised     one that was killed is not alive again without having been started
-    one-fleet      ``Bounds.healing`` after the last fault all that run know each other, and nobody else
-    one-name       of two processes under one name at most one speaks
+    not-accused    no member holds a process as dead that runs and that it can reach
+    not-raised     a process that was killed isn't held as alive again without having been started
+    one-fleet      ``Bounds.healing`` after the last fault all running members know each other, and no other
+    one-name       of two processes under one name at most one sends
 
-A process is *disturbed* while it is stopped or cut off, and for a while after: nothing is asked of it then.
+A process is *disturbed* while it is stopped or cut off and for ``Bounds.settling`` after: nothing is required
+of it then.
 """
 
 from __future__ import annotations
@@ -23,41 +24,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """ms"""
+    """Limits that the invariants depend on; times in ms."""
 
     detection: float = 8_000.0
-    settling: float = 6_000.0  # without a disturbance, after which two are owed the truth of each other
+    settling: float = (
+        6_000.0  # undisturbed time after which two members must hold the right state of each other
+    )
     healing: float = 8_000.0
-    suspension: float = 700.0  # a shorter stop must not be taken for a death
-    loss: float = 0.25  # share of datagrams lost, beyond which a false accusation is no fault
-    delay: float = 40.0  # ms one way on all links, beyond which probes come too late
+    suspension: float = 700.0  # a process stopped for less must not be held as dead
+    loss: float = 0.25  # share of datagrams; beyond it a false accusation is no violation
+    delay: float = 40.0  # one way on all links; beyond it probes are too late
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    rule: str
+    """One violation of an invariant, at ``at`` ms of the log."""
+
+    invariant: str
     at: float
     observer: str
     subject: str
     text: str
 
     def __str__(self) -> str:
-        return f"{self.rule}: {self.at / 1000:.3f} s: {self.observer} about {self.subject}: {self.text}"
+        return f"{self.invariant}: {self.at / 1000:.3f} s: {self.observer} about {self.subject}: {self.text}"
 
 
 @dataclass(slots=True)
 class Process:
-    life: int
-    since: float
-    stopped: float | None = None
-    disturbed: float = -1e9  # the last time it was
-    ended: float | None = None
+    """What the log says of one incarnation of a process; times in ms of the log."""
+
+    incarnation: int
+    started_at: float
+    stopped_at: float | None = None
+    disturbed_at: float = -1e9  # end of the last disturbance
+    ended_at: float | None = None
     left: bool = False
 
 
 @dataclass
 class FleetChecker:
-    """Fed the log in order; ``finish`` gives what was broken."""
+    """Checks the events of a log in their order; ``finish`` returns the violations."""
 
     names: Sequence[str]
     bounds: Bounds = field(default_factory=Bounds)
@@ -65,195 +72,221 @@
     def __post_init__(self) -> None:
         self.processes: dict[str, Process] = {}
         self.views: dict[str, dict[str, tuple[int, int]]] = {name: {} for name in self.names}
-        self.cut: dict[tuple[str, str], bool] = {}
-        self.cut_until: dict[tuple[str, str], float] = {}
+        self.cut_links: dict[tuple[str, str], bool] = {}
+        self.cut_ended_at: dict[tuple[str, str], float] = {}
         self.loss = self.delay = 0.0
-        self.loss_until = -1e9
-        self.last_fault = 0.0
-        self.owed: list[tuple[float, str, str, int, float]] = []  # due, observer, about, life, since
-        self.ended: dict[int, float] = {}  # lives that are over
+        self.impaired_until = -1e9
+        self.last_fault_at = 0.0
+        self.pending_detections: list[
+            tuple[float, str, str, int, float]
+        ] = []  # due, observer, subject, incarnation, ended at
+        self.ended_incarnations: dict[int, float] = {}  # incarnation to the end of its process
         self.violations: list[Violation] = []
 
     def check(self, log: Iterable[Event], end: float) -> list[Violation]:
+        """Check a whole log, up to ``end`` (ms)."""
         for event in sorted(log, key=lambda event: event.at):
             self.handle_event(event)
         return self.finish(end)
 
-    # ---- the log ----------------------------------------------------------------------------------------
+    # ---- events -----------------------------------------------------------------------------------------
 
     def handle_event(self, event: Event) -> None:
-        self._pay(event.at)
+        """Check one event; events come in the order of their time."""
+        self._check_detections(event.at)
         match event.kind:
             case "started":
                 self.processes[event.subject] = Process(event.fields["life"], event.at)
                 self.views[event.subject] = {}
-                self.last_fault = event.at
+                self.last_fault_at = event.at
             case "killed" | "left":
-                self._ended(event)
+                self._handle_end(event)
             case "stopped" | "starved":
-                if (one := self.processes.get(event.subject)) is not None:
-                    one.stopped = event.at
-                    self.last_fault = event.at
+                if (process := self.processes.get(event.subject)) is not None:
+                    process.stopped_at = event.at
+                    self.last_fault_at = event.at
             case "continued" | "fed":
-                self._continued(event)
+                self._handle_continue(event)
             case "fault":
-                self._fault(event)
+                self._handle_fault(event)
             case "member":
-                self._seen(event)
+                self._handle_member(event)
             case "displaced":
-                if (one := self.processes.get(event.observer)) is not None:
-                    one.disturbed = float("inf")  # it has no say any more
+                if (process := self.processes.get(event.observer)) is not None:
+                    process.disturbed_at = float("inf")  # a displaced process isn't checked any more
 
-    def _ended(self, event: Event) -> None:
-        one = self.processes.get(event.subject)
-        if one is None or one.ended is not None:
+    def _handle_end(self, event: Event) -> None:
+        process = self.processes.get(event.subject)
+        if process is None or process.ended_at is not None:
             return
-        one.ended, one.left = event.at, event.kind == "left"
-        self.ended[one.life] = event.at
-        self.last_fault = event.at
+        process.ended_at, process.left = event.at, event.kind == "left"
+        self.ended_incarnations[process.incarnation] = event.at
+        self.last_fault_at = event.at
         for name in self.names:
-            held = self.views[name].get(event.subject)
-            if name != event.subject and self._runs(name) and held is not None and held[1] < State.DEAD:
+            view = self.views[name].get(event.subject)
+            if name != event.subject and self._is_running(name) and view is not None and view[1] < State.DEAD:
                 due = event.at + self.bounds.detection
-                if held[0] == one.life:
-                    self.owed.append((due, name, event.subject, one.life, event.at))
-
-    def _continued(self, event: Event) -> None:
-        one = self.processes.get(event.subject)
-        if one is not None and one.stopped is not None:
-            if event.at - one.stopped > self.bounds.suspension:
-                one.disturbed = event.at
-                self.last_fault = event.at
-            one.stopped = None
-
-    def _fault(self, event: Event) -> None:
+                if view[0] == process.incarnation:
+                    self.pending_detections.append((due, name, event.subject, process.incarnation, event.at))
+
+    def _handle_continue(self, event: Event) -> None:
+        process = self.processes.get(event.subject)
+        if process is not None and process.stopped_at is not None:
+            if event.at - process.stopped_at > self.bounds.suspension:
+                process.disturbed_at = event.at
+                self.last_fault_at = event.at
+            process.stopped_at = None
+
+    def _handle_fault(self, event: Event) -> None:
         arguments: Sequence[Any] = event.fields.get("arguments", ())
-        self.last_fault = event.at
+        self.last_fault_at = event.at
         match event.subject:
             case "split" | "cut":
-                here, there = (split_names(text) for text in arguments)
-                pairs = {(a, b) for a in here for b in there}
+                sources, targets = (split_names(text) for text in arguments)
+                pairs = {(a, b) for a in sources for b in targets}
                 if event.subject == "split":
                     pairs |= {(b, a) for a, b in pairs}
                 for pair in pairs:
-                    self.cut[pair] = True
+                    self.cut_links[pair] = True
             case "heal":
-                for pair in self.cut:
-                    self.cut_until[pair] = event.at
-                self.cut.clear()
+                for pair in self.cut_links:
+                    self.cut_ended_at[pair] = event.at
+                self.cut_links.clear()
             case "loss":
                 if self.loss > self.bounds.loss:
-                    self.loss_until = event.at
+                    self.impaired_until = event.at
                 self.loss = arguments[0]
             case "delay":
                 if self.delay > self.bounds.delay:
-                    self.loss_until = event.at
+                    self.impaired_until = event.at
                 self.delay = arguments[0]
 
-    def _runs(self, name: str) -> bool:
-        one = self.processes.get(name)
-        return one is not None and one.ended is None
+    def _is_running(self, name: str) -> bool:
+        process = self.processes.get(name)
+        return process is not None and process.ended_at is None
 
-    def _calm(self, name: str, at: float) -> bool:
+    def _is_undisturbed(self, name: str, at: float) -> bool:
         """Whether the process runs and has been undisturbed for long enough."""
-        one = self.processes.get(name)
-        if one is None or one.ended is not None:
+        process = self.processes.get(name)
+        if process is None or process.ended_at is not None:
             return False
-        if one.stopped is not None and at - one.stopped > self.bounds.suspension:
+        if process.stopped_at is not None and at - process.stopped_at > self.bounds.suspension:
             return False
-        return at - one.disturbed > self.bounds.settling and at - one.since > 0
-
-    def _reach(self, a: str, b: str, at: float) -> bool:
-        """Whether both have heard each other all the time, by whatever way: no link at either is cut."""
-        cut_now = any(a in pair or b in pair for pair in self.cut)
-        lately = any(
-            at - until <= self.bounds.settling for pair, until in self.cut_until.items() if {a, b} & set(pair)
+        return at - process.disturbed_at > self.bounds.settling and at - process.started_at > 0
+
+    def _is_reachable(self, a: str, b: str, at: float) -> bool:
+        """Whether datagrams have passed between both throughout: no link at either is cut or impaired."""
+        cut_now = any(a in pair or b in pair for pair in self.cut_links)
+        recently_cut = any(
+            at - until <= self.bounds.settling
+            for pair, until in self.cut_ended_at.items()
+            if {a, b} & set(pair)
         )
-        lossy = (
+        impaired = (
             self.loss > self.bounds.loss
             or self.delay > self.bounds.delay
-            or at - self.loss_until <= self.bounds.settling
+            or at - self.impaired_until <= self.bounds.settling
+        )
+        return not (cut_now or recently_cut or impaired)
+
+    def _handle_member(self, event: Event) -> None:
+        observer, subject, state, incarnation = (
+            event.observer,
+            event.subject,
+            event.fields["state"],
+            event.fields["life"],
         )
-        return not (cut_now or lately or lossy)
-
-    def _seen(self, event: Event) -> None:
-        who, about, state, life = event.observer, event.subject, event.fields["state"], event.fields["life"]
-        old = self.views[who].get(about)
-        self.views[who][about] = (life, state)
-        one = self.processes.get(about)
-        runs = one is not None and one.life == life and one.ended is None
-        if state == State.DEAD and runs:
-            calm = self._calm(who, event.at) and self._calm(about, event.at)
-            if calm and self._reach(who, about, event.at):
-                self._break("not-accused", event, event.fields.get("evidence", ""))
-        ended = self.ended.get(life)
-        late = ended is not None and event.at - ended > self.bounds.detection
+        old_view = self.views[observer].get(subject)
+        self.views[observer][subject] = (incarnation, state)
+        process = self.processes.get(subject)
+        is_running = process is not None and process.incarnation == incarnation and process.ended_at is None
+        if state == State.DEAD and is_running:
+            undisturbed = self._is_undisturbed(observer, event.at) and self._is_undisturbed(subject, event.at)
+            if undisturbed and self._is_reachable(observer, subject, event.at):
+                self._report("not-accused", event, event.fields.get("evidence", ""))
+        ended_at = self.ended_incarnations.get(incarnation)
+        late = ended_at is not None and event.at - ended_at > self.bounds.detection
         if (
             late
             and state < State.DEAD
-            and (old is None or old[1] >= State.DEAD)
-            and self._calm(who, event.at)
+            and (old_view is None or old_view[1] >= State.DEAD)
+            and self._is_undisturbed(observer, event.at)
         ):
-            self._break("not-raised", event, f"it ended {event.at - (ended or 0.0):.0f} ms before")
+            self._report(
+                "not-raised", event, f"its process ended {event.at - (ended_at or 0.0):.0f} ms before"
+            )
 
-    def _break(self, rule: str, event: Event, text: str) -> None:
-        self.violations.append(Violation(rule, event.at, event.observer, event.subject, text))
+    def _report(self, invariant: str, event: Event, text: str) -> None:
+        self.violations.append(Violation(invariant, event.at, event.observer, event.subject, text))
 
-    # ---- what is owed ------------------------------------------------------------------------------------
+    # ---- what must be detected --------------------------------------------------------------------------
 
-    def _pay(self, now: float) -> None:
-        while self.owed and self.owed[0][0] <= now:
-            due, name, about, life, since = self.owed.pop(0)
-            observer = self.processes.get(name)
-            if observer is None or observer.ended is not None or observer.since > since:
+    def _check_detections(self, now: float) -> None:
+        while self.pending_detections and self.pending_detections[0][0] <= now:
+            due, observer_name, subject, incarnation, ended_at = self.pending_detections.pop(0)
+            observer = self.processes.get(observer_name)
+            if observer is None or observer.ended_at is not None or observer.started_at > ended_at:
                 continue
-            if observer.stopped is not None or observer.disturbed > since - self.bounds.settling:
+            if observer.stopped_at is not None or observer.disturbed_at > ended_at - self.bounds.settling:
                 continue
-            held = self.views[name].get(about)
-            if held is not None and held[0] == life and held[1] < State.DEAD:
-                text = f"ended at {since / 1000:.3f} s and still held for alive"
-                self.violations.append(Violation("found-dead", due, name, about, text))
+            view = self.views[observer_name].get(subject)
+            if view is not None and view[0] == incarnation and view[1] < State.DEAD:
+                text = f"ended at {ended_at / 1000:.3f} s and still held as alive"
+                self.violations.append(Violation("found-dead", due, observer_name, subject, text))
 
     def finish(self, end: float) -> list[Violation]:
-        self._pay(end)
+        """Check what must hold at the end (ms); returns all violations."""
+        self._check_detections(end)
         if (
-            end - self.last_fault < self.bounds.healing
-            or self.cut
+            end - self.last_fault_at < self.bounds.healing
+            or self.cut_links
             or self.loss > self.bounds.loss
             or self.delay > self.bounds.delay
         ):
             return self.violations
-        up = {
+        running = {
             name
-            for name, one in self.processes.items()
-            if one.ended is None and one.stopped is None and one.disturbed != float("inf")
+            for name, process in self.processes.items()
+            if process.ended_at is None
+            and process.stopped_at is None
+            and process.disturbed_at != float("inf")
         }
-        for name in sorted(up):
-            held = {about for about, (_, state) in self.views[name].items() if state < State.DEAD}
-            if held != up - {name}:
-                lacking, beyond = sorted(up - {name} - held), sorted(held - up)
-                text = f"does not know {lacking}, holds {beyond} for alive"
+        for name in sorted(running):
+            alive = {subject for subject, (_, state) in self.views[name].items() if state < State.DEAD}
+            if alive != running - {name}:
+                missing, unexpected = sorted(running - {name} - alive), sorted(alive - running)
+                text = f"does not know {missing}, holds {unexpected} as alive"
                 self.violations.append(Violation("one-fleet", end, name, "", text))
         return self.violations
 
 
 def check_withdrawn(server: SessionServer, since: float, bound: float) -> list[str]:
-    """``withdrawn``: a server that a version takes away gets nothing new later than ``bound`` ms after
-    somebody heard that it is in force (Unix ms), by what came to the server itself."""
-    late = [one.received_at - since for one in server.received_set_ups if one.received_at > since + bound]
-    return [f"withdrawn: {len(late)} set-ups came up to {max(late):.0f} ms after"] if late else []
+    """``withdrawn``: a server that a version removes receives no set-up later than ``bound`` ms after
+    ``since`` (Unix ms), when a proposer was notified that the version is in force. Checked on the
+    set-ups that the server received."""
+    late = [
+        set_up.received_at - since for set_up in server.received_set_ups if set_up.received_at > since + bound
+    ]
+    return [f"withdrawn: {len(late)} set-ups received up to {max(late):.0f} ms after"] if late else []
 
 
 def check_attempts(
-    servers: Iterable[SessionServer], since: float, until: float, most: int, bound: float
+    servers: Iterable[SessionServer], since: float, until: float, max_attempts: int, bound: float
 ) -> list[str]:
-    """``attempts``: a call that comes later than ``bound`` ms after somebody heard that so many attempts are
-    in force (Unix ms), and before ``until``, gets no more of them; by what came to all servers together."""
-    times: dict[bytes, list[float]] = {}
+    """``attempts``: a call that arrives later than ``bound`` ms after ``since`` and before ``until`` (Unix
+    ms) gets at most ``max_attempts``; ``since`` is when a proposer was notified that this limit is in force.
+    Checked on the set-ups that all servers received together."""
+    received_at: dict[bytes, list[float]] = {}
     for server in servers:
-        for one in server.received_set_ups:
-            times.setdefault(one.call, []).append(one.received_at)
-    late = [min(at) - since for at in times.values() if since + bound < min(at) < until and len(at) > most]
+        for set_up in server.received_set_ups:
+            received_at.setdefault(set_up.call, []).append(set_up.received_at)
+    late = [
+        min(times) - since
+        for times in received_at.values()
+        if since + bound < min(times) < until and len(times) > max_attempts
+    ]
     return (
-        [f"attempts: {len(late)} calls got more than {most}, up to {max(late):.0f} ms after"] if late else []
+        [f"attempts: {len(late)} calls got more than {max_attempts}, up to {max(late):.0f} ms after"]
+        if late
+        else []
     )
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -1,6 +1,6 @@
-"""The fleet's cores in simulated time: the same scripts, the same log, up to a thousand members.
+"""Membership cores in simulated time, with the scenarios and the event log of the rig; up to 1000 members.
 
-Datagrams are written and read as on the wire, so that sizes and damage are what they would be.
+Datagrams are encoded and decoded as on the wire, so that sizes and the effects of corruption are real.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 from martentide_lab.fleet.scenario import Event, Step, split_names
 from martentide_lab.simulation import Simulation
 
-MAX_QUEUED_DATAGRAMS = 200  # datagrams that the socket of a stopped process holds
-# By which members' clocks run apart: within the core's MAX_CLOCK_DRIFT.
+MAX_QUEUED_DATAGRAMS = 200  # capacity of the socket of a stopped process, in datagrams
+# Drifts of the members' clocks, taken in turn; within the core's MAX_CLOCK_DRIFT.
 CLOCK_DRIFTS = (0.0, 0.0004, -0.0004, 0.0002, -0.0001)
 Address = tuple[str, int]
 
 
 @dataclass
 class SimulatedMember:
-    """One process: its core, and the clock it reads (``clock_offset``, ``clock_rate``)."""
+    """One process: its core, and the clock it reads (``clock_offset`` in ms, ``clock_rate``)."""
 
     name: str
     zone: str
@@ -46,25 +46,26 @@
     clock_offset: float
     core: Membership | None = None
     stopped: bool = False
-    queued: list[bytes | Datagram] = field(default_factory=list)
-    due: float = 0.0  # what the queue holds for it
-    sent_bytes: int = 0  # bytes
+    queued_datagrams: list[bytes | Datagram] = field(default_factory=list)
+    scheduled_at: float = 0.0  # simulated time (ms) of its next timer; 0: none
+    sent_bytes: int = 0  # with the headers of IP and UDP
     sent_datagrams: int = 0
     incarnations: int = 0
-    starved_incarnation: int = 0  # the life that is kept from the processor
-    clock_rate: float = 1.0  # ms of its clock in one of the true ones
+    starved_incarnation: int = 0  # the incarnation that is starved of CPU time; 0: none
+    clock_rate: float = 1.0  # ms of its clock per ms of simulated time
     counts: Counter[str] = field(default_factory=Counter)
 
-    def own_time(self, now: float) -> float:
-        return now * self.clock_rate + self.clock_offset
+    def local_time(self, simulated_time: float) -> float:
+        """What its clock shows at a simulated time (ms)."""
+        return simulated_time * self.clock_rate + self.clock_offset
 
-    def true_time(self, own: float) -> float:
-        """The time at which its clock shows that."""
-        return (own - self.clock_offset) / self.clock_rate
+    def simulated_time(self, local_time: float) -> float:
+        """The simulated time (ms) at which its clock shows ``local_time``."""
+        return (local_time - self.clock_offset) / self.clock_rate
 
 
 class SimulatedFleet(Simulation):
-    """``zone_of`` names the zone of the n-th member; the first ``seeds`` members are everybody's seeds."""
+    """A fleet with its members in ``zones`` by turns; the first ``seeds`` members are seeds of all."""
 
     def __init__(
         self,
@@ -75,7 +76,7 @@
         zones: int = 3,
         seeds: int = 3,
         name: str = "f",
-        encode_datagrams: bool = True,  # False: datagrams go as they are (quicker); damaged ones are lost
+        encode_datagrams: bool = True,  # False: passed unencoded (faster); corrupted ones are lost
     ) -> None:
         super().__init__()
         self.encode_datagrams = encode_datagrams
@@ -87,20 +88,20 @@
         self.observers: list[Callable[[str, Action], None]] = []
         self.members: dict[str, SimulatedMember] = {}
         self.names_by_address: dict[Address, str] = {}
-        self.seeds = tuple(("127.0.0.1", 20_000 + at) for at in range(seeds))
-        for at in range(members):
-            address = ("127.0.0.1", 20_000 + at)
+        self.seeds = tuple(("127.0.0.1", 20_000 + number) for number in range(seeds))
+        for number in range(members):
+            address = ("127.0.0.1", 20_000 + number)
             offset = self.rng.uniform(0, 1e7)
-            pace = 1.0 + CLOCK_DRIFTS[at % len(CLOCK_DRIFTS)]
-            self.members[f"n{at}"] = SimulatedMember(
-                f"n{at}", f"z{at % zones}", address, offset, clock_rate=pace
+            clock_rate = 1.0 + CLOCK_DRIFTS[number % len(CLOCK_DRIFTS)]
+            self.members[f"n{number}"] = SimulatedMember(
+                f"n{number}", f"z{number % zones}", address, offset, clock_rate=clock_rate
             )
-            self.names_by_address[address] = f"n{at}"
+            self.names_by_address[address] = f"n{number}"
 
     # ---- time -------------------------------------------------------------------------------------------
 
     def play(self, steps: tuple[Step, ...], until: float) -> list[Event]:
-        """All members start at once; then the steps; the log of it all."""
+        """Start all members at once, run the steps up to ``until`` (ms) and return the event log."""
         for step in steps:
             self.schedule(step.at - self.now, lambda step=step: self.execute_step(step))  # type: ignore[misc]
         for name in self.members:
@@ -108,42 +109,45 @@
         self.run(until)
         return self.log
 
-    def start_acquainted(self) -> None:
-        """All start, and know each other from the first moment: where the cold start is not the question."""
+    def start_converged(self) -> None:
+        """Start all members with full knowledge of each other, for tests that aren't about the cold start."""
         for name in self.members:
             self.start(name)
-        words = [node.core.me for node in self.members.values() if node.core is not None]
+        records = [node.core.me for node in self.members.values() if node.core is not None]
         for name, node in self.members.items():
             assert node.core is not None
-            teller = words[0] if words[0].name != name else words[1]
-            rest = [word for word in words if word.name != name]
+            sender = records[0] if records[0].name != name else records[1]
+            others = [record for record in records if record.name != name]
             self.handle_event(
-                name, DatagramReceived(Datagram(Kind.MISSING, teller, node.core.me.life, 0, members=rest))
+                name, DatagramReceived(Datagram(Kind.MISSING, sender, node.core.me.life, 0, members=others))
             )
 
     # ---- processes --------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
+        """Start the member's process unless it runs."""
         node = self.members[name]
         if node.core is not None:
             return
         node.incarnations += 1
         node.stopped, node.starved_incarnation = False, 0
-        node.queued.clear()
-        now = node.own_time(self.now)
+        node.queued_datagrams.clear()
+        now = node.local_time(self.now)
         node.core = Membership(
             name, node.zone, node.address, self.seeds, self.terms, self.rng.getrandbits(48), now
         )
         self._log("started", name, name, life=node.core.me.life)
-        self._schedule(node)
+        self._schedule_timer(node)
 
     def kill(self, name: str) -> None:
+        """End the process without notice, as SIGKILL."""
         node = self.members[name]
         if node.core is not None:
             node.core = None
             self._log("killed", name, name)
 
     def term(self, name: str) -> None:
+        """End the process after it has left the fleet, as SIGTERM."""
         node = self.members[name]
         if node.core is not None:
             self.handle_event(name, Depart())
@@ -151,6 +155,7 @@
             self._log("left", name, name)
 
     def stop(self, name: str) -> None:
+        """Suspend the process, as SIGSTOP."""
         node = self.members[name]
         self.unstarve(name)
         if node.core is not None and not node.stopped:
@@ -158,96 +163,104 @@
             self._log("stopped", name, name)
 
     def resume(self, name: str) -> None:
+        """Continue a suspended process, as SIGCONT."""
         node = self.members[name]
         if node.core is None or not node.stopped or node.starved_incarnation:
             return
         self._log("continued", name, name)
-        self._run_on(node)
+        self._resume_process(node)
 
-    def _run_on(self, node: SimulatedMember) -> None:
-        """The process runs again, with what lay in its socket meanwhile."""
+    def _resume_process(self, node: SimulatedMember) -> None:
+        """Let the process run again; it receives the datagrams that were queued in its socket."""
         node.stopped = False
-        waiting, node.queued = node.queued, []
-        if self.rng.random() < 0.5:  # the loop may turn to its timers or to its sockets first
+        queued, node.queued_datagrams = node.queued_datagrams, []
+        if self.rng.random() < 0.5:  # the event loop may run timers or read sockets first
             self.handle_event(node.name, Due())
-        for data in waiting:
-            self._arrive(node.name, data)
+        for data in queued:
+            self._deliver_datagram(node.name, data)
         self.handle_event(node.name, Due())
 
     def starve(self, name: str) -> None:
-        """Kept from the processor nine tenths of the time, until ``unstarve``."""
+        """Suspend the process nine tenths of the time, until ``unstarve``."""
         node = self.members[name]
         if node.core is None or node.stopped or node.starved_incarnation:
             return
         node.starved_incarnation = node.incarnations
         self._log("starved", name, name)
-        self._pause(node, node.incarnations)
+        self._suspend_starved(node, node.incarnations)
 
     def unstarve(self, name: str) -> None:
+        """End what ``starve`` began."""
         node = self.members[name]
         if node.starved_incarnation:
             node.starved_incarnation = 0
             if node.core is not None:
-                self._run_on(node)
+                self._resume_process(node)
                 self._log("fed", name, name)
 
-    def _pause(self, node: SimulatedMember, life: int) -> None:
-        if node.starved_incarnation == life and node.core is not None:
+    def _suspend_starved(self, node: SimulatedMember, incarnation: int) -> None:
+        if node.starved_incarnation == incarnation and node.core is not None:
             node.stopped = True
-            self.schedule(250.0, lambda: self._breathe(node, life))
+            self.schedule(250.0, lambda: self._run_starved(node, incarnation))
 
-    def _breathe(self, node: SimulatedMember, life: int) -> None:
-        if node.starved_incarnation == life and node.core is not None:
-            self._run_on(node)
-            self.schedule(30.0, lambda: self._pause(node, life))
+    def _run_starved(self, node: SimulatedMember, incarnation: int) -> None:
+        if node.starved_incarnation == incarnation and node.core is not None:
+            self._resume_process(node)
+            self.schedule(30.0, lambda: self._suspend_starved(node, incarnation))
 
     def handle_event(self, name: str, event: CoreEvent) -> None:
+        """Pass an event to the member's core, if it runs, and carry out the core's actions."""
         node = self.members[name]
         if node.core is None:
             return
         if node.stopped:
             return
-        for action in node.core.handle(node.own_time(self.now), event):
-            self._act(node, action)
-        self._schedule(node)
+        for action in node.core.handle(node.local_time(self.now), event):
+            self._perform(node, action)
+        self._schedule_timer(node)
 
-    def publish(self, name: str, kind: int, body: bytes, end: int = 10_000) -> None:
-        self.handle_event(name, Publish(kind, 1, end, body))
+    def publish(self, name: str, kind: int, body: bytes, max_age: int = 10_000) -> None:
+        """Publish a state entry of the member, valid for ``max_age`` ms."""
+        self.handle_event(name, Publish(kind, 1, max_age, body))
 
-    def _schedule(self, node: SimulatedMember) -> None:
+    def _schedule_timer(self, node: SimulatedMember) -> None:
         core = node.core
         if core is None or core.displaced:
             return
-        due = max(self.now, node.true_time(core.due)) + 0.01  # rounding must not bring it before its time
-        if node.due <= self.now or due < node.due:
-            node.due = due
-            self.schedule(due - self.now, lambda: self._due(node, core, due))
-
-    def _due(self, node: SimulatedMember, core: Membership, due: float) -> None:
-        if node.core is not core or node.due != due or node.stopped:
+        due = (
+            max(self.now, node.simulated_time(core.due)) + 0.01
+        )  # rounding must not make the timer run early
+        if node.scheduled_at <= self.now or due < node.scheduled_at:
+            node.scheduled_at = due
+            self.schedule(due - self.now, lambda: self._timer_expired(node, core, due))
+
+    def _timer_expired(self, node: SimulatedMember, core: Membership, due: float) -> None:
+        if node.core is not core or node.scheduled_at != due or node.stopped:
             return
-        node.due = 0.0
+        node.scheduled_at = 0.0
         self.handle_event(node.name, Due())
 
-    def _act(self, node: SimulatedMember, action: Action) -> None:
+    def _perform(self, node: SimulatedMember, action: Action) -> None:
         match action:
             case Send(address, datagram):
                 if not self.encode_datagrams:
                     node.sent_datagrams += 1
-                    self._carry(node.name, address, datagram)
+                    self._transmit_datagram(node.name, address, datagram)
                     return
                 data = self.frame.write(datagram)
                 node.sent_bytes += len(data) + 28  # with the headers of IP and UDP
                 node.sent_datagrams += 1
                 node.counts["largest"] = max(node.counts["largest"], len(data))
-                self._carry(node.name, address, data)
-            case Changed(word, old, by, evidence):
+                self._transmit_datagram(node.name, address, data)
+            case Changed(record, old, by, evidence):
                 self._log(
-                    "member", node.name, word.name, state=word.state, old=None if old is None else int(old),
-                    by=by, evidence=evidence, life=word.life,
+                    "member", node.name, record.name, state=record.state,
+                    old=None if old is None else int(old), by=by, evidence=evidence, life=record.life,
                 )  # fmt: skip
-            case Learned(word):
-                self._log("facet", node.name, word.owner, facet=word.kind, counter=word.counter, age=word.age)
+            case Learned(entry):
+                self._log(
+                    "facet", node.name, entry.owner, facet=entry.kind, counter=entry.counter, age=entry.age
+                )
             case Displaced(by):
                 self._log("displaced", node.name, by.name, life=by.life)
             case Stalled(span):
@@ -255,69 +268,70 @@
         for observe in self.observers:
             observe(node.name, action)
 
-    def _carry(self, source: str, address: Address, data: bytes | Datagram) -> None:
+    def _transmit_datagram(self, source: str, address: Address, data: bytes | Datagram) -> None:
         target = self.names_by_address.get(address)
         if target is None:
             return
-        for fate in self.network.deliveries((source, target), self.rng):
+        for delivery in self.network.deliveries((source, target), self.rng):
             body = data
-            if fate.corrupted:
+            if delivery.corrupted:
                 body = corrupt(data, self.rng) if isinstance(data, bytes) else b""
-            self.schedule(fate.delay, lambda body=body: self._arrive(target, body))  # type: ignore[misc]
+            self.schedule(delivery.delay, lambda body=body: self._deliver_datagram(target, body))  # type: ignore[misc]
 
-    def _arrive(self, name: str, data: bytes | Datagram) -> None:
+    def _deliver_datagram(self, name: str, data: bytes | Datagram) -> None:
         node = self.members[name]
         if node.core is None:
             return
         if node.stopped:
-            if len(node.queued) < MAX_QUEUED_DATAGRAMS:
-                node.queued.append(data)
+            if len(node.queued_datagrams) < MAX_QUEUED_DATAGRAMS:
+                node.queued_datagrams.append(data)
             return
         if isinstance(data, Datagram):
             self.handle_event(name, DatagramReceived(data))
             return
         try:
-            said = self.frame.read(data)
+            datagram = self.frame.read(data)
         except DatagramError as error:
             node.counts[error.why.value] += 1
             return
-        self.handle_event(name, DatagramReceived(said))
+        self.handle_event(name, DatagramReceived(datagram))
 
-    def _log(self, kind: str, who: str, about: str, **fields: object) -> None:
-        self.log.append(Event(self.now, kind, who, about, fields))
+    def _log(self, kind: str, observer: str, subject: str, **fields: object) -> None:
+        self.log.append(Event(self.now, kind, observer, subject, fields))
 
     # ---- faults -----------------------------------------------------------------------------------------
 
     def execute_step(self, step: Step) -> None:
-        """Carry out one step of a script; those that have no meaning here are passed over."""
-        one: dict[str, Callable[[str], None]] = {
+        """Carry out one step of a scenario; steps without a meaning in simulated time are only logged."""
+        handlers: dict[str, Callable[[str], None]] = {
             "kill": self.kill, "term": self.term, "start": self.start, "stop": self.stop,
             "continue": self.resume, "starve": self.starve, "feed": self.unstarve,
         }  # fmt: skip
-        if step.verb in one:
+        if step.verb in handlers:
             for name in split_names(step.arguments[0]):
                 if name in self.members:
-                    one[step.verb](name)
+                    handlers[step.verb](name)
         else:
             apply_to_network(self.network, step)
             self._log("fault", "network", step.verb, arguments=step.arguments)
 
 
 def apply_to_network(network: Network, step: Step) -> None:
+    """Carry out a step that changes links; any other step changes nothing."""
     match (step.verb, *step.arguments):
-        case ("split", here, there):
-            one, other = split_names(here), split_names(there)
-            network.set(one, other, cut=True)
-            network.set(other, one, cut=True)
-        case ("cut", here, there):
-            network.set(split_names(here), split_names(there), cut=True)
+        case ("split", first, second):
+            one_side, other_side = split_names(first), split_names(second)
+            network.set_links(one_side, other_side, cut=True)
+            network.set_links(other_side, one_side, cut=True)
+        case ("cut", sources, targets):
+            network.set_links(split_names(sources), split_names(targets), cut=True)
         case ("heal",):
             network.heal()
         case ("loss", share):
-            network.set_all(loss=share)
-        case ("delay", span, jitter):
-            network.set_all(delay=span, jitter=jitter)
+            network.set_all_links(loss=share)
+        case ("delay", delay, jitter):
+            network.set_all_links(delay=delay, jitter=jitter)
         case ("duplicate", share):
-            network.set_all(duplicate=share)
+            network.set_all_links(duplicate=share)
         case ("damage", share):
-            network.set_all(damage=share)
+            network.set_all_links(damage=share)
--- a/martentide_lab/fleet/simulated_agreement.py
+++ b/martentide_lab/fleet/simulated_agreement.py
@@ -1,5 +1,5 @@
 """Agreement on versions in simulated time: real cores on the simulated fleet's clocks and network, disks that
-are kept over kills, and a checker of what members act on."""
+survive kills, and a checker of the rules that members act on."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def rule_set(attempts: int, repeat: str = "keyed", state: str = "ready") -> bytes:
-    """A small one; two of them contradict each other where the figures differ."""
+    """A small rule set, encoded; two with different arguments contradict each other."""
     data = {
         "attempts": attempts,
         "classes": {"sign": {"repeat": repeat, "deadline_ms": 6000, "pools": None}},
@@ -47,7 +47,7 @@
 
 @dataclass
 class ProposalResult:
-    """What one proposer heard."""
+    """The result of a proposal as its proposer received it, at ``at`` ms."""
 
     request: str
     done: bool
@@ -56,86 +56,93 @@
 
 
 class SimulatedAgreementFleet(SimulatedFleet):
-    """Each member has an agreement core beside the fleet's; the first ``voters`` vote."""
+    """A fleet with an agreement core beside each membership core; the first ``voters`` members vote."""
 
     def __init__(
         self,
         members: int,
         seed: int,
         voters: int = 3,
-        terms: LeaseTimings | None = None,
+        timings: LeaseTimings | None = None,
         base: Link | None = None,
         kind: type[Agreement] = Agreement,
     ) -> None:
         super().__init__(members, seed, base=base, encode_datagrams=False)
-        self.agreement_terms, self.core_type = terms or LeaseTimings(), kind
-        self.voters = [f"n{at}" for at in range(voters)]
+        self.lease_timings, self.core_type = timings or LeaseTimings(), kind
+        self.voters = [f"n{number}" for number in range(voters)]
         self.agreements: dict[str, Agreement] = {}
         self.disks: dict[str, VoterState] = {}
         self.queued_messages: dict[
             str, list[tuple[str, bytes]]
-        ] = {}  # that lie in the sockets of stopped processes
+        ] = {}  # queued in the sockets of stopped processes; sender and body
         self.results: list[ProposalResult] = []
-        self.requests_in_force: dict[int, str] = {}  # by version, what it holds, by whoever acted on it first
+        self.requests_in_force: dict[
+            int, str
+        ] = {}  # by version number: the request of the version that a member acted on first
         self.violations: list[str] = []
-        self.rejections: dict[str, str] = {}  # members that turn versions down, and why
-        self.safe_ms: dict[str, float] = dict.fromkeys(self.members, 0.0)
-        self.sent_messages: dict[str, tuple[int, int]] = {}  # and their bytes, by who said them
+        self.rejections: dict[str, str] = {}  # members that reject every version, and their reason
+        self.safe_ms: dict[str, float] = dict.fromkeys(self.members, 0.0)  # ms on the safe rules, by member
+        self.sent_messages: dict[str, tuple[int, int]] = {}  # count and bytes, by sender
         self.checked_at = 0.0
         self.request_numbers = itertools.count(1)
         self.timers: dict[str, float] = {}
-        self.verdicts: dict[tuple[bytes, bytes], list[str]] = {}
+        self.conflicts: dict[tuple[bytes, bytes], list[str]] = {}
 
     # ---- processes --------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
-        fresh = self.members[name].core is None
+        """Start both cores unless the process runs; the agreement core reads its disk."""
+        starting = self.members[name].core is None
         super().start(name)
-        if not fresh:
+        if not starting:
             return
         node = self.members[name]
         assert node.core is not None
         self.queued_messages[name] = []
         self.agreements[name] = self.core_type(
-            name, node.core.me.life, self.voters, self.agreement_terms, self.rng.getrandbits(48),
-            node.own_time(self.now), self.disks.get(name),
+            name, node.core.me.life, self.voters, self.lease_timings, self.rng.getrandbits(48),
+            node.local_time(self.now), self.disks.get(name),
         )  # fmt: skip
-        self._wake_later(name)
+        self._schedule_agreement_timer(name)
 
     def lose_disk(self, name: str) -> None:
+        """Erase what the member's agreement core has stored."""
         self.disks.pop(name, None)
         self._log("disk-lost", name, name)
 
     def kill(self, name: str) -> None:
+        """End the process without notice; its disk stays."""
         super().kill(name)
         self.agreements.pop(name, None)
 
     def term(self, name: str) -> None:
+        """End the process after it has left the fleet; its disk stays."""
         super().term(name)
         self.agreements.pop(name, None)
 
-    def _run_on(self, node: SimulatedMember) -> None:
-        super()._run_on(node)
-        words, self.queued_messages[node.name] = self.queued_messages.get(node.name, []), []
-        for sender, body in words:
+    def _resume_process(self, node: SimulatedMember) -> None:
+        super()._resume_process(node)
+        messages, self.queued_messages[node.name] = self.queued_messages.get(node.name, []), []
+        for sender, body in messages:
             self.handle_agreement_event(node.name, Received(sender, body))
-        self._wake_later(node.name)
+        self._schedule_agreement_timer(node.name)
 
     # ---- events -----------------------------------------------------------------------------------------
 
     def handle_agreement_event(self, name: str, event: AgreementEvent) -> None:
-        one, node = self.agreements.get(name), self.members[name]
-        if one is None or node.core is None or node.stopped:
+        """Pass an event to the member's agreement core if it runs; carry out its actions, check the rules."""
+        agreement, node = self.agreements.get(name), self.members[name]
+        if agreement is None or node.core is None or node.stopped:
             return
-        for action in one.handle(node.own_time(self.now), event):
+        for action in agreement.handle(node.local_time(self.now), event):
             match action:
-                case Send(to, word):
-                    body = encode(word)
-                    said, size = self.sent_messages.get(name, (0, 0))
-                    self.sent_messages[name] = (said + 1, size + len(body))
-                    self._carry_word(name, to, body)
-                case Persist(kept):
-                    self.disks[name] = kept
+                case Send(target, message):
+                    body = encode(message)
+                    count, size = self.sent_messages.get(name, (0, 0))
+                    self.sent_messages[name] = (count + 1, size + len(body))
+                    self._transmit_message(name, target, body)
+                case Persist(state):
+                    self.disks[name] = state
                 case Check(version):
                     checked = Checked(version.number, self.rejections.get(name, ""))
                     self.schedule(
@@ -147,44 +154,46 @@
                 case ProposalResolved(request, done, number, text):
                     self._log("answered", name, name, request=request, done=done, number=number, text=text)
                     self.results.append(ProposalResult(request, done, number, self.now))
-                case LogEvent(what, detail):
-                    self._log(what, name, name, detail=detail)
-        self._look()
-        self._wake_later(name)
+                case LogEvent(kind, detail):
+                    self._log(kind, name, name, detail=detail)
+        self._check_rules()
+        self._schedule_agreement_timer(name)
 
     def propose(self, name: str, rules: bytes, base: int = -1) -> str:
-        one = self.agreements.get(name)
+        """Propose rules at a member; returns the request, or an empty text where the member doesn't run."""
+        agreement = self.agreements.get(name)
         number = str(next(self.request_numbers))
-        if one is None or self.members[name].stopped:
+        if agreement is None or self.members[name].stopped:
             return ""
         self.handle_agreement_event(name, Propose(number, base, rules, "somebody", "a test"))
-        return f"{name}/{one.process_id}/{number}"
+        return f"{name}/{agreement.process_id}/{number}"
 
     def propose_and_forget(self, name: str, rules: bytes) -> None:
+        """As ``propose``, for a scheduled call."""
         self.propose(name, rules)
 
-    def _wake_later(self, name: str) -> None:
-        one, node = self.agreements.get(name), self.members[name]
-        if one is None:
+    def _schedule_agreement_timer(self, name: str) -> None:
+        agreement, node = self.agreements.get(name), self.members[name]
+        if agreement is None:
             return
-        due = max(self.now, node.true_time(one.next_deadline)) + 0.01
+        due = max(self.now, node.simulated_time(agreement.next_deadline)) + 0.01
         if not self.now < self.timers.get(name, 0.0) <= due:
             self.timers[name] = due
-            self.schedule(due - self.now, lambda: self._turn(name, one, due))
+            self.schedule(due - self.now, lambda: self._agreement_timer_expired(name, agreement, due))
 
-    def _turn(self, name: str, one: Agreement, due: float) -> None:
-        if self.agreements.get(name) is one and self.timers.get(name) == due:
+    def _agreement_timer_expired(self, name: str, agreement: Agreement, due: float) -> None:
+        if self.agreements.get(name) is agreement and self.timers.get(name) == due:
             self.timers[name] = 0.0
             self.handle_agreement_event(name, TimerExpired())
 
-    def _carry_word(self, source: str, target: str, body: bytes) -> None:
+    def _transmit_message(self, source: str, target: str, body: bytes) -> None:
         if target not in self.members:
             return
-        for fate in self.network.deliveries((source, target), self.rng):
-            if not fate.corrupted:
-                self.schedule(fate.delay, lambda: self._arrive_word(source, target, body))
+        for delivery in self.network.deliveries((source, target), self.rng):
+            if not delivery.corrupted:
+                self.schedule(delivery.delay, lambda: self._deliver_message(source, target, body))
 
-    def _arrive_word(self, source: str, target: str, body: bytes) -> None:
+    def _deliver_message(self, source: str, target: str, body: bytes) -> None:
         node = self.members[target]
         if node.core is not None and node.stopped:
             self.queued_messages.setdefault(target, []).append((source, body))
@@ -192,53 +201,63 @@
         else:
             self.handle_agreement_event(target, Received(source, body))
 
-    # ---- what must hold -----------------------------------------------------------------------------------
+    # ---- invariants ---------------------------------------------------------------------------------------
 
-    def acting(self) -> dict[str, RuleSet]:
-        """By what each acts that runs and whose lease holds; none on safe rules, which contradict nothing."""
-        found = {}
-        for name, one in self.agreements.items():
+    def acting_rules(self) -> dict[str, RuleSet]:
+        """The rules that running members with a valid lease act on; without members on the safe rules, which
+        contradict none."""
+        acting = {}
+        for name, agreement in self.agreements.items():
             node = self.members[name]
-            if node.core is not None and not node.stopped and one.lease_valid(node.own_time(self.now)):
-                rules = one.rules()
+            if (
+                node.core is not None
+                and not node.stopped
+                and agreement.lease_valid(node.local_time(self.now))
+            ):
+                rules = agreement.rules()
                 if rules is not None:
-                    found[name] = rules
-        return found
+                    acting[name] = rules
+        return acting
 
-    def _look(self) -> None:
-        acting = self.acting()
+    def _check_rules(self) -> None:
+        acting = self.acting_rules()
         span, self.checked_at = self.now - self.checked_at, self.now
         for name in self.agreements:
             if name not in acting and not self.members[name].stopped:
                 self.safe_ms[name] += span
         known = {encode_rules(rules): (name, rules) for name, rules in acting.items()}
-        for (one, (name, mine)), (other, (peer, theirs)) in itertools.combinations(known.items(), 2):
-            key = (one, other)
-            if key not in self.verdicts:
-                self.verdicts[key] = contradictions(mine, theirs)
-            if self.verdicts[key]:
+        for (encoded, (name, rules)), (peer_encoded, (peer, peer_rules)) in itertools.combinations(
+            known.items(), 2
+        ):
+            key = (encoded, peer_encoded)
+            if key not in self.conflicts:
+                self.conflicts[key] = contradictions(rules, peer_rules)
+            if self.conflicts[key]:
                 self.violations.append(
-                    f"no-contradiction: {self.now:.0f} ms: {name} and {peer}: {self.verdicts[key][0]}"
+                    f"no-contradiction: {self.now:.0f} ms: {name} and {peer}: {self.conflicts[key][0]}"
                 )
         for name in acting:
             version = self.agreements[name].known_state.in_force
-            held = self.requests_in_force.setdefault(version.number, version.request)
-            if held != version.request:
+            first_request = self.requests_in_force.setdefault(version.number, version.request)
+            if first_request != version.request:
                 self.violations.append(f"one-order: {self.now:.0f} ms: {name}: two versions {version.number}")
 
     def finish(self) -> list[str]:
-        """Also that no version is lost of which a proposer heard that it is in force."""
-        newest = max((one.known_state.in_force.number for one in self.agreements.values()), default=0)
-        for one in self.results:
+        """Check that no version is lost that a proposer was notified of as in force; returns violations."""
+        newest = max(
+            (agreement.known_state.in_force.number for agreement in self.agreements.values()), default=0
+        )
+        for result in self.results:
             if (
-                one.done
-                and one.number
+                result.done
+                and result.number
                 and (
-                    one.number > newest or self.requests_in_force.get(one.number, one.request) != one.request
+                    result.number > newest
+                    or self.requests_in_force.get(result.number, result.request) != result.request
                 )
             ):
                 self.violations.append(
-                    f"not-lost: version {one.number} of {one.request}, the newest is {newest}"
+                    f"not-lost: version {result.number} of {result.request}, the newest is {newest}"
                 )
         return self.violations
 
@@ -246,30 +265,28 @@
 def play_random(
     seed: int, members: int = 5, kind: type[Agreement] = Agreement, steps: Sequence[Step] | None = None
 ) -> SimulatedAgreementFleet:
-    """Random faults and random proposals; in the end all is mended and one more has to come into force."""
-    dice = random.Random(seed)
+    """Run random faults and random proposals; all faults end, then one more proposal must come into force."""
+    rng = random.Random(seed)
     fleet = SimulatedAgreementFleet(members, seed, base=Link(delay=2.0, jitter=8.0, loss=0.02), kind=kind)
     chosen = random_steps(seed, members, 24_000.0) if steps is None else steps
     for step in chosen:
         fleet.schedule(step.at, functools.partial(fleet.execute_step, step))
     names = list(fleet.members)
     when = 1_500.0
-    while (when := when + dice.expovariate(1 / 700.0)) < 24_000.0:
-        rules = rule_set(
-            dice.randint(1, 3), dice.choice(["keyed", "once-only"]), dice.choice(["ready", "gone"])
-        )
-        name = dice.choice(names)
+    while (when := when + rng.expovariate(1 / 700.0)) < 24_000.0:
+        rules = rule_set(rng.randint(1, 3), rng.choice(["keyed", "once-only"]), rng.choice(["ready", "gone"]))
+        name = rng.choice(names)
         fleet.schedule(when, functools.partial(fleet.propose_and_forget, name, rules))
     for name in names:
         fleet.start(name)
     fleet.run(24_000.0)
     for name in names:
         fleet.start(name)
-    for at in range(4):  # one may be turned down, where another is being brought into force
-        fleet.run(34_000.0 + 1_000.0 * at)
+    for attempt in range(4):  # a proposal may be rejected while another one is being brought into force
+        fleet.run(34_000.0 + 1_000.0 * attempt)
         fleet.propose(names[-1], rule_set(9))
     fleet.run(40_000.0)
-    if not any(one.done and one.at > 34_000.0 for one in fleet.results):
-        fleet.violations.append("live: nothing came into force after all was mended")
+    if not any(result.done and result.at > 34_000.0 for result in fleet.results):
+        fleet.violations.append("live: no version came into force after all faults ended")
     fleet.finish()
     return fleet
--- a/martentide_lab/simulated_site.py
+++ b/martentide_lab/simulated_site.py
@@ -145,7 +145,7 @@
         ``overload_control``: they handle overload together, ``without`` some parts of that."""
         self.fleet = fleet
         fleet.now = self.now
-        fleet.start_acquainted()
+        fleet.start_converged()
         self.assignments = [HealthCheckAssignment(node.name, node.zone) for node in fleet.members.values()]
         if overload_control:
             worths = {kind.name: kind.worth for kind in self.settings.classes}
@@ -175,7 +175,7 @@
         name, node = f"n{at}", self.fleet.members[f"n{at}"]
         if node.core is None or node.stopped:
             return
-        now = node.own_time(self.now)
+        now = node.local_time(self.now)
         outlook, _ = evaluate_assignment(node.core, self.assignments[at], now, self.controllers[at].servers)
         for kind, end, body in outlook.entries:
             self.fleet.publish(name, kind, body, end)
@@ -242,10 +242,10 @@
         controller = self.controllers[at]
         self._acted(at, controller.handle(self.now, event))
         if self.overloads:
-            self.overloads[at].observe(self.fleet.members[f"n{at}"].own_time(self.now), event)  # type: ignore[union-attr]
+            self.overloads[at].observe(self.fleet.members[f"n{at}"].local_time(self.now), event)  # type: ignore[union-attr]
         told = isinstance(event, (ProbeEnded, Stands, AttemptEnded))
         if self.fleet is not None and told and event.server in self.assignments[at].watched:  # type: ignore[union-attr]
-            self.assignments[at].observe(self.fleet.members[f"n{at}"].own_time(self.now), event)
+            self.assignments[at].observe(self.fleet.members[f"n{at}"].local_time(self.now), event)
 
     def _acted(self, at: int, actions: list[Action]) -> None:
         life = self.incarnations[at]
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -110,7 +110,7 @@
     return next(
         name for name, one in fleet.agreements.items()
         if one.raft is not None and not fleet.members[name].stopped
-        and one.raft.has_leader_lease(fleet.members[name].own_time(fleet.now))
+        and one.raft.has_leader_lease(fleet.members[name].local_time(fleet.now))
     )  # fmt: skip
 
 
@@ -147,9 +147,9 @@
     run_step(fleet, "split", "n4", "n0,n1,n2,n3")
     done, took = propose_and_wait(fleet, "n0", rule_set(1))
     assert done and took < LeaseTimings().bound
-    assert "n4" not in fleet.acting()  # it is on safe rules
+    assert "n4" not in fleet.acting_rules()  # it is on safe rules
     run_step(fleet, "heal", lasts=2_000.0)
-    assert fleet.agreements["n4"].known_state.in_force.number == 2 and "n4" in fleet.acting()
+    assert fleet.agreements["n4"].known_state.in_force.number == 2 and "n4" in fleet.acting_rules()
 
 
 @pytest.mark.parametrize("after", [20.0, 60.0, 120.0, 200.0, 300.0, 400.0])
@@ -167,10 +167,10 @@
     fleet = running_fleet()
     assert propose_and_wait(fleet, "n4", rule_set(3))[0]
     run_step(fleet, "kill", "n0,n1", lasts=LeaseTimings().bound)
-    assert not fleet.acting()
+    assert not fleet.acting_rules()
     assert propose_and_wait(fleet, "n4", rule_set(1)) is None
     run_step(fleet, "start", "n0", lasts=6_000.0)
-    assert len(fleet.acting()) == 4 and not fleet.finish()
+    assert len(fleet.acting_rules()) == 4 and not fleet.finish()
 
 
 def test_all_voters_restart_with_their_disks() -> None:
@@ -188,7 +188,7 @@
     fleet.lose_disk("n1")
     run_step(fleet, "start", "n1", lasts=3_000.0)
     assert not fleet.agreements["n1"].is_voter and "n1" not in fleet.disks
-    assert propose_and_wait(fleet, "n4", rule_set(3))[0] and "n1" in fleet.acting()
+    assert propose_and_wait(fleet, "n4", rule_set(3))[0] and "n1" in fleet.acting_rules()
 
 
 @pytest.mark.parametrize("new", ["n1", "n4"])
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -123,7 +123,7 @@
 def test_the_age_of_an_entry_is_never_understated_under_delays_stalls_and_duplicates(seed: int) -> None:
     fleet = SimulatedFleet(5, seed)
     rng = random.Random(seed)
-    fleet.network.set_all(delay=5.0, jitter=rng.choice([10.0, 900.0, 4_000.0]), duplicate=0.2, loss=0.1)
+    fleet.network.set_all_links(delay=5.0, jitter=rng.choice([10.0, 900.0, 4_000.0]), duplicate=0.2, loss=0.1)
     born: dict[tuple[str, int], float] = {}
     for name in fleet.members:
         fleet.start(name)
@@ -132,7 +132,7 @@
         name = rng.choice(list(fleet.members))
         core = fleet.members[name].core
         if core is not None and not fleet.members[name].stopped:
-            fleet.publish(name, 3, b"v", end=60_000)
+            fleet.publish(name, 3, b"v", max_age=60_000)
             born[(name, core.own_entries[3].entry.counter)] = fleet.now
         one = rng.choice(list(fleet.members))
         (fleet.resume if fleet.members[one].stopped else fleet.stop)(one)
@@ -142,7 +142,7 @@
     received = 0
     for node in fleet.members.values():
         assert node.core is not None
-        for owner, entry, age in node.core.state_entries_of(3, node.own_time(fleet.now)):
+        for owner, entry, age in node.core.state_entries_of(3, node.local_time(fleet.now)):
             received += 1
             assert age >= fleet.now - born[(owner.name, entry.counter)] - 1.0
     assert received or fleet.network.base.jitter > 1_000.0
@@ -150,7 +150,7 @@
 
 def test_datagrams_hold_whole_entries_and_respect_the_size_and_rate_limits() -> None:
     fleet = SimulatedFleet(40, 3)
-    fleet.start_acquainted()
+    fleet.start_converged()
     for name in fleet.members:
         for kind in range(8):
             fleet.publish(name, kind, bytes(480))
@@ -244,7 +244,7 @@
 
     def rules() -> set[str]:
         fleet = SimulatedFleet(4, 5)
-        fleet.network.set_all(loss=loss)
+        fleet.network.set_all_links(loss=loss)
         PENDING.clear()
 
         def resurrect_all() -> None:
@@ -253,7 +253,7 @@
 
         fleet.schedule(20_000.0, resurrect_all)
         log = fleet.play(steps, end)
-        return {one.rule for one in FleetChecker(list(fleet.members)).check(log, end)}
+        return {one.invariant for one in FleetChecker(list(fleet.members)).check(log, end)}
 
     assert rules() == set()
     inject(monkeypatch)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -39,11 +39,11 @@
 def test_killed_restarted_and_terminated() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "kill", "n3")
-        await rig.wait_until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead("n3"), WAIT_LIMIT_S)
         await do(rig, "start", "n3")
         await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
         await do(rig, "term", "n2")
-        await rig.wait_until(lambda: rig.known_dead("n2"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead("n2"), WAIT_LIMIT_S)
         changes = [event for event in rig.log if event.kind == "member" and event.subject == "n2"]
         assert any(event.fields["state"] == State.LEFT for event in changes)
 
@@ -56,7 +56,7 @@
         await do(rig, "stop", "n1")
         await asyncio.sleep(duration)
         if duration > 10.0:
-            assert rig.known_dead("n1", by=["n0", "n2", "n3"])
+            assert rig.are_known_dead("n1", by=["n0", "n2", "n3"])
         await do(rig, "continue", "n1")
         await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
         await asyncio.sleep(1.0)  # the stopped member must not mark others dead for its own stall
@@ -74,7 +74,10 @@
         one_names, other_names = one_side.split(","), other_side.split(",")
         await do(rig, "split", one_side, other_side)
         await rig.wait_until(
-            lambda: rig.known_dead(*one_names, by=other_names) and rig.known_dead(*other_names, by=one_names),
+            lambda: (
+                rig.are_known_dead(*one_names, by=other_names)
+                and rig.are_known_dead(*other_names, by=one_names)
+            ),
             WAIT_LIMIT_S,
         )
         assert rig.is_converged(one_names) and rig.is_converged(other_names)
@@ -99,7 +102,7 @@
         await asyncio.sleep(5.0)
         assert not [e for e in rig.log if e.kind == "member" and e.fields["state"] == State.DEAD]
         await do(rig, "kill", "n5")
-        await rig.wait_until(lambda: rig.known_dead("n5"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead("n5"), WAIT_LIMIT_S)
 
     play(scene, proxies=6, base=Link(loss=0.2, jitter=20.0))
 
@@ -119,7 +122,7 @@
 def test_start_while_the_only_seed_is_dead() -> None:
     async def scene(rig: Rig) -> None:
         await do(rig, "kill", "n0,n3")
-        await rig.wait_until(lambda: rig.known_dead("n0", "n3"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead("n0", "n3"), WAIT_LIMIT_S)
         await do(rig, "start", "n3")  # known to the others: they ping its former address
         await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
         await rig.start_member("x1")  # unknown to all: it runs without peers
@@ -145,7 +148,7 @@
     async def scene(rig: Rig) -> None:
         dead = [f"n{at}" for at in range(3, 10)]
         await do(rig, "kill", ",".join(dead))
-        await rig.wait_until(lambda: rig.known_dead(*dead), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead(*dead), WAIT_LIMIT_S)
         assert rig.is_converged()
 
     play(scene, proxies=10)
@@ -197,11 +200,11 @@
     async def scene(rig: Rig) -> None:
         await do(rig, "kill", "n3")
         await rig.start_member("n3", member_name="n9")
-        await rig.wait_until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead("n3"), WAIT_LIMIT_S)
         assert all(rig.views[name]["n9"] == State.ALIVE for name in ("n0", "n1", "n2"))
         await do(rig, "kill", "n2")
         await rig.start_member("n2", fleet="other")
-        await rig.wait_until(lambda: rig.known_dead("n2", by=["n0", "n1"]), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead("n2", by=["n0", "n1"]), WAIT_LIMIT_S)
         assert rig.views["n2"] == {}
         counts = [(await rig.status(name))["counts"] for name in ("n0", "n1", "n2")]
         assert sum(one.get("other-fleet", 0) for one in counts) > 0
@@ -226,7 +229,7 @@
     async def scene(rig: Rig) -> None:
         await do(rig, "stop", "n3")
         rig.set_clock("n1", -3600.0)
-        await rig.wait_until(lambda: rig.known_dead("n3"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead("n3"), WAIT_LIMIT_S)
         rig.set_clock("n1", 7200.0)
         await do(rig, "pace", "n2", 9.0)  # a wall clock that runs ten times as fast
         await do(rig, "continue", "n3")
@@ -256,7 +259,7 @@
     async def scene(rig: Rig) -> None:
         ghost = HollowMember("n7", transform=later_version)
         try:
-            rig.network.set(["n7"], ["n1", "n2", "n3"], cut=True)  # these learn of it through n0 only
+            rig.network.set_links(["n7"], ["n1", "n2", "n3"], cut=True)  # these learn of it through n0 only
             await ghost.join(rig.hub, (rig.hub.public_address("n0"),))
             ghost.publish(77, 9, b"of a kind that nobody knows")
 
@@ -270,7 +273,7 @@
                     await asyncio.sleep(0.1)
         finally:
             ghost.close()
-        await rig.wait_until(lambda: rig.known_dead("n7"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead("n7"), WAIT_LIMIT_S)
 
     play(scene, with_load=False)
 
@@ -280,7 +283,7 @@
         rng, frame = random.Random(1), Frame("rig")
         begin = rig.now()
         await do(rig, "kill", "n3")
-        while not rig.known_dead("n3"):
+        while not rig.are_known_dead("n3"):
             assert rig.now() - begin < WAIT_LIMIT_S * 1000.0
             for name in rig.proxies:
                 for _ in range(20):
@@ -325,14 +328,16 @@
         first = await assignees(list(rig.proxies))
         await checks(4)
         await do(rig, "kill", ",".join(first))
-        await rig.wait_until(lambda: rig.known_dead(*first), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead(*first), WAIT_LIMIT_S)
         await checks(4)
         second = await assignees(list(rig.proxies))
         assert second and not set(first) & set(second)
         one_side, other_side = list(rig.proxies)[:2], list(rig.proxies)[2:]
         await do(rig, "split", ",".join(one_side), ",".join(other_side))
         await rig.wait_until(
-            lambda: rig.known_dead(*one_side, by=other_side) and rig.known_dead(*other_side, by=one_side),
+            lambda: (
+                rig.are_known_dead(*one_side, by=other_side) and rig.are_known_dead(*other_side, by=one_side)
+            ),
             WAIT_LIMIT_S,
         )
         for side in (one_side, other_side):
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -48,7 +48,7 @@
         await scene(rig)
         await do(rig, "surge", 0.7)
         await rig.wait_until(lambda: any(event.kind == "overload" for event in rig.log), WAIT_LIMIT_S)
-        await rig.wait_until(lambda: rig.nobody_sheds() and rig.is_converged(), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.no_member_sheds() and rig.is_converged(), WAIT_LIMIT_S)
         if budget:
             tries = sum(len(load.redialed_calls) for _, load in rig.all_load_generators)
             lives = len(rig.all_load_generators)
@@ -156,7 +156,7 @@
             load.rate /= 2.0
         admitted = await publish_false_claims(rig, hold=1_000, lasting=0, spans=24)
         assert admitted and min(admitted) >= 0.6, admitted
-        await rig.wait_until(lambda: rig.known_dead("n9"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead("n9"), WAIT_LIMIT_S)
 
     play(scene, PROXIES, SERVERS, rate=0.8 * RATE * SERVERS, extra_settings=ON)
 
@@ -166,7 +166,7 @@
         await do(rig, "surge", 2.0)
         admitted = await publish_false_claims(rig, hold=0, lasting=1_000, spans=24)
         assert min(admitted) < 0.95, admitted
-        await rig.wait_until(lambda: rig.known_dead("n9"), WAIT_LIMIT_S)
+        await rig.wait_until(lambda: rig.are_known_dead("n9"), WAIT_LIMIT_S)
 
     storm(scene)
 
