--- a/benchmarks/fleet_membership.py
+++ b/benchmarks/fleet_membership.py
@@ -19,7 +19,7 @@
 
 from martentide.fleet.wire import State
 from martentide_lab.fleet.faults import Link
-from martentide_lab.fleet.rig import Rig, processor_seconds
+from martentide_lab.fleet.rig import Rig, cpu_seconds
 from martentide_lab.fleet.scenario import Scenario, Step
 from martentide_lab.fleet.simulated import SimulatedFleet
 
@@ -47,7 +47,7 @@
 
 def is_split(rig: Rig, half: list[str], rest: list[str]) -> bool:
     """Whether each side of the split sees all members of the other side as dead."""
-    return rig.known_dead(*half, by=rest) and rig.known_dead(*rest, by=half)
+    return rig.are_known_dead(*half, by=rest) and rig.are_known_dead(*rest, by=half)
 
 
 async def run_processes(processes: int, seconds: float, seed: int) -> dict[str, Any]:
@@ -64,7 +64,7 @@
         names = scenario.names()
         resident = {name: rig.resident_memory_mb(name) for name in names}
         started_at, sent_before = rig.now(), sum(rig.hub.sent_bytes.values())
-        cpu_before = {name: processor_seconds(rig.proxies[name]) for name in names}
+        cpu_before = {name: cpu_seconds(rig.proxies[name]) for name in names}
         cpu_used = start_cpu = 0.0
         while rig.now() - started_at < seconds * 1000.0:
             for name in rng.sample(names, 2):
@@ -74,18 +74,18 @@
                 stops += 1
             await asyncio.sleep(1.0)
             name = rng.choice(names)
-            cpu_used += processor_seconds(rig.proxies[name]) - cpu_before[name]
+            cpu_used += cpu_seconds(rig.proxies[name]) - cpu_before[name]
             since = rig.now()
             await rig.execute_step(Step(0, "kill", (name,)))
             kills += 1
             try:
-                await rig.wait_until(lambda: rig.known_dead(name), 15.0)  # noqa: B023
+                await rig.wait_until(lambda: rig.are_known_dead(name), 15.0)  # noqa: B023
             except TimeoutError:
                 missed += 1
             detection_ms += detection_delays(rig, name, since, (State.DEAD, State.LEFT)).values()
             await rig.execute_step(Step(0, "start", (name,)))
             # Imports and settings are no cost of the membership.
-            cpu_before[name] = processor_seconds(rig.proxies[name])
+            cpu_before[name] = cpu_seconds(rig.proxies[name])
             start_cpu += cpu_before[name]
             since = rig.now() - 1_000.0
             try:
@@ -103,7 +103,7 @@
                 heal_ms.append(await rig.wait_until(rig.is_converged, CONVERGENCE_TIMEOUT_S))
                 await asyncio.sleep(7.0)  # the checker expects no detection shortly after a split
         span = (rig.now() - started_at) / 1000.0
-        cpu_used += sum(processor_seconds(rig.proxies[name]) - cpu_before[name] for name in names)
+        cpu_used += sum(cpu_seconds(rig.proxies[name]) - cpu_before[name] for name in names)
         violations = rig.violations()
         never_killed = [
             name
@@ -131,7 +131,7 @@
     """Measures in simulated time: traffic in 10 calm seconds, then kills and published changes in turn."""
     wall_start = time.monotonic()
     fleet = SimulatedFleet(members, seed, base=Link(delay=1.0, jitter=2.0, loss=LOSS_SHARE))
-    fleet.start_acquainted()
+    fleet.start_converged()
     fleet.run(5_000.0)
     sent_before = {name: node.sent_bytes for name, node in fleet.members.items()}
     fleet.run(15_000.0)
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -13,7 +13,7 @@
 def measure(members: int, seed: int = 1) -> Row:
     """Measure with one entry published per member and second, which expires after ``ENTRY_TTL_MS``."""
     fleet = SimulatedFleet(members, seed, base=Link(delay=1.0, jitter=2.0))
-    fleet.start_acquainted()
+    fleet.start_converged()
 
     def publish(name: str) -> None:
         fleet.publish(name, ENTRY_KIND, bytes(ENTRY_BYTES), ENTRY_TTL_MS)
@@ -28,7 +28,7 @@
         fleet.run(fleet.now + 1_000.0)
         for node in fleet.members.values():
             assert node.core is not None
-            held = sum(1 for _ in node.core.state_entries_of(ENTRY_KIND, node.own_time(fleet.now)))
+            held = sum(1 for _ in node.core.state_entries_of(ENTRY_KIND, node.local_time(fleet.now)))
             expected += members - 1
             missing += members - 1 - held
     sent = sum(node.sent_bytes for node in fleet.members.values()) - sent_before
--- a/martentide_lab/control/simulated.py
+++ b/martentide_lab/control/simulated.py
@@ -174,8 +174,8 @@
     def cut_network(self, group: Iterable[str], other_group: Iterable[str]) -> None:
         """Drop all datagrams between the two groups of zones and control nodes."""
         first, second = list(group), list(other_group)
-        self.fleet.network.set(first, second, cut=True)
-        self.fleet.network.set(second, first, cut=True)
+        self.fleet.network.set_links(first, second, cut=True)
+        self.fleet.network.set_links(second, first, cut=True)
 
     def split_by_region(self, region: str) -> tuple[list[str], list[str]]:
         """Return the zones and control nodes of a region, and all others."""
--- a/martentide_lab/simulated_site.py
+++ b/martentide_lab/simulated_site.py
@@ -159,7 +159,7 @@
         """
         self.fleet = fleet
         fleet.now = self.now
-        fleet.start_acquainted()
+        fleet.start_converged()
         self.assignments = [
             HealthCheckAssignment(member.name, member.zone) for member in fleet.members.values()
         ]
@@ -191,7 +191,7 @@
         name, member = f"n{index}", self.fleet.members[f"n{index}"]
         if member.core is None or member.stopped:
             return
-        now = member.own_time(self.now)
+        now = member.local_time(self.now)
         result, _ = evaluate_assignment(
             member.core, self.assignments[index], now, self.controllers[index].servers
         )
@@ -278,10 +278,10 @@
         controller = self.controllers[index]
         self._execute_actions(index, controller.handle(self.now, event))
         if self.overloads:
-            self.overloads[index].observe(self.fleet.members[f"n{index}"].own_time(self.now), event)  # type: ignore[union-attr]
+            self.overloads[index].observe(self.fleet.members[f"n{index}"].local_time(self.now), event)  # type: ignore[union-attr]
         is_observation = isinstance(event, (ProbeEnded, Stands, AttemptEnded))
         if self.fleet is not None and is_observation and event.server in self.assignments[index].watched:  # type: ignore[union-attr]
-            self.assignments[index].observe(self.fleet.members[f"n{index}"].own_time(self.now), event)
+            self.assignments[index].observe(self.fleet.members[f"n{index}"].local_time(self.now), event)
 
     def _execute_actions(self, index: int, actions: list[Action]) -> None:
         incarnation = self.incarnations[index]
