--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -35,14 +35,14 @@
         self.rng = random.Random(seed)
         self.frame = Frame("scale")
         self.words = [word(at) for at in range(1, members + 1)]
-        self.by_life = {one.life: one for one in self.words}
+        self.by_life = {one.process_id: one for one in self.words}
         terms = dataclasses.replace(Terms(), max_members=max(Terms().max_members, members + 1))
         me = word(0)
         self.core = Membership("p0", me.zone, (me.host, me.port), (), terms, seed, 0.0)
         self.sent = self.datagrams = 0
         self.now = 0.0
         first = self.words[0]
-        news = Datagram(Kind.MISSING, first, self.core.me.life, 0, members=self.words[1:])
+        news = Datagram(Kind.MISSING, first, self.core.me.process_id, 0, members=self.words[1:])
         self._feed(DatagramReceived(news))
 
     def _feed(self, event: DatagramReceived | Due) -> None:
@@ -58,7 +58,9 @@
         said = action.datagram
         other = self.by_life.get(said.to)
         if other is not None and said.kind == Kind.PING:
-            self._say(Datagram(Kind.ACK, other, self.core.me.life, int(self.now), said.stamp, 0, said.probe))
+            self._say(
+                Datagram(Kind.ACK, other, self.core.me.process_id, int(self.now), said.stamp, 0, said.probe)
+            )
 
     def _say(self, datagram: Datagram) -> None:
         self._feed(DatagramReceived(self.frame.read(self.frame.write(datagram))))
@@ -73,12 +75,12 @@
             if self.now - probed >= self.core.terms.period:
                 probed = self.now
                 other = self.rng.choice(self.words)
-                self._say(Datagram(Kind.PING, other, self.core.me.life, int(self.now), probe=1))
+                self._say(Datagram(Kind.PING, other, self.core.me.process_id, int(self.now), probe=1))
             if self.now - compared >= self.core.terms.sync_interval:
                 compared = self.now
                 other = self.rng.choice(self.words)
                 digest = [one ^ differing for one in self.core._digest()]
-                self._say(Datagram(Kind.DIGEST, other, self.core.me.life, int(self.now), digest=digest))
+                self._say(Datagram(Kind.DIGEST, other, self.core.me.process_id, int(self.now), digest=digest))
 
 
 def measure(members: int, seed: int = 1) -> Row:
--- a/martentide/fleet/core.py
+++ b/martentide/fleet/core.py
@@ -65,8 +65,8 @@
     """Membership table, failure detector and gossip of one process.
 
     ``seeds`` are addresses at which members may be found; the process's own address among them is ignored.
-    ``life`` is a random number that identifies this process instance. Times named ``running_now`` are of the
-    running clock, which doesn't advance while the process is stalled.
+    ``process_id`` is a random number that identifies this process instance. Times named ``running_now`` are
+    of the running clock, which doesn't advance while the process is stalled.
     """
 
     def __init__(
@@ -78,12 +78,12 @@
         terms: Terms,
         seed: int,
         now: float,
-        life: int | None = None,
+        process_id: int | None = None,
     ) -> None:
         self.rng = random.Random(seed)
         self.terms, self.seeds = terms, tuple(one for one in seeds if one != address)
-        life = life or self.rng.getrandbits(62) + 1
-        self.me = MemberRecord(name, 1, life, 1, State.ALIVE, zone, *address)
+        process_id = process_id or self.rng.getrandbits(62) + 1
+        self.me = MemberRecord(name, 1, process_id, 1, State.ALIVE, zone, *address)
         self.members: dict[Name, KnownMember] = {}
         self.dead_or_left: set[Name] = set()  # subset of ``members``
         self.live_records: tuple[MemberRecord, ...] | None = ()  # cache, without ``me``; None: rebuild it
@@ -169,7 +169,12 @@
             case SendPayload(to, body):
                 if not self.departing and (one := self.members.get(to)) is not None:
                     self._send_datagram(
-                        one.address, Kind.PAYLOAD, one.record.life, member=one, with_updates=False, body=body
+                        one.address,
+                        Kind.PAYLOAD,
+                        one.record.process_id,
+                        member=one,
+                        with_updates=False,
+                        body=body,
                     )
             case Due():
                 pass
@@ -300,7 +305,7 @@
         # The deadline is before the next probe starts, so that only one is in flight.
         self.probe = Probe(
             name,
-            member.record.life,
+            member.record.process_id,
             self.last_probe_number,
             indirect_due,
             running_now + self.terms.period * slowdown * 0.97,
@@ -318,7 +323,7 @@
             return
         self.probe = None
         member = self.members.get(probe.name)
-        if member is None or member.record.life != probe.life or not member.up:
+        if member is None or member.record.process_id != probe.process_id or not member.up:
             return
         if probe.indirect_probes >= 2 and not probe.nacks:
             self._raise_health_multiplier(1)  # not even a nack: this member may be the unreachable one
@@ -476,13 +481,15 @@
         records = list(first or ())
         if member.state is State.SUSPECT and not records:
             records.append(member.record)  # so that the suspect can refute it
-        self._send_datagram(member.address, kind, member.record.life, probe, target, records, room, member)
+        self._send_datagram(
+            member.address, kind, member.record.process_id, probe, target, records, room, member
+        )
 
     def _send_datagram(
         self,
         address: Address,
         kind: Kind,
-        life: int,
+        process_id: int,
         probe: int = 0,
         target: Name = "",
         records: list[MemberRecord] | None = None,
@@ -496,7 +503,7 @@
         body: bytes = b"",
     ) -> None:
         echo = echo_delay = -1
-        if member is not None and member.stamp >= 0 and member.stamp_life == life:
+        if member is not None and member.stamp >= 0 and member.stamp_process_id == process_id:
             echo, echo_delay = member.stamp, int(self.now - member.stamp_received_at)
         records = records or []
         entries = entries or []
@@ -510,8 +517,8 @@
             )
             self._add_updates(records, entries, remaining)
         datagram = Datagram(
-            kind, self.me, life, int(self.now), echo, max(0, echo_delay), probe, target, records, entries,
-            digest or [], buckets or [], held or [], body,
+            kind, self.me, process_id, int(self.now), echo, max(0, echo_delay), probe, target, records,
+            entries, digest or [], buckets or [], held or [], body,
         )  # fmt: skip
         self.actions.append(Send(address, datagram))
 
@@ -625,7 +632,7 @@
     def _receive(self, datagram: Datagram) -> None:
         sender = datagram.sender
         if sender.name == self.me.name:
-            if sender.life != self.me.life:
+            if sender.process_id != self.me.process_id:
                 self._resolve_name_conflict(sender)
             return
         if self.departing:
@@ -637,10 +644,14 @@
         if member is None:
             return  # the table is full, or the sender itself says that it isn't alive
         held = member.record
-        current = held.life == sender.life and held.generation == sender.generation
+        current = held.process_id == sender.process_id and held.generation == sender.generation
         if current:
             member.last_received_at = self.running_now
-            member.stamp, member.stamp_received_at, member.stamp_life = datagram.stamp, self.now, sender.life
+            member.stamp, member.stamp_received_at, member.stamp_process_id = (
+                datagram.stamp,
+                self.now,
+                sender.process_id,
+            )
         transit = self._transit_bound(datagram)
         for record in datagram.members:
             if record.name == self.me.name:
@@ -662,7 +673,7 @@
         It is the time since this process sent the echoed stamp, less the time the peer held it.
         """
         if (
-            datagram.to != self.me.life
+            datagram.to != self.me.process_id
             or not 0 <= datagram.echo_delay <= MAX_ECHO_DELAY_MS
             or datagram.echo < 0
         ):
@@ -675,7 +686,7 @@
             case Kind.PING:
                 self._send_datagram(
                     member.address if not correction else (datagram.sender.host, datagram.sender.port),
-                    Kind.ACK, datagram.sender.life, datagram.probe, "",
+                    Kind.ACK, datagram.sender.process_id, datagram.probe, "",
                     correction or self._suspicion_of(member), member=member,
                 )  # fmt: skip
                 return
@@ -690,12 +701,12 @@
                 self._receive_digest(datagram, member)
             case Kind.VERSIONS:
                 self._receive_versions(datagram, member)
-            case Kind.PAYLOAD if datagram.to == self.me.life and not correction:
+            case Kind.PAYLOAD if datagram.to == self.me.process_id and not correction:
                 self.actions.append(PayloadReceived(member.record, datagram.body))
         if correction:
             address = (datagram.sender.host, datagram.sender.port)
             self._send_datagram(
-                address, Kind.GOSSIP, datagram.sender.life, 0, "", correction, with_updates=False
+                address, Kind.GOSSIP, datagram.sender.process_id, 0, "", correction, with_updates=False
             )
 
     @staticmethod
@@ -707,7 +718,7 @@
         name = datagram.target or datagram.sender.name
         if probe is not None and datagram.probe == probe.number and name == probe.name:
             # An ack of another process at that address doesn't show that the probed instance is alive.
-            if datagram.target or datagram.sender.life == probe.life:
+            if datagram.target or datagram.sender.process_id == probe.process_id:
                 self.probe = None
                 self._lower_health_multiplier()
             return
@@ -753,7 +764,7 @@
             if old is State.ALIVE and known.state is State.ALIVE:
                 self.actions.append(Changed(record, old, by, f"began anew, generation {record.generation}"))
             return old is State.DEAD and known.state is State.ALIVE
-        if record.generation < known.record.generation or record.life != known.record.life:
+        if record.generation < known.record.generation or record.process_id != known.record.process_id:
             self.counts["old-word"] += not direct
             return False
         if record.rank() <= known.record.rank():
@@ -835,7 +846,7 @@
         """Handle what others gossip under this member's own name: refute it or start a new generation."""
         if record.generation < self.me.generation:
             return
-        if record.life == self.me.life:
+        if record.process_id == self.me.process_id:
             if record.state == State.LEFT and not self.departing:
                 self._start_generation(record.generation + 1)
             elif record.state != State.ALIVE and record.incarnation >= self.me.incarnation:
@@ -858,13 +869,13 @@
             return
         if self.joining:
             self._start_generation(max(self.me.generation, record.generation) + 1)
-        elif (record.generation, record.life) > (self.me.generation, self.me.life):
+        elif (record.generation, record.process_id) > (self.me.generation, self.me.process_id):
             self.displaced = True
             self.actions.append(Displaced(record))
             return
         elif record.generation == self.me.generation:
             self._start_generation(self.me.generation + 1)
-        self._send_datagram((record.host, record.port), Kind.PING, record.life)
+        self._send_datagram((record.host, record.port), Kind.PING, record.process_id)
 
     def _depart(self) -> None:
         if self.departing:
@@ -875,7 +886,7 @@
         self.entry_updates.clear()
         self.member_updates.clear()
         for member in self._pick_live_members(DEPARTURE_FANOUT):
-            self._send_datagram(member.address, Kind.GOSSIP, member.record.life, with_updates=False)
+            self._send_datagram(member.address, Kind.GOSSIP, member.record.process_id, with_updates=False)
 
     # ---- state entries ----------------------------------------------------------------------------------
 
@@ -891,7 +902,7 @@
         previous = self.own_entries.get(event.kind)
         counter = 1 if previous is None else previous.entry.counter + 1
         entry = StateEntry(
-            self.me.name, self.me.generation, self.me.life, event.kind, counter, event.schema, 0,
+            self.me.name, self.me.generation, self.me.process_id, event.kind, counter, event.schema, 0,
             event.max_age, event.body,
         )  # fmt: skip
         self.own_entries[event.kind] = StoredEntry(entry, self.now)
@@ -911,7 +922,7 @@
         member = self.members.get(entry.owner)
         if member is None or not member.up or len(entry.body) > self.terms.max_entry_bytes:
             return
-        if entry.generation != member.record.generation or entry.life != member.record.life:
+        if entry.generation != member.record.generation or entry.process_id != member.record.process_id:
             return  # of an earlier instance, or of one whose record hasn't arrived yet
         known = member.entries.get(entry.kind)
         if known is None and len(member.entries) >= self.terms.max_entries:
@@ -932,7 +943,7 @@
 
     def _checksum(self, record: MemberRecord, entries: dict[int, StoredEntry]) -> int:
         versions = sorted(self._counters(entries).items())
-        return zlib.crc32(repr((record.name, record.generation, record.life, versions)).encode())
+        return zlib.crc32(repr((record.name, record.generation, record.process_id, versions)).encode())
 
     def _counters(self, entries: dict[int, StoredEntry]) -> dict[int, int]:
         return {
@@ -960,7 +971,7 @@
             self._send_datagram(
                 member.address,
                 Kind.DIGEST,
-                member.record.life,
+                member.record.process_id,
                 member=member,
                 with_updates=False,
                 digest=self._digest(),
@@ -975,7 +986,7 @@
             return None
         versions = self._counters(entries)
         return HeldVersions(
-            record.name, record.generation, record.life, record.incarnation, record.state, versions
+            record.name, record.generation, record.process_id, record.incarnation, record.state, versions
         )
 
     def _receive_digest(self, datagram: Datagram, member: KnownMember) -> None:
@@ -1005,7 +1016,7 @@
             buckets.append(index)
         if self._take_tokens(MAX_DATAGRAM_BYTES - room):
             self._send_datagram(
-                member.address, Kind.VERSIONS, member.record.life, member=member, with_updates=False,
+                member.address, Kind.VERSIONS, member.record.process_id, member=member, with_updates=False,
                 buckets=buckets, held=held,
             )  # fmt: skip
 
@@ -1036,7 +1047,8 @@
             if self._is_behind(theirs, ours):
                 self._collect_missing(theirs, records, entries)
             if may_request and (
-                self._is_behind(ours, theirs) or (theirs.name == self.me.name and theirs.life != self.me.life)
+                self._is_behind(ours, theirs)
+                or (theirs.name == self.me.name and theirs.process_id != self.me.process_id)
             ):
                 missing.append(ours)
         if may_request:
@@ -1055,7 +1067,7 @@
                 fitting.append(one)
             if self._take_tokens(MAX_DATAGRAM_BYTES - max(0, room)):
                 self._send_datagram(
-                    member.address, Kind.VERSIONS, member.record.life, target="?", member=member,
+                    member.address, Kind.VERSIONS, member.record.process_id, target="?", member=member,
                     with_updates=False, held=fitting,
                 )  # fmt: skip
         self._send_missing(member, records, entries)
@@ -1065,7 +1077,7 @@
         """Whether ``there`` is newer than ``here`` in any part."""
         if there.generation != here.generation:
             return there.generation > here.generation
-        if there.life != here.life:
+        if there.process_id != here.process_id:
             return False
         if (there.incarnation, there.state) > (here.incarnation, here.state):
             return True
@@ -1085,7 +1097,7 @@
             return
         records.append(record)
         held = self.own_entries if theirs.name == self.me.name else self.members[theirs.name].entries
-        same_instance = theirs.generation == record.generation and theirs.life == record.life
+        same_instance = theirs.generation == record.generation and theirs.process_id == record.process_id
         for kind, stored in held.items():
             if stored.is_valid(self.now) and (
                 not same_instance or stored.entry.counter > theirs.counters.get(kind, 0)
@@ -1110,6 +1122,6 @@
             if not self._take_tokens(MAX_DATAGRAM_BYTES - room):
                 return
             self._send_datagram(
-                member.address, Kind.MISSING, member.record.life, records=record_batch, member=member,
+                member.address, Kind.MISSING, member.record.process_id, records=record_batch, member=member,
                 with_updates=False, entries=entry_batch,
             )  # fmt: skip
--- a/martentide/fleet/table.py
+++ b/martentide/fleet/table.py
@@ -44,7 +44,7 @@
     suspected_at: float = 0.0
     stamp: int = -1
     stamp_received_at: float = 0.0
-    stamp_life: int = 0
+    stamp_process_id: int = 0
     entries: dict[int, StoredEntry] = field(default_factory=dict)
     checksum: int = 0  # its part of its bucket's checksum
 
@@ -69,7 +69,7 @@
     """A probe of this member in flight; times are in ms of the running clock."""
 
     name: Name
-    life: int
+    process_id: int
     number: int
     indirect_due: float | None  # when to request indirect probes; None once requested
     deadline: float
--- a/martentide/fleet/wire.py
+++ b/martentide/fleet/wire.py
@@ -71,13 +71,13 @@
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """What is known of a member.
 
-    ``life`` is a random number of each process instance; it tells two instances of the same name and
+    ``process_id`` is a random number of each process instance; it tells two instances of the same name and
     generation apart.
     """
 
     name: Name
     generation: int
-    life: int
+    process_id: int
     incarnation: int
     state: int
     zone: str
@@ -98,7 +98,7 @@
 
     owner: Name
     generation: int
-    life: int
+    process_id: int
     kind: int
     counter: int
     schema: int
@@ -117,7 +117,7 @@
 
     name: Name
     generation: int
-    life: int
+    process_id: int
     incarnation: int
     state: int
     counters: dict[int, int]
@@ -133,7 +133,7 @@
 
     kind: int
     sender: MemberRecord
-    to: int  # ``life`` of the intended recipient, 0 if unknown
+    to: int  # ``process_id`` of the intended recipient, 0 if unknown
     stamp: int
     echo: int = -1  # -1: none
     echo_delay: int = 0
@@ -218,7 +218,7 @@
         and 0 <= record.state <= State.LEFT
         and 0 <= record.generation < 1 << 48
         and 0 <= record.incarnation < 1 << 48
-        and 0 < record.life < 1 << 63
+        and 0 < record.process_id < 1 << 63
     )
 
 
--- a/martentide/net/fleet/member.py
+++ b/martentide/net/fleet/member.py
@@ -157,11 +157,11 @@
             self.settings = self.dispatcher.controller.settings
             self.phase = Phase.NORMAL
             self.overload = overload.Overload(
-                self.name, self.core.me.life, *self._overload_terms(self.settings), seed=seed
+                self.name, self.core.me.process_id, *self._overload_terms(self.settings), seed=seed
             )
         log_event(
             "fleet-joining", fleet=self.part.name, address=f"{endpoint[0]}:{endpoint[1]}",
-            advertise=f"{address[0]}:{address[1]}", life=self.core.me.life, zone=self.part.zone,
+            advertise=f"{address[0]}:{address[1]}", life=self.core.me.process_id, zone=self.part.zone,
         )  # fmt: skip
         if self.part.agreement is not None:
             from martentide.net.fleet.agreement_actor import AgreementActor
@@ -169,7 +169,7 @@
             self.agreement = AgreementActor(
                 self.part.agreement, self.name, self.dispatcher, self._send_payload, lambda: self.core
             )
-            await self.agreement.begin(self.core.me.life, seed)
+            await self.agreement.begin(self.core.me.process_id, seed)
             if self.core is None or self.agreement is None:
                 return  # retired while it read its persistent state
         self._arm()
@@ -301,7 +301,7 @@
                 log_event(
                     "fleet-member", member=record.name, state=State(record.state).name.lower(),
                     was="unknown" if old is None else old.name.lower(), by=by, evidence=repr(evidence),
-                    generation=record.generation, life=record.life, zone=record.zone,
+                    generation=record.generation, life=record.process_id, zone=record.zone,
                 )  # fmt: skip
             case Learned():
                 self.counts["facets"] += 1
@@ -310,7 +310,7 @@
                     self.agreement.receive(sender.name, body)
             case Displaced(by):
                 LOG.error(
-                    "fleet-displaced", member=by.name, address=f"{by.host}:{by.port}", life=by.life,
+                    "fleet-displaced", member=by.name, address=f"{by.host}:{by.port}", life=by.process_id,
                     detail=repr("a newer process uses this name; this one continues without the fleet"),
                 )  # fmt: skip
             case TableFull(most):
--- a/martentide/overload/core.py
+++ b/martentide/overload/core.py
@@ -126,7 +126,7 @@
     def __init__(
         self,
         name: str,
-        life: int,
+        process_id: int,
         worths: Mapping[str, float],
         max_hold_off: float,
         tolerable_wait: float,
@@ -143,14 +143,14 @@
         self.shortest_answers: dict[str, tuple[float, int]] = {}  # by server: shortest lag, number of answers
         self.rng = random.Random(seed)
         self.level = Level()
-        self.escrow = Escrow(name, life, MAX_BALANCE)
+        self.escrow = Escrow(name, process_id, MAX_BALANCE)
         self.offered_rates = {kind: Rate() for kind in self.worths}
         self.redial_rate, self.first_try_rate, self.standing_rate = Rate(), Rate(), Rate()
         self.recent_numbers: OrderedDict[str, float] = OrderedDict()
         self.class_mix: dict[str, float] = {}
         self.hold_backs: dict[str, tuple[float, float]] = {}  # by server: requested share, local time
         self.claims: dict[str, dict[str, tuple[float, float]]] = {}  # by server and observing member
-        self.last_messages: dict[str, tuple[int, int, float]] = {}  # by member: life, counter, time
+        self.last_messages: dict[str, tuple[int, int, float]] = {}  # by member: process id, counter, time
         self.epoch_start: float | None = None  # local time at which turn 0 began
         self.polled_at: float | None = None
         self.message_due = 0.0
@@ -244,8 +244,9 @@
     ) -> Outcome:
         """Update the admitted share and return events for the decisions and the message to publish.
 
-        ``received`` holds owner, its life, counter, message and age in ms; ``living`` the life of each living
-        member by name, including this one; ``allotment`` the tokens that the decisions still hold.
+        ``received`` holds owner, its process id, counter, message and age in ms; ``living`` the process id of
+        each living member by name, including this one; ``allotment`` the tokens that the decisions still
+        hold.
         """
         stalled = self.polled_at is not None and now - self.polled_at > MAX_POLL_GAP
         self.polled_at = now
@@ -261,10 +262,10 @@
         messages = list(received)
         events: list[Admission | RepeatBudget] = []
         turns = []
-        for owner, life, counter, load, age in messages:
+        for owner, process_id, counter, load, age in messages:
             turns.append(load.turn * TURN_LENGTH + load.turn_age + age)
             mine = owner == self.name or "word" in self.disabled
-            if not mine and owner in living and self._is_new_message(owner, life, counter, now):
+            if not mine and owner in living and self._is_new_message(owner, process_id, counter, now):
                 self._apply_message(now, owner, load, age, servers)
         self._synchronise_epoch(now, turns)
         self._update_hold_backs(now, servers)
@@ -307,14 +308,14 @@
                 )
             self.hold_backs[name] = (hold, at)
 
-    def _is_new_message(self, owner: str, life: int, counter: int, now: float) -> bool:
+    def _is_new_message(self, owner: str, process_id: int, counter: int, now: float) -> bool:
         """Return whether the message is new; messages above an owner's rate limit are ignored."""
         last = self.last_messages.get(owner)
-        if last is not None and last[:2] == (life, counter):
+        if last is not None and last[:2] == (process_id, counter):
             return False
         if last is not None and now - last[2] < MIN_MESSAGE_GAP / 2:
             return False
-        self.last_messages[owner] = (life, counter, now)
+        self.last_messages[owner] = (process_id, counter, now)
         if len(self.last_messages) > MAX_SENDERS:
             self.last_messages.pop(next(iter(self.last_messages)))
         return True
@@ -395,30 +396,30 @@
         events: list[Admission | RepeatBudget],
     ) -> None:
         escrow = self.escrow
-        for owner, life, _, load, age in messages:
+        for owner, process_id, _, load, age in messages:
             if owner == self.name:
                 continue
             for transfer in load.transfers:
-                escrow.receive(owner, life, transfer, age)
-            for sender, sender_life, last in load.received_transfers:
-                if sender == self.name and sender_life == escrow.life:
-                    escrow.settle(now, owner, life, age, last)
+                escrow.receive(owner, process_id, transfer, age)
+            for sender, sender_process_id, last in load.received_transfers:
+                if sender == self.name and sender_process_id == escrow.process_id:
+                    escrow.settle(now, owner, process_id, age, last)
         escrow.expire(now, set(living))
         allotment = min(allotment, float(ALLOTMENT))  # it is infinite before the first budget
         withdrawn = escrow.withdraw(ALLOTMENT - allotment)
         events.append(RepeatBudget(float(withdrawn), ALLOTMENT_LIFETIME))
         self.tokens_wanted = max(0, min(99, int(ALLOTMENT - allotment - withdrawn)))
         short_members = [
-            (owner, life, load.tokens_wanted)
-            for owner, life, _, load, _ in messages
+            (owner, process_id, load.tokens_wanted)
+            for owner, process_id, _, load, _ in messages
             if load.tokens_wanted > 0
         ]
         if short_members and escrow.tokens >= TRANSFER_THRESHOLD:
-            owner, life, wanted = self.rng.choice(short_members)
-            if living.get(owner) == life and not any(
+            owner, process_id, wanted = self.rng.choice(short_members)
+            if living.get(owner) == process_id and not any(
                 one.transfer.to == owner for one in escrow.outgoing.values()
             ):
-                escrow.send(now, owner, life, min(wanted, int(escrow.tokens - TRANSFER_THRESHOLD) + 1))
+                escrow.send(now, owner, process_id, min(wanted, int(escrow.tokens - TRANSFER_THRESHOLD) + 1))
 
     # ---- output -------------------------------------------------------------------------------------------
 
@@ -479,7 +480,7 @@
             for name, (hold, at) in newest
         ]
         received_transfers = [
-            (sender, life, number) for sender, (life, number) in self.escrow.last_received.items()
+            (sender, process_id, number) for sender, (process_id, number) in self.escrow.last_received.items()
         ]
         elapsed = now - self.epoch_start
         while True:
@@ -503,14 +504,14 @@
     """Poll ``overload`` with the member's state entries; also return how many of them were unreadable."""
     received: list[tuple[str, int, int, Load, float]] = []
     unreadable = 0
-    living = {overload.name: membership.me.life}
+    living = {overload.name: membership.me.process_id}
     if not membership.displaced:
         for member, entry, age in membership.state_entries_of(LOAD_KIND, now):
             try:
-                received.append((member.name, entry.life, entry.counter, read_load(entry.body), age))
+                received.append((member.name, entry.process_id, entry.counter, read_load(entry.body), age))
             except (msgspec.DecodeError, msgspec.ValidationError):
                 unreadable += 1
-        living |= {other.name: other.life for other in membership.living()}
+        living |= {other.name: other.process_id for other in membership.living()}
     return overload.poll(now, servers, received, living, allotment), unreadable
 
 
--- a/martentide/overload/escrow.py
+++ b/martentide/overload/escrow.py
@@ -34,12 +34,12 @@
     """The account of one process. Tokens are earned in fractions, but transferred and spent whole."""
 
     name: str
-    life: int
+    process_id: int
     max_balance: float  # tokens; earnings beyond it are lost
     tokens: float = 0.0
     last_number: int = 0
     outgoing: dict[int, OutgoingTransfer] = field(default_factory=dict)
-    last_received: dict[str, tuple[int, int]] = field(default_factory=dict)  # by sender: its life, number
+    last_received: dict[str, tuple[int, int]] = field(default_factory=dict)  # by sender: process id, number
 
     def earn(self, tokens: float) -> None:
         """Credit earned tokens, up to ``max_balance``."""
@@ -51,7 +51,7 @@
         self.tokens -= tokens
         return tokens
 
-    def send(self, now: float, recipient: str, life: int, tokens: int) -> bool:
+    def send(self, now: float, recipient: str, process_id: int, tokens: int) -> bool:
         """Debit a transfer to another member; return whether that was possible."""
         if (
             tokens <= 0
@@ -63,7 +63,7 @@
         self.tokens -= tokens
         self.last_number += 1
         self.outgoing[self.last_number] = OutgoingTransfer(
-            Transfer(recipient, life, self.last_number, tokens, 0), now
+            Transfer(recipient, process_id, self.last_number, tokens, 0), now
         )
         return True
 
@@ -72,7 +72,7 @@
         return [
             Transfer(
                 one.transfer.to,
-                one.transfer.life,
+                one.transfer.process_id,
                 one.transfer.number,
                 one.transfer.tokens,
                 int(now - one.sent_at) + 1,
@@ -81,24 +81,28 @@
             if now - one.sent_at < TRANSFER_EXPIRY
         ]
 
-    def receive(self, sender: str, sender_life: int, transfer: Transfer, age: float) -> int:
+    def receive(self, sender: str, sender_process_id: int, transfer: Transfer, age: float) -> int:
         """Credit a transfer published at most ``age`` ms ago; return the tokens credited."""
-        if transfer.to != self.name or transfer.life != self.life or age + transfer.age >= TRANSFER_EXPIRY:
+        if (
+            transfer.to != self.name
+            or transfer.process_id != self.process_id
+            or age + transfer.age >= TRANSFER_EXPIRY
+        ):
             return 0
-        last_life, last = self.last_received.get(sender, (0, 0))
-        if sender_life == last_life and transfer.number <= last:
+        last_process_id, last = self.last_received.get(sender, (0, 0))
+        if sender_process_id == last_process_id and transfer.number <= last:
             return 0  # a duplicate, or overtaken by a later one: its sender may have settled it
         if sender not in self.last_received and len(self.last_received) >= MAX_SENDERS:
             return 0
-        self.last_received[sender] = (sender_life, transfer.number)
+        self.last_received[sender] = (sender_process_id, transfer.number)
         self.tokens += transfer.tokens  # may exceed max_balance: a full account would lose the transfer
         return transfer.tokens
 
-    def settle(self, now: float, recipient: str, recipient_life: int, age: float, last: int) -> None:
+    def settle(self, now: float, recipient: str, recipient_process_id: int, age: float, last: int) -> None:
         """Settle transfers by a recipient's report, at most ``age`` ms old, of the last one it credited."""
         for number, one in list(self.outgoing.items()):
             transfer = one.transfer
-            if transfer.to != recipient or transfer.life != recipient_life:
+            if transfer.to != recipient or transfer.process_id != recipient_process_id:
                 continue
             if last >= number:
                 del self.outgoing[number]  # credited, or skipped for a later one: counts as spent
--- a/martentide/overload/messages.py
+++ b/martentide/overload/messages.py
@@ -31,7 +31,7 @@
     """
 
     to: str
-    life: int
+    process_id: int
     number: int
     tokens: int
     age: int
@@ -42,7 +42,7 @@
 
     ``baseline`` is the slow part of the admitted share, in thousandths of the first tries; ``offered`` the
     first tries by class, in hundredths per second; ``tokens_wanted`` the retry tokens that it is short of;
-    ``received_transfers`` the last transfer received, as sender, the sender's life and its number.
+    ``received_transfers`` the last transfer received, as sender, the sender's process id and its number.
     """
 
     baseline: int
--- a/martentide_lab/fleet/agreeing.py
+++ b/martentide_lab/fleet/agreeing.py
@@ -95,7 +95,7 @@
         assert node.core is not None
         self.words[name] = []
         self.agreements[name] = self.kind(
-            name, node.core.me.life, self.voters, self.agreement_terms, self.dice.getrandbits(48),
+            name, node.core.me.process_id, self.voters, self.agreement_terms, self.dice.getrandbits(48),
             node.clock(self.now), self.disks.get(name),
         )  # fmt: skip
         self._wake_later(name)
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -116,7 +116,8 @@
             teller = words[0] if words[0].name != name else words[1]
             rest = [word for word in words if word.name != name]
             self.feed(
-                name, DatagramReceived(Datagram(Kind.MISSING, teller, node.core.me.life, 0, members=rest))
+                name,
+                DatagramReceived(Datagram(Kind.MISSING, teller, node.core.me.process_id, 0, members=rest)),
             )
 
     # ---- processes --------------------------------------------------------------------------------------
@@ -132,7 +133,7 @@
         node.core = Membership(
             name, node.zone, node.address, self.seeds, self.terms, self.dice.getrandbits(48), now
         )
-        self._log("started", name, name, life=node.core.me.life)
+        self._log("started", name, name, life=node.core.me.process_id)
         self._schedule(node)
 
     def kill(self, name: str) -> None:
@@ -242,12 +243,12 @@
             case Changed(word, old, by, evidence):
                 self._log(
                     "member", node.name, word.name, state=word.state, old=None if old is None else int(old),
-                    by=by, evidence=evidence, life=word.life,
+                    by=by, evidence=evidence, life=word.process_id,
                 )  # fmt: skip
             case Learned(word):
                 self._log("facet", node.name, word.owner, facet=word.kind, counter=word.counter, age=word.age)
             case Displaced(by):
-                self._log("displaced", node.name, by.name, life=by.life)
+                self._log("displaced", node.name, by.name, life=by.process_id)
             case Stalled(span):
                 self._log("late", node.name, node.name, span=span)
         for observe in self.observers:
--- a/martentide_lab/sim.py
+++ b/martentide_lab/sim.py
@@ -150,7 +150,7 @@
             self.overloads = [
                 overload.Overload(
                     node.name,
-                    node.core.me.life,
+                    node.core.me.process_id,
                     worths,
                     self.settings.max_hold_off,
                     self.controllers[at].tolerable_wait,
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -21,12 +21,14 @@
 
 
 def record(name: str = "b", state: State = State.ALIVE, incarnation: int = 1, **more: object) -> MemberRecord:
-    fields = {"generation": 1, "life": 22, "zone": "z", "host": "127.0.0.1", "port": 7_001, "by": ""} | more
+    fields = {
+        "generation": 1, "process_id": 22, "zone": "z", "host": "127.0.0.1", "port": 7_001, "by": "",
+    } | more  # fmt: skip
     return MemberRecord(name=name, incarnation=incarnation, state=state, **fields)  # type: ignore[arg-type]
 
 
 def member() -> Membership:
-    return Membership("a", "z", ADDRESS, (), Terms(), 1, 0.0, life=11)
+    return Membership("a", "z", ADDRESS, (), Terms(), 1, 0.0, process_id=11)
 
 
 def receive(
@@ -58,13 +60,13 @@
         (record(state=State.LEFT, incarnation=2), record(incarnation=9), State.LEFT),
         (
             record(state=State.LEFT, incarnation=2),
-            record(state=State.ALIVE, generation=2, life=33),
+            record(state=State.ALIVE, generation=2, process_id=33),
             State.ALIVE,
         ),
-        (record(generation=2, life=33), record(state=State.LEFT, incarnation=9), State.ALIVE),
+        (record(generation=2, process_id=33), record(state=State.LEFT, incarnation=9), State.ALIVE),
         (
             record(),
-            record(state=State.DEAD, life=44, by="c"),
+            record(state=State.DEAD, process_id=44, by="c"),
             State.ALIVE,
         ),  # another instance of that generation
     ],
@@ -73,25 +75,25 @@
     known: MemberRecord, received: MemberRecord, expected: State
 ) -> None:
     core = member()
-    receive(core, 1.0, sender=record("c", life=99, port=7_003))
-    receive(core, 2.0, record("b"), sender=record("c", life=99, port=7_003))
-    receive(core, 3.0, known, sender=record("c", life=99, port=7_003))
-    receive(core, 4.0, received, sender=record("c", life=99, port=7_003))
+    receive(core, 1.0, sender=record("c", process_id=99, port=7_003))
+    receive(core, 2.0, record("b"), sender=record("c", process_id=99, port=7_003))
+    receive(core, 3.0, known, sender=record("c", process_id=99, port=7_003))
+    receive(core, 4.0, received, sender=record("c", process_id=99, port=7_003))
     assert core.members["b"].state is expected
 
 
 def test_an_unknown_member_is_not_added_as_suspect_dead_or_left() -> None:
     core = member()
     for state in (State.SUSPECT, State.DEAD, State.LEFT):
-        receive(core, 1.0, record("d", state, life=55, by="c"))
+        receive(core, 1.0, record("d", state, process_id=55, by="c"))
     assert "d" not in core.members
 
 
 def test_a_member_refutes_its_suspicion_and_starts_a_generation_above_an_earlier_instance() -> None:
     core = member()
-    receive(core, 1.0, record("a", State.SUSPECT, 4, life=11, by="b", port=ADDRESS[1]))
+    receive(core, 1.0, record("a", State.SUSPECT, 4, process_id=11, by="b", port=ADDRESS[1]))
     assert (core.me.incarnation, core.me.state, core.health_multiplier) == (5, State.ALIVE, 1)
-    receive(core, 2.0, record("a", State.DEAD, 7, life=10, generation=6, port=ADDRESS[1]))
+    receive(core, 2.0, record("a", State.DEAD, 7, process_id=10, generation=6, port=ADDRESS[1]))
     assert (core.me.generation, core.me.incarnation) == (7, 1)
 
 
@@ -164,11 +166,11 @@
 def test_tables_are_bounded() -> None:
     core = Membership("a", "z", ADDRESS, (), Terms(max_members=10, max_former_addresses=5), 1, 0.0)
     for index in range(50):
-        receive(core, 1.0, sender=record(f"m{index}", life=100 + index, port=8_000 + index))
+        receive(core, 1.0, sender=record(f"m{index}", process_id=100 + index, port=8_000 + index))
     assert len(core.members) == 10 and core.counts["no-room"] == 40
     for kind in range(30):
         datagram = Datagram(
-            Kind.GOSSIP, record("m0", life=100, port=8_000), core.me.life, 0, 0, 0,
+            Kind.GOSSIP, record("m0", process_id=100, port=8_000), core.me.process_id, 0, 0, 0,
             entries=[StateEntry("m0", 1, 100, kind, 1, 1, 0, 9_000, b"x")],
         )  # fmt: skip
         core.handle(1.0, DatagramReceived(datagram))
@@ -179,7 +181,7 @@
 
 def test_a_member_discards_its_table_after_a_long_stall() -> None:
     core = member()
-    receive(core, 1.0, record("c", life=33, port=7_003))
+    receive(core, 1.0, record("c", process_id=33, port=7_003))
     core.handle(core.due + 100_000.0, Due())
     assert not core.members and core.joining and core.former_addresses
 
@@ -228,7 +230,9 @@
     """Faulty merge: also queues a record by which ``n0`` later resurrects a dead member."""
     result = ORIGINAL_APPLY_NEWER_RECORD(self, known, received, by, direct)  # type: ignore[arg-type]
     if self.me.name == "n0" and received.state == State.DEAD:
-        resurrected = record(received.name, State.ALIVE, 99, life=received.life, port=received.port)
+        resurrected = record(
+            received.name, State.ALIVE, 99, process_id=received.process_id, port=received.port
+        )
         self.members[received.name].since = -1e9
         PENDING.append((self, resurrected))
     return result
--- a/tests/overload/test_core.py
+++ b/tests/overload/test_core.py
@@ -186,7 +186,7 @@
     for _ in range(4):
         rich.poll({"m1": load_message(0.0, tokens_wanted=2)})
     transfers_sent = rich.overload.escrow.pending_transfers(rich.now)
-    assert transfers_sent and transfers_sent[0].to == "m1" and transfers_sent[0].life == LIVING["m1"]
+    assert transfers_sent and transfers_sent[0].to == "m1" and transfers_sent[0].process_id == LIVING["m1"]
     message = load_message(0.0, transfers=transfers_sent)
     for _ in range(3):
         poor.poll({"m0": message}, allotment=0.0)
@@ -249,8 +249,11 @@
 def test_decisions_never_get_more_tokens_than_first_tries_earned(seed: int) -> None:
     """Four members with lost, duplicated, late and reordered messages, suspensions and restarts."""
     rng = random.Random(seed)
-    members = [Overload(name, life, WORTHS, 2_000.0, 600.0, seed) for name, life in list(LIVING.items())[:4]]
-    lives = dict(list(LIVING.items())[:4])
+    members = [
+        Overload(name, process_id, WORTHS, 2_000.0, 600.0, seed)
+        for name, process_id in list(LIVING.items())[:4]
+    ]
+    process_ids = dict(list(LIVING.items())[:4])
     history: list[tuple[float, str, int, int, Load]] = []
     now, tries, granted, counter = 0.0, 0, 0.0, 0
     for _ in range(400):
@@ -258,26 +261,28 @@
         at = rng.randrange(4)
         overload = members[at]
         if rng.random() < 0.02:
-            lives[overload.name] += 100
+            process_ids[overload.name] += 100
             overload = members[at] = Overload(
-                overload.name, lives[overload.name], WORTHS, 2_000.0, 600.0, seed
+                overload.name, process_ids[overload.name], WORTHS, 2_000.0, 600.0, seed
             )
         for _ in range(rng.choice([0, 0, 5, 30])):
             number = f"{rng.getrandbits(40)}"
             overload.observe(now, SetUpOffered(1, "status", None, number, 3_000.0, -1, False, False))
             tries += 1
         received = [
-            (owner, life, number, load, now - when)
-            for when, owner, life, number, load in rng.sample(history, min(len(history), rng.randrange(4)))
+            (owner, process_id, number, load, now - when)
+            for when, owner, process_id, number, load in rng.sample(
+                history, min(len(history), rng.randrange(4))
+            )
             if owner != overload.name and now - when < LOAD_EXPIRY
         ]
-        outcome = overload.poll(now, SERVERS, received, lives, float(rng.choice([0, 0, ALLOTMENT])))
+        outcome = overload.poll(now, SERVERS, received, process_ids, float(rng.choice([0, 0, ALLOTMENT])))
         granted += sum(event.tokens for event in outcome.events if isinstance(event, RepeatBudget))
         if outcome.message is not None:
             counter += 1
             history = [
                 *history[-20:],
-                (now, overload.name, lives[overload.name], counter, read_load(outcome.message)),
+                (now, overload.name, process_ids[overload.name], counter, read_load(outcome.message)),
             ]
         assert granted <= RETRY_RATIO * tries + 1e-9
     assert granted > 0
--- a/tests/overload/test_escrow.py
+++ b/tests/overload/test_escrow.py
@@ -23,7 +23,7 @@
     """A load message as sent."""
 
     owner: str
-    life: int
+    process_id: int
     at: int
     transfers: tuple[Any, ...]
     received: tuple[tuple[str, int, int], ...]
@@ -42,7 +42,7 @@
     def key(self) -> tuple[Any, ...]:
         accounts = tuple(
             (
-                one.life, one.tokens, one.last_number,
+                one.process_id, one.tokens, one.last_number,
                 tuple((number, sent.transfer, sent.sent_at) for number, sent in sorted(one.outgoing.items())),
                 tuple(sorted(one.last_received.items())),
             )
@@ -55,7 +55,7 @@
     one = account
     return module.Escrow(
         one.name,
-        one.life,
+        one.process_id,
         one.max_balance,
         one.tokens,
         one.last_number,
@@ -77,7 +77,8 @@
     for at, name in enumerate(MEMBERS):
         held = fleet.accounts[at]
         received = tuple(
-            (sender, life, number) for sender, (life, number) in sorted(held.last_received.items())
+            (sender, process_id, number)
+            for sender, (process_id, number) in sorted(held.last_received.items())
         )
         if held.tokens >= 1:
             one = copy_account(module, held)
@@ -86,9 +87,9 @@
             for other, recipient in enumerate(MEMBERS):
                 if other != at and not held.outgoing:
                     one = copy_account(module, held)
-                    if one.send(now, recipient, fleet.accounts[other].life, 1):
+                    if one.send(now, recipient, fleet.accounts[other].process_id, 1):
                         published = LoadMessage(
-                            name, one.life, fleet.now, tuple(one.pending_transfers(now)), received
+                            name, one.process_id, fleet.now, tuple(one.pending_transfers(now)), received
                         )
                         yield (
                             f"{name} sends to {recipient}",
@@ -97,21 +98,25 @@
         if held.last_received or any(
             message.transfers and message.owner != name for message in fleet.messages
         ):
-            published = LoadMessage(name, held.life, fleet.now, tuple(held.pending_transfers(now)), received)
+            published = LoadMessage(
+                name, held.process_id, fleet.now, tuple(held.pending_transfers(now)), received
+            )
             if published not in fleet.messages:
                 yield f"{name} publishes", fleet._replace(messages=with_message(fleet.messages, published))
         for message in fleet.messages:
             if message.owner != name:
                 one, age = copy_account(module, held), (fleet.now - message.at) * STEP
                 for transfer in message.transfers:
-                    one.receive(message.owner, message.life, transfer, age)
-                last = {life: number for sender, life, number in message.received if sender == name}
-                one.settle(now, message.owner, message.life, age, last.get(one.life, 0))
+                    one.receive(message.owner, message.process_id, transfer, age)
+                last = {
+                    process_id: number for sender, process_id, number in message.received if sender == name
+                }
+                one.settle(now, message.owner, message.process_id, age, last.get(one.process_id, 0))
                 yield f"{name} receives {message.owner} of {message.at}", with_account(at, one)
         if not fleet.crashes and held.last_received:
             yield (
                 f"{name} restarts",
-                with_account(at, module.Escrow(name, held.life + 10, held.max_balance), crashes=1),
+                with_account(at, module.Escrow(name, held.process_id + 10, held.max_balance), crashes=1),
             )
 
 
@@ -160,12 +165,12 @@
     ("old", "new"),
     [
         ("        self.tokens -= tokens\n        self.last_number", "        self.last_number"),
-        ("        if sender_life == last_life and transfer.number <= last:\n", "        if False:\n"),
-        ("or age + transfer.age >= TRANSFER_EXPIRY:", "or False:"),
+        ("if sender_process_id == last_process_id and transfer.number <= last:", "if False:"),
+        ("or age + transfer.age >= TRANSFER_EXPIRY", "or False"),
         ("elif now - age - one.sent_at >= SETTLE_AFTER:", "elif now - one.sent_at >= SETTLE_AFTER:"),
         ("elif now - age - one.sent_at >= SETTLE_AFTER:", "else:"),
         ("            if last >= number:\n", "            if False:\n"),
-        ("transfer.to != self.name or transfer.life != self.life", "transfer.to != self.name"),
+        ("            or transfer.process_id != self.process_id\n", ""),
     ],
     ids=["not-debited", "credited-twice", "credited-late", "settled-by-old-report", "settled-at-once",
          "settled-though-credited", "credited-by-the-next-life"],
