--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -35,7 +35,7 @@
         self.rng = random.Random(seed)
         self.frame = Frame("scale")
         self.words = [word(at) for at in range(1, members + 1)]
-        self.by_life = {one.process_id: one for one in self.words}
+        self.by_process_id = {one.process_id: one for one in self.words}
         terms = dataclasses.replace(Terms(), max_members=max(Terms().max_members, members + 1))
         me = word(0)
         self.core = Membership("p0", me.zone, (me.host, me.port), (), terms, seed, 0.0)
@@ -56,7 +56,7 @@
 
     def _answer(self, action: Send) -> None:
         said = action.datagram
-        other = self.by_life.get(said.to)
+        other = self.by_process_id.get(said.to)
         if other is not None and said.kind == Kind.PING:
             self._say(
                 Datagram(Kind.ACK, other, self.core.me.process_id, int(self.now), said.stamp, 0, said.probe)
--- a/martentide_lab/fleet/invariants.py
+++ b/martentide_lab/fleet/invariants.py
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Process:
-    life: int
+    process_id: int
     since: float
     stopped: float | None = None
     disturbed: float = -1e9  # the last time it was
@@ -70,8 +70,8 @@
         self.loss = self.delay = 0.0
         self.loss_until = -1e9
         self.last_fault = 0.0
-        self.owed: list[tuple[float, str, str, int, float]] = []  # due, observer, about, life, since
-        self.ended: dict[int, float] = {}  # lives that are over
+        self.owed: list[tuple[float, str, str, int, float]] = []  # due, observer, about, process id, since
+        self.ended: dict[int, float] = {}  # by process id: end of the process
         self.violations: list[Violation] = []
 
     def check(self, log: Iterable[Event], end: float) -> list[Violation]:
@@ -109,14 +109,14 @@
         if one is None or one.ended is not None:
             return
         one.ended, one.left = event.at, event.kind == "left"
-        self.ended[one.life] = event.at
+        self.ended[one.process_id] = event.at
         self.last_fault = event.at
         for name in self.names:
             held = self.views[name].get(event.subject)
             if name != event.subject and self._runs(name) and held is not None and held[1] < State.DEAD:
                 due = event.at + self.bounds.detection
-                if held[0] == one.life:
-                    self.owed.append((due, name, event.subject, one.life, event.at))
+                if held[0] == one.process_id:
+                    self.owed.append((due, name, event.subject, one.process_id, event.at))
 
     def _continued(self, event: Event) -> None:
         one = self.processes.get(event.subject)
@@ -177,16 +177,21 @@
         return not (cut_now or lately or lossy)
 
     def _seen(self, event: Event) -> None:
-        who, about, state, life = event.observer, event.subject, event.fields["state"], event.fields["life"]
+        who, about, state, process_id = (
+            event.observer,
+            event.subject,
+            event.fields["state"],
+            event.fields["life"],
+        )
         old = self.views[who].get(about)
-        self.views[who][about] = (life, state)
+        self.views[who][about] = (process_id, state)
         one = self.processes.get(about)
-        runs = one is not None and one.life == life and one.ended is None
+        runs = one is not None and one.process_id == process_id and one.ended is None
         if state == State.DEAD and runs:
             calm = self._calm(who, event.at) and self._calm(about, event.at)
             if calm and self._reach(who, about, event.at):
                 self._break("not-accused", event, event.fields.get("evidence", ""))
-        ended = self.ended.get(life)
+        ended = self.ended.get(process_id)
         late = ended is not None and event.at - ended > self.bounds.detection
         if (
             late
@@ -203,14 +208,14 @@
 
     def _pay(self, now: float) -> None:
         while self.owed and self.owed[0][0] <= now:
-            due, name, about, life, since = self.owed.pop(0)
+            due, name, about, process_id, since = self.owed.pop(0)
             observer = self.processes.get(name)
             if observer is None or observer.ended is not None or observer.since > since:
                 continue
             if observer.stopped is not None or observer.disturbed > since - self.bounds.settling:
                 continue
             held = self.views[name].get(about)
-            if held is not None and held[0] == life and held[1] < State.DEAD:
+            if held is not None and held[0] == process_id and held[1] < State.DEAD:
                 text = f"ended at {since / 1000:.3f} s and still held for alive"
                 self.violations.append(Violation("found-dead", due, name, about, text))
 
