--- a/tests/agreement/test_overlay.py
+++ b/tests/agreement/test_overlay.py
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "word"),
+    ("change", "reason"),
     [
         ({"classes": {}}, "expected status-check, which is served here, found none"),
         ({"extra": True}, "classes/other: expected one of"),
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -24,7 +24,7 @@
 from martentide_lab.servers import DRAINING, READY, ReceivedSetUp, SessionServer
 from tests.fleet.support import WAIT_LIMIT_S, run_scenario
 
-WITHDRAWAL_BOUND_MS = 2_000.0  # ms
+WITHDRAWAL_BOUND_MS = 2_000.0  # after which a withdrawn server must get no new calls
 PROXIES, SERVERS = 5, 2
 
 
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -72,7 +72,7 @@
     patch.setattr(ControlClient, "age", lambda self, key, now: 0.0)
 
 
-@pytest.mark.parametrize(("plant", "rule"), [(drop_a_member, "held-dead"), (disable_expiry, "held-alive")])
+@pytest.mark.parametrize(("inject", "rule"), [(drop_a_member, "held-dead"), (disable_expiry, "held-alive")])
 def test_a_planted_fault_is_found(
     monkeypatch: pytest.MonkeyPatch, inject: Callable[[pytest.MonkeyPatch], None], rule: str
 ) -> None:
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -1,4 +1,4 @@
-"""Helpers of the network tests: start the program and play its peers over loopback sockets."""
+"""Helpers of the network tests: run the program and simulate its peers on loopback sockets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from martentide.codec.messages import Code, Message, Type, body_length, read_message, write_message
 
 ROOT = Path(__file__).parent.parent.parent
-TIMEOUT_S = 15.0  # s; timeout of every wait in a test
+TIMEOUT_S = 15.0  # of every wait in a test
 DESCRIPTION = bytes(range(256))  # every byte value, because it must be passed on unchanged
 
 SETTINGS: dict[str, Any] = {
@@ -90,6 +90,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # send at once
 
     def receive_exactly(self, count: int) -> bytes:
+        """Return ``count`` bytes; raises EOFError if the connection ends before."""
         data = b""
         while len(data) < count:
             part = self.sock.recv(count - len(data))
@@ -99,15 +100,19 @@
         return data
 
     def send(self, kind: int, call: bytes, parameters: dict[int, bytes] | None = None) -> None:
+        """Send a message of that type."""
         self.sock.sendall(write_message(kind, call, parameters))
 
     def set_up(self, call: bytes, left: int = 3000, **more: bytes) -> None:
+        """Send a set-up; ``left``: its time left in ms."""
         self.send(Type.SET_UP, call, parameters_of(left, **more))
 
     def release(self, call: bytes, cause: int) -> None:
+        """Send a release of the call."""
         self.send(Type.RELEASE, call, {Code.CAUSE: bytes((cause,))})
 
     def set_up_bytes(self, call: bytes, left: int = 3000) -> bytes:
+        """Return an encoded set-up without sending it."""
         return write_message(Type.SET_UP, call, parameters_of(left))
 
     def receive(self, *kinds: int) -> Message:
@@ -130,7 +135,7 @@
         return not select.select([self.sock], [], [], 0.0)[0]
 
     def reset(self) -> None:
-        """Reset the connection, as the death of a process may do."""
+        """Reset the connection, as the end of a process may do."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         self.sock.close()
 
@@ -144,13 +149,16 @@
         self.port: int = self.sock.getsockname()[1]
 
     def accept(self) -> Wire:
+        """Accept the next connection."""
         return Wire(self.sock.accept()[0])
 
     def close(self) -> None:
+        """Stop listening."""
         self.sock.close()
 
 
 def endpoint(number: int, port: int, status: str = "SERVING") -> dict[str, Any]:
+    """Return a session server as the configuration's ``known`` lists it."""
     return {
         "name": f"s-{number:08x}", "address": f"127.0.0.1:{port}", "zone": "east", "type": "std",
         "group": number, "status": status, "weight": 1, "since_ms": 0,
@@ -247,7 +255,7 @@
 
     @contextmanager
     def stopped(self) -> Iterator[None]:
-        """Stop the process meanwhile: input stays in the kernel, and timers come due."""
+        """Suspend the process meanwhile: input stays in the kernel, and timers come due."""
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
         try:
@@ -256,6 +264,7 @@
             self.process.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
+        """Kill the process and wait for its end."""
         self.process.kill()
         self.process.wait()
 
@@ -278,6 +287,7 @@
                 return found
 
     def caller(self, host: str = "127.0.0.1") -> Wire:
+        """Connect as a caller, from the address ``host``."""
         return Wire(socket.create_connection(("127.0.0.1", self.port), TIMEOUT_S, (host, 0)))
 
     def call(self, method: str, path: str) -> int:
@@ -290,10 +300,12 @@
             connection.close()
 
     def reload(self, text: str) -> None:
+        """Replace the configuration file and send SIGHUP."""
         self.config.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
     def terminate(self) -> None:
+        """Send SIGTERM."""
         self.process.send_signal(signal.SIGTERM)
 
     def __enter__(self) -> Program:
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -45,7 +45,7 @@
     return caller
 
 
-@pytest.mark.parametrize("does", [idle, half_a_message, sends_one_test, reads_nothing])
+@pytest.mark.parametrize("behavior", [idle, half_a_message, sends_one_test, reads_nothing])
 @pytest.mark.parametrize(("configured", "limit"), [(48, 48), (1024, 48), (64, 40)])
 def test_a_flood_of_connections_keeps_out_neither_discovery_nor_servers_nor_callers(
     tmp_path: Path, behavior: Callable[[Wire], None], configured: int, limit: int
--- a/tests/net/test_gone_clients.py
+++ b/tests/net/test_gone_clients.py
@@ -17,7 +17,7 @@
 from tests.net.support import DESCRIPTION, SETTINGS, Listener, Program, Wire, frame
 
 A, B, C, D, E, F = (bytes.fromhex(text * 8) for text in ("a1", "b2", "c3", "d4", "e5", "f6"))
-RELEASE_WAIT_S = 1.0  # s; long enough to stop the process within the release wait
+RELEASE_WAIT_S = 1.0  # long enough to stop the process within the release wait
 RELEASE_WAIT_SETTINGS = {"extra": {**SETTINGS["extra"], "release_ms": RELEASE_WAIT_S * 1000.0}}
 
 
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -25,7 +25,7 @@
 from tests.net.test_gone_clients import WAYS_TO_LEAVE, A, B
 from tests.net.test_rules_on_sockets import set_up_call
 
-TIME_LEFT_MS = 2000  # ms that callers wait for a final answer
+TIME_LEFT_MS = 2000  # how long callers wait for a final answer
 PROGRESS = 6
 SMALL_BUFFER = 4096  # bytes of the socket buffers towards a peer that does not read
 
--- a/tests/overload/test_core.py
+++ b/tests/overload/test_core.py
@@ -120,7 +120,7 @@
     assert overload.own_claims["s1"][0] == 0.0
 
 
-@pytest.mark.parametrize("lie", [0.0, 1.0])
+@pytest.mark.parametrize("false_claim", [0.0, 1.0])
 def test_false_claim_shifts_hold_back_by_a_bounded_amount(false_claim: float) -> None:
     true_share = 0.4
     driver = Driver(member())
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Test helpers: settings, events and a driver for one Controller."""
+"""Test helpers for the decisions: settings, and a driver that feeds events to one Controller."""
 
 from __future__ import annotations
 
@@ -59,6 +59,7 @@
 def entry(
     name: str, place: int, state: ServerState = ServerState.OPEN, started: float | None = None
 ) -> ServerEntry:
+    """Return an entry of the server list; ``started`` in ms of the driver's clock."""
     return ServerEntry(name, place, "z", state, started, 1.0)
 
 
@@ -79,6 +80,7 @@
         self.feed(ServerList(ListKind.REMEMBERED, tuple(entry(f"s{at}", at) for at in range(self.servers))))
 
     def feed(self, event: Event) -> list[Action]:
+        """Deliver one event; return the actions and record them with their time and their timers."""
         actions = self.controller.handle(self.now, event)
         self.actions += [(self.now, action) for action in actions]
         self.timers += [(self.now + a.delay, a.token) for a in actions if isinstance(a, SetTimer)]
@@ -86,22 +88,24 @@
 
     def advance(self, span: float) -> list[Action]:
         """Advance the clock by ``span`` ms and fire the timers due meanwhile; return the actions."""
-        got: list[Action] = []
+        actions: list[Action] = []
         end = self.now + span
         while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            got += self.feed(TimerDue(due[1]))
+            actions += self.feed(TimerDue(due[1]))
         self.now = max(self.now, end)
-        return got
+        return actions
 
     def offer(self, first: int = 0, name: str = "plain", left: float = 3000.0, **more: Any) -> list[Action]:
+        """Offer a new call of class ``name`` with ``left`` ms; ``first``: place of its first choice."""
         self.ref += 1
         event = SetUpOffered(self.ref, name, None, None, left, first, False, False)
         return self.feed(replace(event, **more))
 
     def stand(self, send: SendSetUp, delay: float = 60.0, attempt: int = 0) -> list[Action]:
+        """Report that the call stands, answered ``delay`` ms after its set-up was sent."""
         return self.feed(Stands(send.ref, attempt, send.server, delay))
 
     def end_attempt(
@@ -113,6 +117,7 @@
         report: Report | None = None,
         settled: bool = False,
     ) -> list[Action]:
+        """Report the end of an attempt."""
         return self.feed(AttemptEnded(ref, attempt, server, ending, settled, False, 60.0, report))
 
     def report_hold_back(self, server: str, share: float) -> list[Action]:
@@ -122,8 +127,10 @@
 
 
 def sends(actions: list[Action]) -> list[SendSetUp]:
+    """Return the set-ups among the actions."""
     return [action for action in actions if isinstance(action, SendSetUp)]
 
 
 def finals(actions: list[Action]) -> list[Refuse | Fail]:
+    """Return the negative final answers among the actions."""
     return [action for action in actions if isinstance(action, Refuse | Fail)]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,7 @@
 
 
 def times_sent_to_cold_server(proxies: int) -> list[float]:
-    """Return the times (ms) of set-ups to a server that starts at 10 s and is then all calls' first choice."""
+    """Return when (ms) a server that starts at 10 s, from then on the first choice, is sent set-ups."""
     settings = replace(SETTINGS, proxies=proxies)
     fleet = [Controller(replace(settings, own_slot=slot), slot) for slot in range(proxies)]
     warm = tuple(entry(f"s{at}", at) for at in range(WARM_SERVERS))
