--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -70,8 +70,8 @@
 
 
 def run_with_version_1(folder: Path, scenario: Callable[[Rig], Awaitable[None]], **more: Any) -> None:
-    """Run the scene once version 1 is in force; no invariant may be violated, and no two members may ever act
-    on contradicting versions."""
+    """Run the scenario once version 1 is in force; no invariant may be violated, and no two members may ever
+    act on contradicting versions."""
 
     async def full_scenario(rig: Rig) -> None:
         async with asyncio.timeout(WAIT_LIMIT_S):
@@ -179,10 +179,10 @@
         await run_step(rig, "stop", "n4")
         since = await withdraw(rig, "n0", rig.servers[0])
         await asyncio.sleep(5.0)
-        woken = unix_ms()
+        resumed_at = unix_ms()
         await run_step(rig, "continue", "n4")
         await wait_until_acting(rig, 2)
-        assert not [one for one in rig.servers[0].received_set_ups if one.received_at > woken + 50.0]
+        assert not [one for one in rig.servers[0].received_set_ups if one.received_at > resumed_at + 50.0]
         assert not check_withdrawn(rig.servers[0], since, WITHDRAWAL_BOUND_MS)
 
     run_with_version_1(tmp_path, scenario)
@@ -218,39 +218,39 @@
         good, bad = tmp_path / "good.json", tmp_path / "bad.json"
         good.write_text(json.dumps(rules(attempts=2)))
         bad.write_text(json.dumps({**rules(), "attempts": "many"}))
-        lacking = tmp_path / "lacking.json"
-        lacking.write_text(json.dumps({**rules(), "classes": {}}))
+        incomplete = tmp_path / "lacking.json"
+        incomplete.write_text(json.dumps({**rules(), "classes": {}}))
         run = CliRunner()
 
-        def called(*arguments: str) -> Any:
+        def run_command(*arguments: str) -> Any:
             return run.invoke(top, ["fleet", *arguments, "--operator", rig.proxies["n3"].operator_address])
 
-        found = await asyncio.to_thread(called, "propose", str(bad))
+        found = await asyncio.to_thread(run_command, "propose", str(bad))
         assert (
             found.exit_code == 2 and "attempts: expected a number from 1 to 100, found 'many'" in found.stderr
         )
-        found = await asyncio.to_thread(called, "propose", str(lacking))
+        found = await asyncio.to_thread(run_command, "propose", str(incomplete))
         assert found.exit_code == 3 and "expected status-check" in found.stderr
-        found = await asyncio.to_thread(called, "propose", str(good), "--why", "month end")
+        found = await asyncio.to_thread(run_command, "propose", str(good), "--why", "month end")
         assert found.exit_code == 0 and "version 2 is in force" in found.stdout
         await wait_until_acting(rig, 2)
-        found = await asyncio.to_thread(called, "versions")
+        found = await asyncio.to_thread(run_command, "versions")
         assert "month end" in found.stdout and "acts by agreed" in found.stdout
-        found = await asyncio.to_thread(called, "diff", "1", "2")
+        found = await asyncio.to_thread(run_command, "diff", "1", "2")
         assert (
             found.exit_code == 1
             and "attempts: 5 -> 2" in found.stdout
             and "more than allowed" in found.stdout
         )
-        found = await asyncio.to_thread(called, "diff", "1", "7")
+        found = await asyncio.to_thread(run_command, "diff", "1", "7")
         assert found.exit_code == 3 and "version 7: expected one whose rules are kept (1, 2)" in found.stderr
-        found = await asyncio.to_thread(called, "rollback", "1")
+        found = await asyncio.to_thread(run_command, "rollback", "1")
         assert found.exit_code == 0 and "version 3 is in force" in found.stdout
         await wait_until_acting(rig, 3)
-        found = await asyncio.to_thread(called, "rules")
+        found = await asyncio.to_thread(run_command, "rules")
         assert json.loads(found.stdout)["attempts"] == 5
         await asyncio.sleep(1.5)  # until every status has been gossiped
-        found = await asyncio.to_thread(called, "status")
+        found = await asyncio.to_thread(run_command, "status")
         assert found.stdout.count("agreed") == PROXIES and found.stdout.startswith("member")
         assert "learns" in versions(json.dumps(await query_versions(rig, "n3")))
 
@@ -277,36 +277,39 @@
     run_with_version_1(tmp_path, scenario)
 
 
-Steps = list[tuple[Any, ...]]  # s to wait, verb, arguments; "put": propose at that member
+Steps = list[tuple[Any, ...]]  # s to wait, verb, arguments; "propose": at that member
 CASES: dict[str, Steps] = {
-    "stopped for 1 s in the joint phase": [(0.0, "stop", "n4"), (0.0, "put", "n3"), (1.0, "continue", "n4")],
-    "stopped for 3 s in the joint phase": [(0.0, "stop", "n4"), (0.0, "put", "n3"), (3.0, "continue", "n4")],
-    "stopped for 10 s": [(0.0, "stop", "n4"), (0.0, "put", "n3"), (10.0, "continue", "n4")],
-    "one-way cut of a voter": [(0.0, "cut", "n1", "n0,n2,n3,n4"), (0.0, "put", "n3"), (3.0, "heal")],
-    "one-way cut to a voter": [(0.0, "cut", "n0,n2,n3,n4", "n1"), (0.0, "put", "n3"), (3.0, "heal")],
+    "stopped for 1 s in the joint phase": [
+        (0.0, "stop", "n4"), (0.0, "propose", "n3"), (1.0, "continue", "n4")],
+    "stopped for 3 s in the joint phase": [
+        (0.0, "stop", "n4"), (0.0, "propose", "n3"), (3.0, "continue", "n4")],
+    "stopped for 10 s": [(0.0, "stop", "n4"), (0.0, "propose", "n3"), (10.0, "continue", "n4")],
+    "one-way cut of a voter": [(0.0, "cut", "n1", "n0,n2,n3,n4"), (0.0, "propose", "n3"), (3.0, "heal")],
+    "one-way cut to a voter": [(0.0, "cut", "n0,n2,n3,n4", "n1"), (0.0, "propose", "n3"), (3.0, "heal")],
     "upgrade by hand-over in the joint phase": [
-        (0.0, "stop", "n4"), (0.0, "put", "n2"), (0.3, "upgrade", "n0"), (1.0, "upgrade", "n3"),
+        (0.0, "stop", "n4"), (0.0, "propose", "n2"), (0.3, "upgrade", "n0"), (1.0, "upgrade", "n3"),
         (2.0, "continue", "n4")],
-    "clocks that run fast and slow": [(0.0, "pace", "n4", 0.01), (0.0, "put", "n3"), (3.0, "put", "n4")],
+    "clocks that run fast and slow": [
+        (0.0, "pace", "n4", 0.01), (0.0, "propose", "n3"), (3.0, "propose", "n4")],
     "all voters down for 30 s": [
-        (0.0, "kill", "n0,n1,n2"), (30.0, "start", "n0,n1,n2"), (3.0, "put", "n4")],
-    "a disk that is full": [(0.0, "disk", "n1", "full"), (0.0, "put", "n3"), (2.0, "put", "n4")],
+        (0.0, "kill", "n0,n1,n2"), (30.0, "start", "n0,n1,n2"), (3.0, "propose", "n4")],
+    "a disk that is full": [(0.0, "disk", "n1", "full"), (0.0, "propose", "n3"), (2.0, "propose", "n4")],
     "a disk that hangs": [
-        (0.0, "disk", "n1", "hang"), (0.0, "put", "n3"), (3.0, "disk", "n1", ""), (0.0, "put", "n4")],
+        (0.0, "disk", "n1", "hang"), (0.0, "propose", "n3"), (3.0, "disk", "n1", ""), (0.0, "propose", "n4")],
 }  # fmt: skip
 FAULTY_DISK_CODE = """
 import errno, os, time
 from martentide.net.learned import DiskFolder
 sync, write = DiskFolder.sync, DiskFolder.write
-def slow(self, name):
+def sync_after_hang(self, name):
     while os.path.exists(self.path + "/hang"):
         time.sleep(0.05)
     sync(self, name)
-def full(self, name, data):
+def write_unless_full(self, name, data):
     if os.path.exists(self.path + "/full"):
         raise OSError(errno.ENOSPC, "no space is left")
     write(self, name, data)
-DiskFolder.sync, DiskFolder.write = slow, full
+DiskFolder.sync, DiskFolder.write = sync_after_hang, write_unless_full
 """
 
 
@@ -314,11 +317,11 @@
 def test_a_version_comes_into_force_and_nothing_contradicts_it(tmp_path: Path, case: str) -> None:
     async def scenario(rig: Rig) -> None:
         await run_step(rig, "server", "s1", "error")
-        puts: list[asyncio.Task[dict[str, Any]]] = []
+        proposals: list[asyncio.Task[dict[str, Any]]] = []
         for wait, verb, *arguments in CASES[case]:
             await asyncio.sleep(wait)
-            if verb == "put":
-                puts.append(asyncio.create_task(propose_rules(rig, arguments[0], rules(attempts=1))))
+            if verb == "propose":
+                proposals.append(asyncio.create_task(propose_rules(rig, arguments[0], rules(attempts=1))))
             elif verb == "disk":
                 for word in ("hang", "full"):
                     (tmp_path / arguments[0] / word).unlink(missing_ok=True)
@@ -326,7 +329,7 @@
                     (tmp_path / arguments[0] / arguments[1]).touch()
             else:
                 await run_step(rig, verb, *arguments)
-        verdicts = [await one for one in puts]
+        verdicts = [await one for one in proposals]
         assert verdicts[-1]["done"], verdicts
         await wait_until_acting(rig, max(one["number"] for one in verdicts))
         since = unix_ms()
@@ -341,13 +344,13 @@
     async def scenario(rig: Rig) -> None:
         done = 0
         for at in range(50):
-            wanted = rules(attempts=1 + at % 3)
+            proposed_rules = rules(attempts=1 + at % 3)
             if at % 10 == 9:
-                wanted["classes"]["no-such-class"] = wanted["classes"].pop(CLASSES[0][0])
+                proposed_rules["classes"]["no-such-class"] = proposed_rules["classes"].pop(CLASSES[0][0])
                 with pytest.raises(QueryError, match="expected status-check"):
-                    await propose_rules(rig, f"n{at % PROXIES}", wanted)
+                    await propose_rules(rig, f"n{at % PROXIES}", proposed_rules)
             else:
-                done += (await propose_rules(rig, f"n{at % PROXIES}", wanted))["done"]
+                done += (await propose_rules(rig, f"n{at % PROXIES}", proposed_rules))["done"]
         assert done == 45
         await wait_until_acting(rig, 46)
 
@@ -366,18 +369,18 @@
 WALL_CLOCK_CODE = """
 import time
 import martentide.agreement.core as core
-granted = core.Agreement._on_lease_grant
-def by_wall(self, sender, grant):
-    granted(self, sender, grant)
+original = core.Agreement._on_lease_grant
+def on_lease_grant(self, sender, grant):
+    original(self, sender, grant)
     if grant.lease > 0.0:
-        self.wall = time.time() * 1000.0 + grant.lease
-def lapse(self):
+        self.wall_expiry = time.time() * 1000.0 + grant.lease
+def expire_lease(self):
     if self.acting_on is not None and not self.lease_valid(self.now):
         self.acting_on = None
         self._update_rules()
-core.Agreement._on_lease_grant = by_wall
-core.Agreement.lease_valid = lambda self, now: time.time() * 1000.0 < getattr(self, "wall", 0.0)
-core.Agreement._expire_lease = lapse
+core.Agreement._on_lease_grant = on_lease_grant
+core.Agreement.lease_valid = lambda self, now: time.time() * 1000.0 < getattr(self, "wall_expiry", 0.0)
+core.Agreement._expire_lease = expire_lease
 """
 
 
--- a/tests/agreement/test_raft.py
+++ b/tests/agreement/test_raft.py
@@ -186,7 +186,7 @@
     return world
 
 
-def elected(world: World, name: str, by: str) -> World:
+def elect(world: World, name: str, by: str) -> World:
     world = step(world, name, StartElection())
     term = world.nodes[name].term
     world = deliver(world, by, MessageType.REQUEST_VOTE, lambda one: one.term == term)
@@ -195,7 +195,7 @@
 
 def with_leader(kind: type[Raft] = Raft) -> World:
     """``a`` is the leader, and ``b`` holds its first entry."""
-    world = deliver(elected(initial_world(kind), "a", "b"), "b", MessageType.APPEND_ENTRIES)
+    world = deliver(elect(initial_world(kind), "a", "b"), "b", MessageType.APPEND_ENTRIES)
     return deliver(world, "a", MessageType.APPEND_REPLY)
 
 
@@ -203,11 +203,11 @@
     """The case of an entry of an earlier term: ``a`` has entries of term 1 that no other voter held; ``c``
     was the leader since, with an entry of its own; ``a`` is the leader again, ``b`` holds the first of the
     old entries, and ``c`` starts an election."""
-    world = step(elected(initial_world(kind), "a", "b"), "a", Propose(b"old"))
+    world = step(elect(initial_world(kind), "a", "b"), "a", Propose(b"old"))
     world = replace(world, sent=frozenset())
-    world = elected(step(world, "c", StartElection()), "c", "b")  # the second election: b voted in term 1
+    world = elect(step(world, "c", StartElection()), "c", "b")  # the second election: b voted in term 1
     world = replace(world, sent=frozenset())
-    world = elected(step(crash(world, "a"), "a", StartElection()), "a", "b")
+    world = elect(step(crash(world, "a"), "a", StartElection()), "a", "b")
     assert [world.nodes[name].role == Role.LEADER for name in VOTERS] == [True, False, True]
     for _ in range(3):  # rejected, and sent again from an earlier index
         world = deliver(world, "a", MessageType.APPEND_REPLY)
--- a/tests/control/test_processes.py
+++ b/tests/control/test_processes.py
@@ -34,16 +34,18 @@
 
 
 async def run_scenario() -> None:
-    server, board = SessionServer(0), DiscoveryServer()
+    server, discovery = SessionServer(0), DiscoveryServer()
     await server.start()
-    await board.start()
+    await discovery.start()
     nodes = ControlNodes(3)
     for name in nodes.names:
         await nodes.start(name)
     proxies = []
     for at, (service, calls) in enumerate([("sign", ["pay"]), ("sign", []), ("pay", ["sign"])]):
         extras = nodes.extras(f"z{at}", service, calls)
-        proxies.append(ProxyProcess(board, [server], extras, with_operator=True, name=f"p{at}", peers=True))
+        proxies.append(
+            ProxyProcess(discovery, [server], extras, with_operator=True, name=f"p{at}", peers=True)
+        )
     try:
         for proxy in proxies:
             await proxy.start()
@@ -74,7 +76,7 @@
             await proxy.kill()
         await nodes.kill_all()
         await server.stop()
-        await board.stop()
+        await discovery.stop()
 
 
 def test_leases_state_and_the_loss_of_nodes() -> None:
@@ -85,22 +87,22 @@
     async def flood() -> None:
         nodes = ControlNodes(1)
         await nodes.start("c0")
-        server, board = SessionServer(0), DiscoveryServer()
+        server, discovery = SessionServer(0), DiscoveryServer()
         await server.start()
-        await board.start()
+        await discovery.start()
         port = int(nodes.node_settings.split('address="127.0.0.1:')[1].split('"')[0])
         try:
             with socket.socket(type=socket.SOCK_DGRAM) as sender:
                 for at in range(2_000):
                     sender.sendto(bytes([at % 256]) * (at % 1_400), ("127.0.0.1", port))
             async with ProxyProcess(
-                board, [server], nodes.extras("z0", "sign", []), with_operator=True, name="p0", peers=True
+                discovery, [server], nodes.extras("z0", "sign", []), with_operator=True, name="p0", peers=True
             ) as proxy:
                 await wait_until_attached([proxy], TIMEOUT_S)
         finally:
             await nodes.kill_all()
             await server.stop()
-            await board.stop()
+            await discovery.stop()
 
     asyncio.run(flood())
 
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -1,5 +1,5 @@
 """The control tier in simulated time: no invariant breaks in a day of faults, and the checker finds each
-planted defect."""
+injected fault."""
 
 from __future__ import annotations
 
--- a/tests/extproc/test_services.py
+++ b/tests/extproc/test_services.py
@@ -28,8 +28,8 @@
 class Environment:
     """A running proxy process with its session servers and its discovery service."""
 
-    def __init__(self, proxy: ProxyProcess, servers: list[SessionServer], board: DiscoveryServer) -> None:
-        self.proxy, self.servers, self.board = proxy, servers, board
+    def __init__(self, proxy: ProxyProcess, servers: list[SessionServer], discovery: DiscoveryServer) -> None:
+        self.proxy, self.servers, self.discovery = proxy, servers, discovery
 
     @asynccontextmanager
     async def raw(self, front: str = "raw") -> AsyncIterator[RawFrontProxy]:
@@ -45,18 +45,18 @@
     scenario: Callable[[Environment], Awaitable[None]], more: str = "", servers: int = 2
 ) -> None:
     async def run() -> None:
-        session_servers, board = [SessionServer(number) for number in range(servers)], DiscoveryServer()
+        session_servers, discovery = [SessionServer(number) for number in range(servers)], DiscoveryServer()
         for server in session_servers:
             await server.start()
-        await board.start()
+        await discovery.start()
         async with (
             asyncio.timeout(SCENARIO_TIMEOUT_S),
-            ProxyProcess(board, session_servers, EXTRAS.format(more)) as proxy,
+            ProxyProcess(discovery, session_servers, EXTRAS.format(more)) as proxy,
         ):
-            await scenario(Environment(proxy, session_servers, board))
+            await scenario(Environment(proxy, session_servers, discovery))
         for server in session_servers:
             await server.stop()
-        await board.stop()
+        await discovery.stop()
 
     asyncio.run(run())
 
@@ -263,7 +263,7 @@
             route = (await front.next("route")).route
             assert 0 < route.valid_for_ms <= 1000, "the first byte must keep the drain rule in any case"
             draining = env.server(route.address)
-            env.board.publish([(draining, DRAINING)])
+            env.discovery.publish([(draining, DRAINING)])
             withdrawn = (await front.next("withdrawn")).withdrawn
             assert withdrawn.if_unused and withdrawn.why == "draining"
             await front.outcome(1, "NOT_SENT")
@@ -467,7 +467,7 @@
             stream = EnvoyStream(channel)
             address = set_headers(await stream.request(ASKED))["x-envoy-original-dst-host"]
             await stream.response(200)
-            env.board.publish([(env.server(address), 2)])
+            env.discovery.publish([(env.server(address), 2)])
             with pytest.raises(grpc.aio.AioRpcError) as caught:
                 await stream._read()
             assert caught.value.code() is grpc.StatusCode.UNAVAILABLE
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -9,20 +9,20 @@
 from martentide_lab.fleet.rig import Rig
 from martentide_lab.fleet.scenario import Scenario
 
-WAIT_LIMIT_S = 30.0  # s; for any wait, also on one slow core
+WAIT_LIMIT_S = 30.0  # for any wait, also on one slow core
 
 
 def run_scenario(
     scenario: Callable[[Rig], Awaitable[None]], proxies: int = 4, servers: int = 1, **more: Any
 ) -> None:
-    """Start the proxies, wait until they know each other, run the scene and check the invariants.
+    """Start the proxies, wait until they know each other, run the scenario and check the invariants.
 
     On failure the log of the run is printed.
     """
-    script = Scenario(proxies=proxies, servers=servers, rate=more.pop("rate", 8.0 * proxies))
+    parameters = Scenario(proxies=proxies, servers=servers, rate=more.pop("rate", 8.0 * proxies))
 
     async def run() -> None:
-        async with Rig(script, **more) as rig:
+        async with Rig(parameters, **more) as rig:
             try:
                 await rig.wait_until(rig.is_converged, WAIT_LIMIT_S)
                 await scenario(rig)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -254,11 +254,11 @@
 
 def test_a_member_of_a_later_version_is_listed_and_its_entries_are_gossiped() -> None:
     async def scenario(rig: Rig) -> None:
-        ghost = HollowMember("n7", transform=later_version)
+        hollow_member = HollowMember("n7", transform=later_version)
         try:
             rig.network.set(["n7"], ["n1", "n2", "n3"], cut=True)  # these learn of it through n0 only
-            await ghost.join(rig.hub, (rig.hub.public_address("n0"),))
-            ghost.publish(77, 9, b"of a kind that nobody knows")
+            await hollow_member.join(rig.hub, (rig.hub.public_address("n0"),))
+            hollow_member.publish(77, 9, b"of a kind that nobody knows")
 
             async def gossiped() -> bool:
                 statuses = [await rig.status(name) for name in rig.proxies]
@@ -269,7 +269,7 @@
                 while not await gossiped():
                     await asyncio.sleep(0.1)
         finally:
-            ghost.close()
+            hollow_member.close()
         await rig.wait_until(lambda: rig.known_dead("n7"), WAIT_LIMIT_S)
 
     run_scenario(scenario, with_load=False)
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -220,15 +220,15 @@
     scenario: Callable[[ProxyProcess, list[SessionServer]], Awaitable[None]], extras: str
 ) -> None:
     async def run() -> None:
-        servers, board = [SessionServer(number) for number in range(2)], DiscoveryServer()
+        servers, discovery = [SessionServer(number) for number in range(2)], DiscoveryServer()
         for server in servers:
             await server.start()
-        await board.start()
-        async with asyncio.timeout(40), ProxyProcess(board, servers, extras) as proxy:
+        await discovery.start()
+        async with asyncio.timeout(40), ProxyProcess(discovery, servers, extras) as proxy:
             await scenario(proxy, servers)
         for server in servers:
             await server.stop()
-        await board.stop()
+        await discovery.stop()
 
     asyncio.run(run())
 
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -36,7 +36,7 @@
 
 
 def open_connection(program: Program) -> Wire:
-    """The set-up comes on a connection that was open before the signal and is unread when it arrives."""
+    """The set-up arrives on a connection open before the signal, and is unread when the signal arrives."""
     return program.caller()
 
 
@@ -133,7 +133,7 @@
 
 
 def test_a_new_server_at_the_address_of_one_that_is_gone(tmp_path: Path) -> None:
-    """Both events come in one read; calls of the old server are cut, and new ones go to the new server."""
+    """Both events arrive in one read; calls of the old server are cut, and new ones go to the new server."""
     with Program(tmp_path) as program:
         discovery, old, caller = program.discovery.accept(), program.servers[0].accept(), program.caller()
         set_up_call(caller, old, A)
@@ -198,7 +198,7 @@
             answer(servers[1], A)
         assert caller.receive().type == Type.ANSWER
         caller.send(Type.TEST, B, {Code.CAUSE: b"\0"})
-        assert caller.receive().type == Type.TEST_RESULT  # no second answer came before
+        assert caller.receive().type == Type.TEST_RESULT  # no second answer arrived before
 
 
 def test_a_server_closes_its_idle_connection_as_a_set_up_arrives(tmp_path: Path) -> None:
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -50,7 +50,7 @@
 def test_a_flood_of_connections_keeps_out_neither_discovery_nor_servers_nor_callers(
     tmp_path: Path, behavior: Callable[[Wire], None], configured: int, limit: int
 ) -> None:
-    """The system's limit holds whatever the configuration says; the discovery service returns meanwhile."""
+    """The system's limit applies whatever the configuration sets; discovery is restarted meanwhile."""
     with Program(tmp_path, operated=True, sockets=configured, descriptors=limit) as program:
         discovery, server = program.discovery.accept(), program.servers[0].accept()
         standing = set_up_call(program, server, B)
--- a/tests/net/test_gone_clients.py
+++ b/tests/net/test_gone_clients.py
@@ -173,7 +173,7 @@
 
 
 def test_an_outstanding_attempt_is_given_up_when_the_caller_half_closes(tmp_path: Path) -> None:
-    """A half-close can't be told from a close and counts as one."""
+    """A half-close can't be distinguished from a close and counts as one."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A)
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -162,7 +162,7 @@
 
 def test_invalid_file_is_rejected_and_the_last_valid_one_stays_in_force(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
-        board = program.discovery.accept()
+        discovery = program.discovery.accept()
         good = changed_settings(program)
         bad = good.replace(f":{program.discovery.port}", ":9")
         program.reload(bad.replace('"max_attempts": 5', '"max_attempts": 0'))
@@ -177,7 +177,7 @@
         program.logged("reloaded .*revision=1 settings=changed")
         program.reload(good)
         program.logged("reloaded .*revision=1 settings=same")
-        board.receive_exactly(8)
+        discovery.receive_exactly(8)
         set_up_call(program.caller(), program.servers[0].accept())
 
 
--- a/tests/net/test_rules_on_sockets.py
+++ b/tests/net/test_rules_on_sockets.py
@@ -74,7 +74,7 @@
         caller.set_up(A, left=300)
         assert (answer := caller.receive()).type == Type.RELEASE and answer.cause() not in (16, 34, 42, 102)
         caller.set_up(B, left=300)
-        assert caller.receive().call == B  # nothing more about the first came before
+        assert caller.receive().call == B  # nothing more about the first arrived before
 
 
 def test_a_call_given_up_is_given_up_at_the_server_and_gets_no_answer(tmp_path: Path) -> None:
--- a/tests/overload/test_escrow.py
+++ b/tests/overload/test_escrow.py
@@ -14,7 +14,7 @@
 from martentide.overload import escrow
 from martentide.overload.messages import MAX_TRANSFERS, Transfer
 
-STEP = 1_300.0  # ms per step of the search: transfers expire after two steps and are settled after four
+STEP_MS = 1_300.0  # time per step of the search: transfers expire after two steps and are settled after four
 MEMBERS = ("a", "b", "c")
 MAX_PENDING = 2  # messages of one owner that may still arrive, late or repeatedly
 
@@ -66,7 +66,7 @@
 
 def steps(module: Any, fleet: Fleet) -> Iterator[tuple[str, Fleet]]:  # noqa: C901
     """Yield every possible next step with the resulting state."""
-    now = fleet.now * STEP
+    now = fleet.now * STEP_MS
 
     def with_account(at: int, account: Any, **more: Any) -> Fleet:
         accounts = (*fleet.accounts[:at], account, *fleet.accounts[at + 1 :])
@@ -105,7 +105,7 @@
                 yield f"{name} publishes", fleet._replace(messages=with_message(fleet.messages, published))
         for message in fleet.messages:
             if message.owner != name:
-                one, age = copy_account(module, held), (fleet.now - message.at) * STEP
+                one, age = copy_account(module, held), (fleet.now - message.at) * STEP_MS
                 for transfer in message.transfers:
                     one.receive(message.owner, message.process_id, transfer, age)
                 last = {
@@ -126,23 +126,23 @@
     return tuple(sorted([*rest, *mine, new], key=lambda message: (message.owner, message.at, repr(message))))
 
 
-def search(module: Any, depth: int, most: int) -> tuple[int, list[str] | None]:
+def search(module: Any, depth: int, max_states: int) -> tuple[int, list[str] | None]:
     """Return the number of visited states and the steps to the first that can overspend, or None."""
-    begin = Fleet(tuple(module.Escrow(name, at + 1, 3.0) for at, name in enumerate(MEMBERS)), (), earned=1)
-    begin.accounts[0].earn(1.0)
-    seen = {begin.key()}
-    edge: list[tuple[Fleet, list[str]]] = [(begin, [])]
+    initial = Fleet(tuple(module.Escrow(name, at + 1, 3.0) for at, name in enumerate(MEMBERS)), (), earned=1)
+    initial.accounts[0].earn(1.0)
+    seen = {initial.key()}
+    frontier: list[tuple[Fleet, list[str]]] = [(initial, [])]
     for _ in range(depth):
         following = []
-        for fleet, way in edge:
-            for what, after in steps(module, fleet):
+        for fleet, path in frontier:
+            for step_name, after in steps(module, fleet):
                 if after.spent + sum(one.tokens for one in after.accounts) > after.earned:
-                    return len(seen), [*way, what]
+                    return len(seen), [*path, step_name]
                 key = after.key()
-                if key not in seen and len(seen) < most:
+                if key not in seen and len(seen) < max_states:
                     seen.add(key)
-                    following.append((after, [*way, what]))
-        edge = following
+                    following.append((after, [*path, step_name]))
+        frontier = following
     return len(seen), None
 
 
@@ -157,8 +157,8 @@
 
 
 def test_no_interleaving_spends_more_than_was_earned() -> None:
-    states, way = search(escrow, depth=8, most=30_000)
-    assert way is None and states > 5_000, (states, way)
+    states, path = search(escrow, depth=8, max_states=30_000)
+    assert path is None and states > 5_000, (states, path)
 
 
 @pytest.mark.parametrize(
@@ -176,8 +176,8 @@
          "settled-though-credited", "credited-by-the-next-life"],
 )  # fmt: skip
 def test_removing_any_guard_allows_overspending(old: str, new: str) -> None:
-    states, way = search(mutate(old, new), depth=11, most=60_000)
-    assert way is not None, states
+    states, path = search(mutate(old, new), depth=11, max_states=60_000)
+    assert path is not None, states
 
 
 def test_full_account_loses_earnings_but_no_transfer() -> None:
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -21,7 +21,7 @@
 from tests.fleet.support import WAIT_LIMIT_S, run_scenario
 
 SHARES = (0.74, 0.05, 0.21)  # of the traffic, by class
-SERVER_RATE_PER_S = 20.0  # set-ups/s of one server
+SERVER_RATE_PER_S = 20.0  # set-ups that one server handles
 SERVERS, PROXIES = 3, 6
 OVERLOAD_ON = "overload #true"
 
@@ -33,11 +33,11 @@
 def run_overloaded(
     scenario: Callable[[Rig], Awaitable[None]],
     *,
-    honour: float | None = None,
+    hold_off_compliance: float | None = None,
     budget: bool = True,
     **more: Any,
 ) -> None:
-    """Run ``scene`` under 1.7 times the planned load, then remove the load.
+    """Run ``scenario`` under 1.7 times the planned load, then remove the load.
 
     All proxies must then admit everything again, with no more retries than the fleet's budget allows.
     """
@@ -46,7 +46,9 @@
         for server in rig.servers:
             server.behavior.rate = SERVER_RATE_PER_S
         for load in rig.load_generators.values():
-            load.hold_off_compliance = load.hold_off_compliance if honour is None else honour
+            load.hold_off_compliance = (
+                load.hold_off_compliance if hold_off_compliance is None else hold_off_compliance
+            )
         await asyncio.sleep(1.5)
         await run_step(rig, "surge", 1.7)
         await scenario(rig)
@@ -55,8 +57,8 @@
         await rig.wait_until(lambda: rig.nobody_sheds() and rig.is_converged(), WAIT_LIMIT_S)
         if budget:
             tries = sum(len(load.redialed_calls) for _, load in rig.all_load_generators)
-            lives = len(rig.all_load_generators)
-            assert not check_retries(rig.servers, tries, RETRY_RATIO, lives, MAX_BALANCE + ALLOTMENT)
+            incarnations = len(rig.all_load_generators)
+            assert not check_retries(rig.servers, tries, RETRY_RATIO, incarnations, MAX_BALANCE + ALLOTMENT)
 
     more = {"extra_settings": OVERLOAD_ON, "redials": 3, "shares": SHARES, **more}
     run_scenario(full_scenario, PROXIES, SERVERS, rate=0.8 * SERVER_RATE_PER_S * SERVERS, **more)
@@ -81,7 +83,7 @@
     "most killed and restarted": (
         [(1.0, "kill", "n1,n2,n3,n4"), (1.0, "start", "n1,n2,n3,n4"), (0.0, "surge", 1.7)], {}),
     "surge moves from proxy to proxy": ([(0.0, "surge", 1.0), *MOVING_SURGE], {}),
-    "callers that ignore the hold-off": ([(4.0, "surge", 1.0)], {"honour": 0.0}),
+    "callers that ignore the hold-off": ([(4.0, "surge", 1.0)], {"hold_off_compliance": 0.0}),
     "half of the fleet without overload control": (
         [(4.0, "surge", 1.0)],
         {"budget": False, "extra_settings": {f"n{at}": OVERLOAD_ON for at in range(0, PROXIES, 2)}}),
@@ -135,14 +137,14 @@
 
 async def publish_false_claims(rig: Rig, hold_back: int, baseline: int, rounds: int) -> list[float]:
     """Run a member that makes false claims and requests all tokens; return what the others then admit."""
-    ghost = HollowMember("n9")
+    hollow_member = HollowMember("n9")
     admitted = []
     try:
-        await ghost.join(rig.hub, (rig.hub.public_address("n0"),))
+        await hollow_member.join(rig.hub, (rig.hub.public_address("n0"),))
         for turn in range(rounds):
             pressed = [ServerPressure(server.name, hold_back, 0) for server in rig.servers]
             offered = {"status-check": 100 + turn}
-            ghost.publish(
+            hollow_member.publish(
                 LOAD_KIND, 1, write_load(Load(baseline, 0, 0, 0, offered, pressed, tokens_wanted=99))
             )
             await asyncio.sleep(0.25)
@@ -150,7 +152,7 @@
                 status = [(await rig.status(name))["overload"] for name in rig.proxies]
                 admitted += [one["admitted"] for one in status]
     finally:
-        ghost.close()
+        hollow_member.close()
     return admitted
 
 
