--- a/tests/agreement/test_ruleset.py
+++ b/tests/agreement/test_ruleset.py
@@ -33,18 +33,18 @@
     copy = {name: dict(one) if isinstance(one, dict) else one for name, one in BASE.items()}
     copy["classes"] = {name: dict(one) for name, one in copy["classes"].items()}
     *parents, last = path.split("/")
-    table = copy
+    section = copy
     for name in parents:
-        table = table[name]
+        section = section[name]
     if value is None:
-        del table[last]
+        del section[last]
     else:
-        table[last] = value
+        section[last] = value
     return copy
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "word"),
+    ("path", "value", "text"),
     [
         ("classes/sign/repeat", "once-only", "repeats what the other must not"),
         ("attempts", 1, "more than allowed"),
@@ -61,16 +61,16 @@
         ("servers/s-1@77", "gone", "gone or draining"),
     ],
 )
-def test_what_contradicts_what(path: str, value: Any, word: str) -> None:
+def test_what_contradicts_what(path: str, value: Any, text: str) -> None:
     one, other = rules_from(BASE, "a"), rules_from(changed(path, value), "b")
     found = contradictions(one, other)
-    assert bool(found) == bool(word) and all(word in reason for reason in found), found
+    assert bool(found) == bool(text) and all(text in reason for reason in found), found
     both = meet(one, other)
     assert not contradictions(both, one) and not contradictions(both, other)
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "word"),
+    ("path", "value", "text"),
     [
         ("classes/sign/repeat", "often", "repeat: expected one of harmless, keyed, once-only, found 'often'"),
         ("attempts", 1.5, "expected a whole number"),
@@ -83,8 +83,8 @@
         ("cold_share", 2, "cold_share: expected a number from 0 to 1, found 2"),
     ],
 )
-def test_a_bad_file_is_rejected_with_key_found_and_expected(path: str, value: Any, word: str) -> None:
-    with pytest.raises(RuleError, match=word.replace("[", r"\[")):
+def test_a_bad_file_is_rejected_with_key_found_and_expected(path: str, value: Any, text: str) -> None:
+    with pytest.raises(RuleError, match=text.replace("[", r"\[")):
         rules_from(changed(path, value), "f.json")
 
 
@@ -95,7 +95,7 @@
         "pools": st.none() | st.lists(st.integers(0, 3), max_size=3),
     }
 )
-SETS = st.fixed_dictionaries(
+RULE_SETS = st.fixed_dictionaries(
     {
         "attempts": st.integers(1, 4),
         "classes": st.dictionaries(st.sampled_from("ab"), CLASS, max_size=2),
@@ -109,7 +109,7 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(SETS, SETS, SETS)
+@given(RULE_SETS, RULE_SETS, RULE_SETS)
 def test_meet_is_a_meet(one: RuleSet, other: RuleSet, third: RuleSet) -> None:
     both = meet(one, other)
     assert both == meet(other, one)
@@ -123,7 +123,7 @@
 
 
 @settings(max_examples=200, deadline=None)
-@given(SETS, SETS)
+@given(RULE_SETS, RULE_SETS)
 def test_the_meet_allows_nothing_that_one_does_not_allow(one: RuleSet, other: RuleSet) -> None:
     both = meet(one, other)
     for name, rule in both.classes.items():
--- a/tests/control/test_cores.py
+++ b/tests/control/test_cores.py
@@ -54,12 +54,12 @@
         return self.core.handle(self.now, FromProxy(message, message.name))
 
     def advance(self, span: float) -> list[node.Action]:
-        done: list[node.Action] = []
-        until = self.now + span
-        while self.now < until:
+        actions: list[node.Action] = []
+        end = self.now + span
+        while self.now < end:
             self.now += TERMS.flush
-            done += self.core.handle(self.now, node.Due())
-        return done
+            actions += self.core.handle(self.now, node.Due())
+        return actions
 
 
 def updates(actions: list[node.Action], name: str) -> list[Update]:
--- a/tests/extproc/support.py
+++ b/tests/extproc/support.py
@@ -113,8 +113,10 @@
 
     def _check_message(self, message: ToFront) -> None:
         if isinstance(message, Welcomed):
-            held = {one.request_id for one in self.ledger.requests.values()}
-            assert {*message.routed, *message.standing} == held, "pending requests outlived their stream"
+            pending_requests = {one.request_id for one in self.ledger.requests.values()}
+            assert {*message.routed, *message.standing} == pending_requests, (
+                "pending requests outlived their stream"
+            )
             return
         request = message.request
         if isinstance(message, Route):
@@ -125,8 +127,8 @@
             assert message.attempt not in self.ended.get(request, set()), (
                 "a route of an attempt that has ended"
             )
-            free = self.release_over_at.get(request, 0.0)
-            assert self.now >= free, "a route before the release wait is over"
+            release_over_at = self.release_over_at.get(request, 0.0)
+            assert self.now >= release_over_at, "a route before the release wait is over"
             assert self.now + message.patience <= self.deadlines[request], (
                 "an attempt beyond the caller's deadline"
             )
@@ -149,8 +151,8 @@
         self, request: int, left: float | None = 3000.0, name: str = "plain", **more: Any
     ) -> list[Effect]:
         kind = CLASSES.get(name)
-        over = left if left is not None and 0 <= left <= 600_000 else (kind.deadline if kind else 0.0)
-        self.deadlines[request] = self.now + max(0.0, over)
+        time_left = left if left is not None and 0 <= left <= 600_000 else (kind.deadline if kind else 0.0)
+        self.deadlines[request] = self.now + max(0.0, time_left)
         return self.feed(replace(Ask(request, name, "n", left, 0, self.now), **more))
 
     def key(self, request: int) -> int:
--- a/tests/fleet/test_health_check_assignment.py
+++ b/tests/fleet/test_health_check_assignment.py
@@ -33,7 +33,7 @@
 ) -> dict[str, AssignmentResult]:
     """Evaluate once for each member, with the state entries of all other live members."""
     live_members = live_members or LIVE_MEMBERS
-    found = {}
+    results = {}
     for name, assignment in fleet.items():
         peer_observations = [
             (now - at, decode_observations(body))
@@ -41,14 +41,14 @@
             if owner != name and owner in live_members
         ]
         peer_suspects = [suspected.get(one, []) for one in live_members if one != name]
-        found[name] = assignment.evaluate(
+        results[name] = assignment.evaluate(
             now, suspected.get(name, []), live_members, peer_suspects, peer_observations
         )
-    for name, result in found.items():
+    for name, result in results.items():
         for kind, _, body in result.entries:
             if kind == OBSERVATIONS_KIND:
                 entries[name] = (now, body)
-    return found
+    return results
 
 
 def fleet_of(live_members: dict[str, str]) -> Fleet:
@@ -79,21 +79,23 @@
     entries: dict[str, tuple[float, bytes]] = {}
     checks: list[tuple[float, str]] = []
     for now in range(0, 30_000, 250):
-        up = {
+        running = {
             name: assignment
             for name, assignment in fleet.items()
             if now < 10_000 or name not in ranked[:dead]
         }
-        found = evaluate_all(up, float(now), {"n3": ["s0"], "n4": ["s0"]}, entries)
-        for name, result in found.items():
+        results = evaluate_all(running, float(now), {"n3": ["s0"], "n4": ["s0"]}, entries)
+        for name, result in results.items():
             own_check = (
-                name in ("n3", "n4") and "s0" not in up[name].last_assignment.no_tests and now % 1_000 == 0
+                name in ("n3", "n4")
+                and "s0" not in running[name].last_assignment.no_tests
+                and now % 1_000 == 0
             )
             if "s0" in result.health_checks or own_check:
                 checks.append((float(now), name))
-                up[name].observe(now, ProbeEnded("s0", Ending.UNREACHABLE, False, 5.0, None))
-    calm = [name for now, name in checks if 5_000 <= now < 10_000]
-    assert len(calm) <= 5 * ASSIGNEES + 2
+                running[name].observe(now, ProbeEnded("s0", Ending.UNREACHABLE, False, 5.0, None))
+    early_checks = [name for now, name in checks if 5_000 <= now < 10_000]
+    assert len(early_checks) <= 5 * ASSIGNEES + 2
     times = [now for now, _ in checks if now >= 9_000]
     longest = max(later - earlier for earlier, later in itertools.pairwise(times))
     assert longest <= MAX_FRESHNESS_MS + 500.0
@@ -117,14 +119,14 @@
     evaluate_all(fleet, 0.0, suspected, entries)
     holder.observe(100.0, ProbeEnded("s0", Ending.UNREACHABLE, False, 5.0, None))
     evaluate_all(fleet, 500.0, suspected, entries)
-    found = evaluate_all(fleet, 750.0, suspected, entries)
-    assert TestDuty(frozenset({"s0"}), frozenset()) in found[other.name].events
+    results = evaluate_all(fleet, 750.0, suspected, entries)
+    assert TestDuty(frozenset({"s0"}), frozenset()) in results[other.name].events
     holder.observe(900.0, Stands(1, 0, "s0", 80.0))
     evaluate_all(fleet, 1_250.0, suspected, entries)
-    found = evaluate_all(fleet, 1_500.0, suspected, entries)
-    [news] = [event for event in found[other.name].events if isinstance(event, PeerNews)]
+    results = evaluate_all(fleet, 1_500.0, suspected, entries)
+    [news] = [event for event in results[other.name].events if isinstance(event, PeerNews)]
     assert news == PeerNews("s0", 600.0, 0.0)
-    found = evaluate_all(fleet, 900.0 + FRESHNESS_MS + 3_000.0, suspected, entries)
+    results = evaluate_all(fleet, 900.0 + FRESHNESS_MS + 3_000.0, suspected, entries)
     assert other.last_assignment == TestDuty(frozenset(), frozenset())  # the observation is stale
 
 
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -335,8 +335,8 @@
     assert before.controller.servers["s0"].suspect
     fresh, counts, _ = restarted(before, 500.0)
     assert counts.suspects == 1
-    to = Counter(send.server for _ in range(12) for send in sends(fresh.offer(first=0)))
-    assert to["s0"] <= 1 and to["s1"] > 0
+    set_ups_by_server = Counter(send.server for _ in range(12) for send in sends(fresh.offer(first=0)))
+    assert set_ups_by_server["s0"] <= 1 and set_ups_by_server["s1"] > 0
     assert (
         Counter(send.server for _ in range(3) for send in sends(ControllerDriver(seed=9).offer(first=0)))[
             "s0"
@@ -361,21 +361,21 @@
 def test_restarts_send_a_cold_server_no_more_than_one_process_would(keep: bool) -> None:
     """With restarts every 2 s and a cold server, rule 4 limits the calls of all processes together."""
 
-    def sent(plays: int) -> int:
+    def sent(runs: int) -> int:
         count = 0
-        for play in range(plays):
+        for run in range(runs):
             driver = ControllerDriver(servers=1)
             started_at = driver.now
             cold = entry("s0", 0, started=started_at)
             for process in range(6):
                 fresh = ControllerDriver(
-                    servers=0, now=started_at + process * 2000.0, seed=100 * play + process
+                    servers=0, now=started_at + process * 2000.0, seed=100 * run + process
                 )
                 fresh.controller.servers.clear()
                 fresh.controller._add_server(fresh.now, cold)
                 if keep and process:
                     state = age_state(take(driver.controller, driver.now), fresh.now)
-                    restore(fresh.controller, state, fresh.now, random.Random(100 * play + process))
+                    restore(fresh.controller, state, fresh.now, random.Random(100 * run + process))
                 for _ in range(20):
                     count += len(sends(fresh.offer(first=0, left=400.0) + fresh.advance(90.0)))
                 driver = fresh
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -25,9 +25,9 @@
 
 
 def test_shedding_by_number_is_equal_at_all_proxies_and_sets_a_hold_off() -> None:
-    one, other = driver_with(), ControllerDriver(settings=SETTINGS, servers=4, seed=99)
+    first, second = driver_with(), ControllerDriver(settings=SETTINGS, servers=4, seed=99)
     verdicts = []
-    for driver in (one, other):
+    for driver in (first, second):
         driver.feed(PARTIAL)
         seen = []
         for at in range(60):
@@ -46,15 +46,15 @@
     driver = driver_with()
     driver.feed(PARTIAL)
     number = next(f"{at}" for at in range(99) if unit_hash(f"{at}", 3) < 0.5)
-    other = next(f"{at}" for at in range(99) if unit_hash(f"{at}", 3) >= 0.5)
-    assert [type(action) for action in driver.offer(number=other)] == [Refuse]
+    refused_number = next(f"{at}" for at in range(99) if unit_hash(f"{at}", 3) >= 0.5)
+    assert [type(action) for action in driver.offer(number=refused_number)] == [Refuse]
     driver.advance(800.0)
-    assert [type(action) for action in driver.offer(number=other)] == [Refuse]
+    assert [type(action) for action in driver.offer(number=refused_number)] == [Refuse]
     driver.advance(1_300.0)  # past the aim: late, so worth a fifth
-    assert [type(action) for action in driver.offer(number=other)] == [Refuse]
+    assert [type(action) for action in driver.offer(number=refused_number)] == [Refuse]
     assert len(sends(driver.offer(number=number))) == 1
     driver.feed(replace(PARTIAL, shares=(("plain", 1.0), ("urgent", 1.0)), floor=0.0))
-    assert len(sends(driver.offer(number=other))) == 1
+    assert len(sends(driver.offer(number=refused_number))) == 1
 
 
 def test_full_admission_gives_the_same_actions_as_no_fleet() -> None:
--- a/tests/overload/test_level.py
+++ b/tests/overload/test_level.py
@@ -108,5 +108,5 @@
 def test_large_fleet_sheds_more_and_recovers_as_soon() -> None:
     small, large = Level(gain=PROPORTIONAL_GAIN), Level(gain=PROPORTIONAL_GAIN_LARGE)
     pressures = [0.4] * 8 + [0.0] * 12
-    one, other = run_updates(small, pressures), run_updates(large, pressures)
-    assert other[7] < one[7] < 1.0 and one[-1] == other[-1] == 1.0
+    small_shares, large_shares = run_updates(small, pressures), run_updates(large, pressures)
+    assert large_shares[7] < small_shares[7] < 1.0 and small_shares[-1] == large_shares[-1] == 1.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -36,7 +36,7 @@
 from tests.support import SETTINGS, ControllerDriver, entry, finals, sends
 
 
-def steady(
+def offer_steadily(
     driver: ControllerDriver, count: int, gap: float = 200.0, first: int = 0, name: str = "plain"
 ) -> list[SendSetUp]:
     """Offer calls at a constant rate; each that is sent stands at once."""
@@ -53,12 +53,12 @@
 
 def test_server_without_reports_has_no_image_and_first_choice_is_kept() -> None:
     driver = ControllerDriver()
-    assert {send.server for send in steady(driver, 20, first=1)} == {"s1"}
+    assert {send.server for send in offer_steadily(driver, 20, first=1)} == {"s1"}
 
 
 def test_report_creates_an_image_that_limits_the_rate() -> None:
     driver = ControllerDriver(servers=1)
-    steady(driver, 20, gap=100.0)
+    offer_steadily(driver, 20, gap=100.0)
     driver.report_hold_back("s0", 0.5)
     image = driver.controller.servers["s0"].image
     assert image is not None
@@ -81,7 +81,7 @@
     assert image is not None
     assert image.expires == driver.now + rules.IMAGE_LIFETIME
     driver.advance(rules.IMAGE_LIFETIME + 1.0)
-    assert len(steady(driver, 10, gap=100.0)) == 10
+    assert len(offer_steadily(driver, 10, gap=100.0)) == 10
 
 
 def test_bound_rate_never_falls_below_the_floor() -> None:
@@ -95,7 +95,7 @@
 def test_gapped_call_is_redrawn_among_the_other_servers() -> None:
     driver = ControllerDriver(servers=3)
     driver.report_hold_back("s0", 1.0)
-    servers = {send.server for send in steady(driver, 20, gap=100.0, first=0)}
+    servers = {send.server for send in offer_steadily(driver, 20, gap=100.0, first=0)}
     assert servers & {"s1", "s2"}
 
 
@@ -122,7 +122,7 @@
 
 def test_own_measured_delay_creates_an_image_without_any_report() -> None:
     driver = ControllerDriver(servers=1, settings=replace(SETTINGS, report_by=ReportBy.NEVER))
-    steady(driver, 5)
+    offer_steadily(driver, 5)
     [send] = sends(driver.offer())
     driver.stand(send, delay=500.0)
     assert driver.controller.servers["s0"].image is not None
@@ -198,13 +198,13 @@
 def test_drains_and_removals_take_effect_at_once(state: ServerState) -> None:
     driver = ControllerDriver()
     driver.feed(ServerList(ListKind.CHANGES, (entry("s0", 0, state),)))
-    assert {send.server for send in steady(driver, 20, first=0)} == {"s1"}
+    assert {send.server for send in offer_steadily(driver, 20, first=0)} == {"s1"}
 
 
 def test_server_missing_from_a_whole_list_is_removed() -> None:
     driver = ControllerDriver()
     driver.feed(ServerList(ListKind.WHOLE, (entry("s1", 1),)))
-    assert {send.server for send in steady(driver, 20, first=0)} == {"s1"}
+    assert {send.server for send in offer_steadily(driver, 20, first=0)} == {"s1"}
 
 
 def test_failed_list_request_keeps_the_old_list() -> None:
@@ -226,13 +226,15 @@
 
 def test_cold_server_is_limited_at_first() -> None:
     driver = ControllerDriver(servers=2)
-    steady(driver, 80, gap=100.0, first=0)
+    offer_steadily(driver, 80, gap=100.0, first=0)
     driver.feed(ServerList(ListKind.CHANGES, (entry("new", 2, started=driver.now),)))
-    got = 0
+    sent_to_new = 0
     for _ in range(40):  # 2 s at 20 calls/s, all for the new server, none of them answered
-        got += len([s for s in sends(driver.offer(first=2) + driver.advance(50.0)) if s.server == "new"])
+        sent_to_new += len(
+            [s for s in sends(driver.offer(first=2) + driver.advance(50.0)) if s.server == "new"]
+        )
     warm_pace = 10.0
-    assert 0 < got <= SETTINGS.fall_multiple * SETTINGS.cold_share * warm_pace * 2.0
+    assert 0 < sent_to_new <= SETTINGS.fall_multiple * SETTINGS.cold_share * warm_pace * 2.0
 
 
 def test_quick_answers_raise_the_cold_budget_and_slow_ones_lower_it() -> None:
@@ -249,18 +251,18 @@
 def set_ups_to_cold_server(share: float | None) -> int:
     """Return the set-ups that reach a cold server in 5 s with ``share`` of its budget."""
     driver = ControllerDriver(servers=1)
-    steady(driver, 80, gap=100.0)
+    offer_steadily(driver, 80, gap=100.0)
     if share is not None:
         driver.feed(ColdShare(share))
     driver.feed(ServerList(ListKind.WHOLE, (entry("new", 5, started=driver.now),)))
-    return len(steady(driver, 50, gap=100.0, first=5))
+    return len(offer_steadily(driver, 50, gap=100.0, first=5))
 
 
 def test_two_processes_of_one_proxy_share_a_cold_servers_budget() -> None:
-    alone, half = set_ups_to_cold_server(None), set_ups_to_cold_server(0.5)
-    assert 0 < 2 * half <= alone
+    whole_budget, half_budget = set_ups_to_cold_server(None), set_ups_to_cold_server(0.5)
+    assert 0 < 2 * half_budget <= whole_budget
     assert set_ups_to_cold_server(0.0) == 0
-    assert set_ups_to_cold_server(1.0) == alone
+    assert set_ups_to_cold_server(1.0) == whole_budget
 
 
 def test_a_restart_in_the_list_is_cold_again() -> None:
@@ -313,7 +315,7 @@
         [again] = sends(driver.end_attempt(send.ref, "s0", Ending.ERROR))
         driver.stand(again, attempt=1)
     assert driver.controller.servers["s0"].suspect
-    assert {send.server for send in steady(driver, 5, gap=100.0, first=0)} == {"s1"}
+    assert {send.server for send in offer_steadily(driver, 5, gap=100.0, first=0)} == {"s1"}
 
 
 def test_calls_that_no_server_accepts_make_none_suspect_and_fail_after_two() -> None:
@@ -393,8 +395,8 @@
     driver = ControllerDriver(servers=1, settings=replace(SETTINGS, may_probe=True))
     [send] = sends(driver.offer())
     driver.end_attempt(send.ref, "s0", Ending.UNREACHABLE)
-    asked = [action for action in driver.advance(300.0) if isinstance(action, Probe)]
-    assert len(asked) == 1
+    probes = [action for action in driver.advance(300.0) if isinstance(action, Probe)]
+    assert len(probes) == 1
     driver.feed(ProbeEnded("s0", Ending.TIMED_OUT, False, 250.0, None))
     driver.advance(4000.0)
     assert not sends(driver.offer())
@@ -402,37 +404,37 @@
     assert sends(driver.offer() + driver.advance(100.0))
 
 
-TENANTS = replace(
+TENANT_SETTINGS = replace(
     SETTINGS, tenants=(Tenant("t", 2.0), Tenant("u", 2.0)), over_share_worth=0.1, may_tell_peers=True
 )
 
 
 def test_traffic_above_an_allowance_counts_less_and_rates_are_gossiped() -> None:
-    driver = ControllerDriver(settings=TENANTS)
+    driver = ControllerDriver(settings=TENANT_SETTINGS)
     for _ in range(50):
         driver.offer(tenant="t")
         driver.advance(100.0)
     gossip = [action for _, action in driver.actions if isinstance(action, TellPeer)]
-    assert {action.peer for action in gossip} == set(range(1, TENANTS.proxies))
+    assert {action.peer for action in gossip} == set(range(1, TENANT_SETTINGS.proxies))
     assert all(len(action.body) >= 4 for action in gossip)
     assert driver.controller.inside_share["t"] < 0.5
     assert driver.controller.inside_share["u"] == 1.0
 
 
 def test_peer_rates_replace_the_estimate_from_own_traffic() -> None:
-    driver = ControllerDriver(settings=TENANTS)
+    driver = ControllerDriver(settings=TENANT_SETTINGS)
     for _ in range(50):
         driver.offer(tenant="t")
         driver.advance(200.0)
-        for peer in range(1, TENANTS.proxies):
+        for peer in range(1, TENANT_SETTINGS.proxies):
             driver.feed(PeerMessage(peer, bytes(4)))
-    guessed = 2.0 / (5.0 * TENANTS.proxies)
+    guessed = 2.0 / (5.0 * TENANT_SETTINGS.proxies)
     assert driver.controller.inside_share["t"] == pytest.approx(2.0 / 5.0, rel=0.1)
     assert driver.controller.inside_share["t"] > guessed
 
 
 def test_malformed_peer_message_is_ignored() -> None:
-    driver = ControllerDriver(settings=TENANTS)
+    driver = ControllerDriver(settings=TENANT_SETTINGS)
     driver.feed(PeerMessage(1, b"hello"))
     driver.feed(PeerMessage(99, bytes(4)))
     assert not driver.controller.peer_rates
@@ -450,7 +452,7 @@
 
 def test_overtaken_set_up_is_cancelled_and_retried() -> None:
     driver = ControllerDriver(servers=1)
-    steady(driver, 5)
+    offer_steadily(driver, 5)
     [lost] = sends(driver.offer())
     driver.advance(100.0)
     [later] = sends(driver.offer())
@@ -489,7 +491,7 @@
 def test_first_choice_without_free_lines_is_skipped() -> None:
     driver = ControllerDriver(servers=2)
     driver.feed(ProbeEnded("s0", Ending.DELIVERED, True, 0.0, Report(0.0, None, None)))
-    assert {send.server for send in steady(driver, 10, first=0)} == {"s1"}
+    assert {send.server for send in offer_steadily(driver, 10, first=0)} == {"s1"}
 
 
 def test_redial_is_recognised_by_number_and_dated_from_the_first_try() -> None:
@@ -513,15 +515,15 @@
 
 def test_probes_only_where_allowed_and_paced() -> None:
     driver = ControllerDriver(settings=replace(SETTINGS, may_probe=True, report_by=ReportBy.PROBES))
-    asked = [a for a in driver.advance(1500.0) if isinstance(a, Probe)]
-    assert sorted(a.server for a in asked) == ["s0", "s1"]
+    probes = [a for a in driver.advance(1500.0) if isinstance(a, Probe)]
+    assert sorted(a.server for a in probes) == ["s0", "s1"]
     assert not [a for a in ControllerDriver().advance(5000.0) if isinstance(a, Probe)]
 
 
 def test_classes_go_only_to_their_pools() -> None:
     plain = replace(SETTINGS.classes[0], pools=(1,))
     driver = ControllerDriver(settings=replace(SETTINGS, classes=(plain,)))
-    assert {send.server for send in steady(driver, 10, first=0)} == {"s1"}
+    assert {send.server for send in offer_steadily(driver, 10, first=0)} == {"s1"}
 
 
 def test_a_call_in_transit_goes_to_its_destination_or_nowhere() -> None:
@@ -533,26 +535,26 @@
 
 def test_events_for_unknown_calls_and_servers_are_ignored() -> None:
     driver = ControllerDriver()
-    quiet = (
+    actions = (
         driver.feed(CallerGone(77))
         + driver.feed(Stands(77, 0, "nowhere", 5.0))
         + driver.end_attempt(77, "nowhere", Ending.TIMED_OUT)
         + driver.feed(ProbeEnded("nowhere", Ending.DELIVERED, False, 5.0, None))
     )
-    assert not [action for action in quiet if not isinstance(action, SetTimer)]
+    assert not [action for action in actions if not isinstance(action, SetTimer)]
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
     first, second = ControllerDriver(servers=3), ControllerDriver(servers=3)
     for driver in (first, second):
         driver.report_hold_back("s0", 0.8)
-        steady(driver, 60, gap=70.0)
+        offer_steadily(driver, 60, gap=70.0)
     assert first.actions == second.actions
 
 
 # ---- short aims: limits must scale down from aims of a second or more -------------------------------------
 
-SHORT = replace(
+SHORT_AIM_SETTINGS = replace(
     SETTINGS,
     classes=(CallClass("plain", 1.0, 300.0, 3000.0, 0.2, Repeat.HARMLESS, None),),
     repeat_interval=200.0,
@@ -561,7 +563,7 @@
 
 
 def test_network_jitter_creates_no_image() -> None:
-    driver = ControllerDriver(SHORT, servers=1)
+    driver = ControllerDriver(SHORT_AIM_SETTINGS, servers=1)
     for delay in (50.0, 62.0, 55.0, 64.0):
         [send] = sends(driver.offer() + driver.advance(20.0))
         driver.stand(send, delay)
@@ -569,32 +571,32 @@
 
 
 def test_a_gapped_call_is_held_for_part_of_a_short_aim() -> None:
-    driver = ControllerDriver(SHORT, servers=1)
+    driver = ControllerDriver(SHORT_AIM_SETTINGS, servers=1)
     driver.report_hold_back("s0", 1.0)
     for send in sends(driver.offer() + driver.offer()):
         driver.stand(send)
-    held = driver.offer()
-    assert not sends(held) and not finals(held + driver.advance(60.0))
+    actions = driver.offer()
+    assert not sends(actions) and not finals(actions + driver.advance(60.0))
     assert finals(driver.advance(200.0))
 
 
 def test_no_early_time_out_where_a_second_attempt_cannot_be_in_time() -> None:
-    driver = ControllerDriver(SHORT, servers=2)
+    driver = ControllerDriver(SHORT_AIM_SETTINGS, servers=2)
     [send] = sends(driver.offer())
     assert send.patience >= 300.0
 
 
 def test_a_slow_answer_spaces_a_busy_servers_set_ups_by_its_rate() -> None:
-    driver = ControllerDriver(SHORT, servers=1)
-    steady(driver, 80, gap=25.0)
+    driver = ControllerDriver(SHORT_AIM_SETTINGS, servers=1)
+    offer_steadily(driver, 80, gap=25.0)
     [send] = sends(driver.offer())
     driver.stand(send, 200.0)
-    assert len(steady(driver, 12, gap=25.0)) > 2  # one per 200 ms would be 2
+    assert len(offer_steadily(driver, 12, gap=25.0)) > 2  # one per 200 ms would be 2
 
 
 def test_half_open_probes_are_sooner_for_short_aims() -> None:
     """A server that paused for a moment must not stay excluded for many times the aim."""
-    driver = ControllerDriver(SHORT, servers=1)
+    driver = ControllerDriver(SHORT_AIM_SETTINGS, servers=1)
     [send] = sends(driver.offer())
     driver.end_attempt(send.ref, "s0", Ending.TIMED_OUT)
     server = driver.controller.servers["s0"]
@@ -609,17 +611,17 @@
     driver = ControllerDriver(servers=1)
     driver.report_hold_back("s0", 0.98)
     first = [driver.offer() for _ in range(3 * rules.MAX_HELD_CALLS_PER_TICK)]
-    held = driver.ref - sum(bool(sends(actions)) for actions in first)
+    held_calls = driver.ref - sum(bool(sends(actions)) for actions in first)
     tried = 0
-    route = driver.controller._route
+    original_route = driver.controller._route
 
-    def counted(call: rules.Call, now: float) -> rules.Server | None:
+    def count_route(call: rules.Call, now: float) -> rules.Server | None:
         nonlocal tried
         tried += 1
-        return route(call, now)
+        return original_route(call, now)
 
-    driver.controller._route = counted  # type: ignore[method-assign]
-    got = driver.advance(60.0)
-    assert 0 < tried <= 2 * rules.MAX_HELD_CALLS_PER_TICK and not finals(got)
-    got += driver.advance(2000.0)
-    assert len(finals(got)) + len(sends(got)) == held, "each is sent or answered once"
+    driver.controller._route = count_route  # type: ignore[method-assign]
+    actions = driver.advance(60.0)
+    assert 0 < tried <= 2 * rules.MAX_HELD_CALLS_PER_TICK and not finals(actions)
+    actions += driver.advance(2000.0)
+    assert len(finals(actions)) + len(sends(actions)) == held_calls, "each is sent or answered once"
