--- a/tests/agreement/test_lists.py
+++ b/tests/agreement/test_lists.py
@@ -11,6 +11,7 @@
 
 
 def record(name: str, start: int = 0, state: int = 0, port: int = 1) -> ServerRecord:
+    """Return a record of a server whose current process started at ``start``."""
     return ServerRecord(name, start, state, 1, "sofia", 1.0, "127.0.0.1", port)
 
 
@@ -20,6 +21,7 @@
 
 
 def list_of(records: list[ServerRecord]) -> ServerList:
+    """Return a server list into which the records were merged."""
     server_list = ServerList()
     for one in records:
         server_list.merge(one)
--- a/tests/agreement/test_overlay.py
+++ b/tests/agreement/test_overlay.py
@@ -18,11 +18,13 @@
 
 
 def rules(**more: Any) -> RuleSet:
+    """Return rules that allow more than OWN, except for ``more``; ``each`` changes every class."""
     one = {"repeat": "harmless", "deadline_ms": 60_000, "pools": None, **more.pop("each", {})}
     return rules_from({"attempts": 9, "classes": {name: one for name, *_ in CLASSES}, **more}, "f.json")
 
 
 def settings_under(**more: Any) -> Settings:
+    """Return OWN as restricted by such rules."""
     return AgreedRules(rules(**more)).restrict_settings(OWN)
 
 
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -29,6 +29,7 @@
 
 
 def rules(attempts: int = 5, gone: tuple[str, ...] = ()) -> dict[str, Any]:
+    """Return rules as proposed; servers in ``gone`` are withdrawn."""
     classes = {
         name: {"repeat": "harmless", "deadline_ms": deadline, "pools": None}
         for name, _, _, deadline in CLASSES
@@ -37,10 +38,12 @@
 
 
 async def run_step(rig: Rig, verb: str, *arguments: object) -> None:
+    """Execute one step of a scenario at once."""
     await rig.execute_step(Step(0.0, verb, arguments))
 
 
 async def query_versions(rig: Rig, name: str) -> dict[str, Any]:
+    """Return a member's status of the agreement."""
     found: dict[str, Any] = json.loads(
         await asyncio.to_thread(query, rig.proxies[name].operator_address, VERSIONS)
     )
--- a/tests/agreement/test_raft.py
+++ b/tests/agreement/test_raft.py
@@ -63,6 +63,7 @@
     violation: str = ""
 
     def key(self) -> tuple[object, ...]:
+        """Return what tells two states of the search apart."""
         return (
             tuple(
                 (
@@ -77,6 +78,7 @@
 
 
 def clone(one: Raft) -> Raft:
+    """Return a copy of a process whose changes don't affect the original."""
     new = copy.copy(one)
     new.log, new.actions = list(one.log), []
     new.peers = {name: copy.copy(peer) for name, peer in one.peers.items()}
@@ -85,12 +87,14 @@
 
 
 def start_node(kind: type[Raft], disk: PersistentState) -> Raft:
+    """Start a process from what its disk holds."""
     node = kind(disk, TERMS, 1, 0.0)
     node.rng = ConstantRandom()  # type: ignore[assignment]
     return node
 
 
 def initial_world(kind: type[Raft] = Raft, names: tuple[str, ...] = VOTERS) -> World:
+    """Return the state in which all processes have started and nothing has been sent."""
     disks = {name: initial_state(name, VOTERS) for name in names}
     nodes = {name: start_node(kind, disk) for name, disk in disks.items()}
     return World(nodes, disks, frozenset(), frozenset(), frozenset())
@@ -126,12 +130,15 @@
 
 
 def crash(world: World, name: str) -> World:
+    """Restart a process from its disk."""
     node = start_node(type(world.nodes[name]), world.disks[name])
     return replace(world, nodes={**world.nodes, name: node}, crashes=world.crashes + 1)
 
 
 @dataclass(frozen=True)
 class Bounds:
+    """Limits of a search; ``forgets``: state is never written to disk."""
+
     depth: int
     states: int = 60_000
     term: int = 3
@@ -141,6 +148,7 @@
 
 
 def successors(world: World, bounds: Bounds) -> Iterator[World]:
+    """Return the states that one event leads to."""
     for body in world.sent:
         message = decode_message(body)
         if message.to in world.nodes:
@@ -187,6 +195,7 @@
 
 
 def elect(world: World, name: str, by: str) -> World:
+    """Let a process start an election and ``by`` vote for it."""
     world = step(world, name, StartElection())
     term = world.nodes[name].term
     world = deliver(world, by, MessageType.REQUEST_VOTE, lambda one: one.term == term)
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -84,6 +84,7 @@
 
 
 def running_fleet(members: int = 5, voters: int = 3) -> SimulatedAgreementFleet:
+    """Return a simulated fleet that has run for 3 s."""
     fleet = SimulatedAgreementFleet(members, 7, voters, base=Link(delay=2.0, jitter=4.0))
     for name in fleet.members:
         fleet.start(name)
@@ -92,6 +93,7 @@
 
 
 def run_step(fleet: SimulatedAgreementFleet, verb: str, *arguments: object, lasts: float = 0.0) -> None:
+    """Execute one step of a scenario and run the fleet for ``lasts`` ms."""
     fleet.execute_step(Step(0.0, verb, arguments))
     fleet.run(fleet.now + lasts)
 
@@ -107,6 +109,7 @@
 
 
 def leader(fleet: SimulatedAgreementFleet) -> str:
+    """Return the name of the leader."""
     return next(
         name for name, one in fleet.agreements.items()
         if one.raft is not None and not fleet.members[name].stopped
--- a/tests/control/test_cores.py
+++ b/tests/control/test_cores.py
@@ -40,6 +40,7 @@
 
 
 def join(name: str, epoch: int = 1, region: str = "r0", **held: int) -> Join:
+    """Return a proxy's request for a lease."""
     return Join(name, 7, epoch, region, "z0", "s0", 100, 0, held or {"s0": 0})
 
 
@@ -51,9 +52,11 @@
         self.core = ControlNode("n0", NODES, terms, self.now)
 
     def receive(self, message: Join | Heartbeat | Leave) -> list[node.Action]:
+        """Deliver a proxy's message; return the node's actions."""
         return self.core.handle(self.now, FromProxy(message, message.name))
 
     def advance(self, span: float) -> list[node.Action]:
+        """Advance the clock by ``span`` ms; return the node's actions."""
         actions: list[node.Action] = []
         end = self.now + span
         while self.now < end:
@@ -63,6 +66,7 @@
 
 
 def updates(actions: list[node.Action], name: str) -> list[Update]:
+    """Return the updates that were sent to a proxy."""
     return [
         one.message
         for one in actions
@@ -251,17 +255,21 @@
         self.now = 0.0
 
     def due(self) -> list[client.Action]:
+        """Advance the clock to the next due time; return the client's actions."""
         self.now = self.core.due
         return self.core.handle(self.now, client.Due())
 
     def receive(self, message: LeaseGranted | LeaseRefused | Update) -> list[client.Action]:
+        """Deliver a node's message; return the client's actions."""
         return self.core.handle(self.now, FromNode(message))
 
     def attach(self) -> None:
+        """Obtain a lease."""
         self.due()
         assert self.receive(LeaseGranted(self.core.node, self.core.epoch, [])) == [Attached(self.core.node)]
 
     def update(self, number: int, behind: int = 0, **pressure: int) -> list[client.Action]:
+        """Deliver an update with the pressure of each service."""
         entries = [StateEntry(service, "r0", "z0", 1, 100, one) for service, one in pressure.items()]
         return self.receive(
             Update(self.core.node, self.core.epoch, self.core.beat, number, behind, {"r0": 0}, entries)
--- a/tests/control/test_processes.py
+++ b/tests/control/test_processes.py
@@ -34,6 +34,7 @@
 
 
 async def run_scenario() -> None:
+    """Run three nodes and three proxies, and let nodes and a proxy end."""
     server, discovery = SessionServer(0), DiscoveryServer()
     await server.start()
     await discovery.start()
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -50,6 +50,7 @@
 
 
 def drop_a_member(patch: pytest.MonkeyPatch) -> None:
+    """Fault: a client omits one member from the updates that it receives."""
     original_update = ControlClient._update
 
     def update_without_member(self: ControlClient, update: object, now: float) -> None:
@@ -65,10 +66,12 @@
 
 
 def disable_expiry(patch: pytest.MonkeyPatch) -> None:
+    """Fault: a node never expires a lease."""
     patch.setattr(ControlNode, "_expire", lambda self, now: None)
 
 
 def disable_ageing(patch: pytest.MonkeyPatch) -> None:
+    """Fault: a client takes its state for fresh, however old it is."""
     patch.setattr(ControlClient, "age", lambda self, key, now: 0.0)
 
 
--- a/tests/extproc/support.py
+++ b/tests/extproc/support.py
@@ -52,6 +52,7 @@
 def listed_server(
     name: str, state: ServerState = ServerState.OPEN, started: float | None = None
 ) -> ListedServer:
+    """Return a server as the list gives it; its place and port follow from the digits of its name."""
     return ListedServer(entry(name, int(name[1:]), state, started), f"127.0.0.1:{7000 + int(name[1:])}")
 
 
@@ -78,6 +79,7 @@
         self.feed(ListChanged((listed_server("s0"), listed_server("s1"))))
 
     def feed(self, event: Event) -> list[Effect]:
+        """Deliver an event; return its effects after checking them."""
         if isinstance(event, Carry):
             self.owed_ends[event.ref, event.attempt] = 1
         effects = list(self.ledger.handle(self.now, event))
@@ -150,29 +152,35 @@
     def ask(
         self, request: int, left: float | None = 3000.0, name: str = "plain", **more: Any
     ) -> list[Effect]:
+        """Deliver a front's request with ``left`` ms."""
         kind = CLASSES.get(name)
         time_left = left if left is not None and 0 <= left <= 600_000 else (kind.deadline if kind else 0.0)
         self.deadlines[request] = self.now + max(0.0, time_left)
         return self.feed(replace(Ask(request, name, "n", left, 0, self.now), **more))
 
     def key(self, request: int) -> int:
+        """Return the ledger's key of a front's request."""
         return next(key for key, one in self.requests_by_key.items() if one == request)
 
     def carry(
         self, request: int, attempt: int = 0, server: str = "s0", patience: float = 800.0
     ) -> list[Effect]:
+        """Deliver the decisions' order to send an attempt."""
         key = self.key(request)
         return self.feed(Carry(key, key, attempt, server, patience))
 
     def outcome(self, request: int, ending: Ending | None, attempt: int = 0, **more: Any) -> list[Effect]:
+        """Deliver the front's report on an attempt; ``ending`` is None if the call stands."""
         if self.in_flight.get(request) == attempt:
             del self.in_flight[request]
         return self.feed(Outcome(request, attempt, ending, 12.0, **more))
 
     def decide(self, request: int, hold_off: float | None) -> list[Effect]:
+        """Deliver the decisions' final: a refusal, or a failure if ``hold_off`` is None."""
         return self.feed(Decided(self.key(request), hold_off))
 
     def advance(self, span: float) -> None:
+        """Advance the clock by ``span`` ms and run the timers due meanwhile."""
         end = self.now + span
         while self.timers and min(self.timers.values()) <= end:
             (key, kind), at = min(self.timers.items(), key=lambda item: (item[1], item[0]))
--- a/tests/extproc/test_client_state.py
+++ b/tests/extproc/test_client_state.py
@@ -27,6 +27,7 @@
 
 
 def table_with_request() -> RequestTable:
+    """Return a request table with one request that has been sent."""
     state = RequestTable()
     state.handle(Welcomed((), ()), NOW)
     assert state.ask("plain", "n", 3000.0, -1, NOW) == 1
@@ -34,6 +35,7 @@
 
 
 def table_with_route() -> RequestTable:
+    """Return a request table whose only request has begun its first attempt."""
     state = table_with_request()
     assert state.handle(ROUTE, NOW) == [Delivery(1, ROUTE)]
     assert state.begin(1)
@@ -41,6 +43,7 @@
 
 
 def take_sent_messages(state: RequestTable) -> list[object]:
+    """Return the messages to send and remove them from the table."""
     messages: list[object] = [message for message, _ in state.to_send]
     state.to_send.clear()
     return messages
--- a/tests/extproc/test_ledger.py
+++ b/tests/extproc/test_ledger.py
@@ -37,6 +37,7 @@
 
 
 def sent_summary(harness: LedgerHarness) -> list[tuple[str, Why | None]]:
+    """Return the name and reason of each message sent."""
     return [(type(message).__name__, getattr(message, "why", None)) for message in harness.sent]
 
 
@@ -168,6 +169,7 @@
 
 
 def cancel_request(harness: LedgerHarness) -> None:
+    """Cancel request 1 as a front does."""
     harness.in_flight.pop(1, None)  # the front gives up the attempt before it reports the cancel
     harness.feed(Cancel(1))
 
--- a/tests/extproc/test_limits.py
+++ b/tests/extproc/test_limits.py
@@ -17,10 +17,12 @@
 
 
 def admission(**limits: float) -> Admission:
+    """Return the admission control with these limits."""
     return Admission(Limits(**limits), 6.0, 3)  # type: ignore[arg-type]
 
 
 def why(rejection: Rejection | None) -> Why | None:
+    """Return the reason of a rejection."""
     return rejection.why if rejection is not None else None
 
 
@@ -138,11 +140,13 @@
 
 
 def sessions(**session_settings: float) -> Sessions:
+    """Return a registry of sessions with predictable tokens."""
     numbers = itertools.count(1)
     return Sessions(SessionSettings(**session_settings), lambda count: next(numbers).to_bytes(count, "big"))  # type: ignore[arg-type]
 
 
 def opened(registry: Sessions, front: str = "f") -> Session:
+    """Open a session for a front."""
     session = registry.open(front)
     assert isinstance(session, Session)
     return session
--- a/tests/extproc/test_services.py
+++ b/tests/extproc/test_services.py
@@ -33,17 +33,21 @@
 
     @asynccontextmanager
     async def raw(self, front: str = "raw") -> AsyncIterator[RawFrontProxy]:
+        """Connect as a front that sends arbitrary messages."""
         async with RawFrontProxy(self.proxy.external_processor_address) as raw_front:
             await raw_front.hello(front)
             yield raw_front
 
     def server(self, address: str) -> SessionServer:
+        """Return the session server at an address."""
         return next(server for server in self.servers if server.address == address)
 
 
 def run_scenario(
     scenario: Callable[[Environment], Awaitable[None]], more: str = "", servers: int = 2
 ) -> None:
+    """Run the scenario with a proxy; ``more`` is added to its extras."""
+
     async def run() -> None:
         session_servers, discovery = [SessionServer(number) for number in range(servers)], DiscoveryServer()
         for server in session_servers:
@@ -62,6 +66,7 @@
 
 
 def kind(message: pb.ProxyMessage) -> str:
+    """Return the name of the message's kind."""
     return message.WhichOneof("kind") or ""
 
 
--- a/tests/failover/test_plan.py
+++ b/tests/failover/test_plan.py
@@ -83,6 +83,7 @@
 
 
 def with_capacity(**more: float) -> Problem:
+    """Return THREE with other capacities, by zone."""
     zones = tuple(dataclasses.replace(one, capacity=more.get(one.name, one.capacity)) for one in THREE.zones)
     return dataclasses.replace(THREE, zones=zones)
 
@@ -161,6 +162,7 @@
 
 
 def large_problem() -> Problem:
+    """Return a random problem of the largest supported size."""
     names = [f"z{at:02}" for at in range(12)]
     rng = random.Random(1)
     worths = {f"c{at}": float(at + 1) for at in range(5)}
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -21,6 +21,7 @@
 
 
 def record(name: str = "b", state: State = State.ALIVE, incarnation: int = 1, **more: object) -> MemberRecord:
+    """Return a record of another member."""
     fields = {
         "generation": 1, "process_id": 22, "zone": "z", "host": "127.0.0.1", "port": 7_001, "by": "",
     } | more  # fmt: skip
@@ -28,12 +29,14 @@
 
 
 def member() -> Membership:
+    """Return the core of a member ``a`` that knows no other."""
     return Membership("a", "z", ADDRESS, (), Terms(), 1, 0.0, process_id=11)
 
 
 def receive(
     core: Membership, now: float, *records: MemberRecord, sender: MemberRecord | None = None, **more: object
 ) -> list:  # type: ignore[type-arg]
+    """Deliver a gossip datagram with these records; return the actions."""
     datagram = Datagram(Kind.GOSSIP, sender or record(), 11, 0, members=list(records), **more)  # type: ignore[arg-type]
     return core.handle(now, DatagramReceived(datagram))
 
@@ -114,6 +117,7 @@
 def receive_entry(
     core: Membership, now: float, entry: StateEntry, echo: int, echo_delay: int = 0
 ) -> list[Learned]:
+    """Deliver a gossip datagram with one state entry; return what was learned from it."""
     datagram = Datagram(Kind.GOSSIP, record(), 11, 0, echo, echo_delay, entries=[entry])
     while core.due < now:  # so that the elapsed time isn't taken for a stall
         core.handle(core.due, Due())
--- a/tests/fleet/test_health_check_assignment.py
+++ b/tests/fleet/test_health_check_assignment.py
@@ -52,6 +52,7 @@
 
 
 def fleet_of(live_members: dict[str, str]) -> Fleet:
+    """Return the assignment of each member."""
     return {name: HealthCheckAssignment(name, zone) for name, zone in live_members.items()}
 
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -18,6 +18,7 @@
 
 
 async def run_step(rig: Rig, verb: str, *arguments: object) -> None:
+    """Execute one step of a scenario at once."""
     await rig.execute_step(Step(0.0, verb, arguments))
 
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -33,11 +33,13 @@
 
 
 def seal(body: object, head: bytes = FRAME.head) -> bytes:
+    """Frame a body with a valid check."""
     data = head + msgspec.msgpack.encode(body)
     return data + FRAME._check(data)
 
 
 def changed(**figures: object) -> bytes:
+    """Return a sealed datagram that differs from DATAGRAM in these fields."""
     return seal(msgspec.structs.replace(DATAGRAM, **figures))
 
 
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -34,6 +34,7 @@
 
 
 def learned(sequence: int = 3, saved_at: float = NOW, servers: int = 2) -> Learned:
+    """Return learned state about servers and one first try."""
     saved_servers = tuple(
         Saved(f"s{at}", 0.0, wait=40.0, wait_at=NOW, image=ImageState(0.5, 3.0, NOW + 6000.0, NOW))
         for at in range(servers)
@@ -42,6 +43,7 @@
 
 
 def fault_of(raw: bytes, settings_fingerprint: bytes | None = FINGERPRINT) -> Fault | None:
+    """Return why a file is rejected, or None if it is read."""
     try:
         read_state(raw, settings_fingerprint)
     except StateError as error:
@@ -197,6 +199,7 @@
 
 
 def saved(sequence: int) -> bytes:
+    """Return the contents of a file with that sequence number."""
     return write_state(learned(sequence), FINGERPRINT)
 
 
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -48,10 +48,12 @@
         self.last_wait = 0.0
 
     def change_state(self) -> None:
+        """Change a wait, so that there is something to save."""
         self.last_wait += 1.0
         self.dispatcher.controller.servers["s0"].wait = self.last_wait
 
     async def until(self, condition: Callable[[], bool]) -> None:
+        """Keep changing the state until the condition holds."""
         async with asyncio.timeout(TIMEOUT_S):
             while not condition():
                 self.change_state()
@@ -59,6 +61,8 @@
 
 
 def run_scenario(folder: Path, scenario: Callable[[StoreFixture], Awaitable[None]], servers: int = 2) -> None:
+    """Run the scenario with a running store."""
+
     async def run() -> None:
         fixture = StoreFixture(folder, servers)
         await fixture.store.start()
@@ -76,6 +80,7 @@
 
 
 def saved_wait(folder: Path) -> float:
+    """Return the wait that the file holds for the first server."""
     learned = read_state((folder / STATE).read_bytes(), fingerprint(SETTINGS))
     return next(server.wait for server in learned.servers if server.name == "s0")
 
@@ -219,6 +224,8 @@
 def run_program(
     scenario: Callable[[ProxyProcess, list[SessionServer]], Awaitable[None]], extras: str
 ) -> None:
+    """Run the scenario with a proxy process and two session servers."""
+
     async def run() -> None:
         servers, discovery = [SessionServer(number) for number in range(2)], DiscoveryServer()
         for server in servers:
@@ -234,6 +241,7 @@
 
 
 def extras_text(folder: Path) -> str:
+    """Return an extras file that saves the state every 50 ms."""
     return f'learned-state {{\n folder "{folder}"\n times period-ms=50 gap-ms=10\n}}\n'
 
 
--- a/tests/lifecycle/test_settings.py
+++ b/tests/lifecycle/test_settings.py
@@ -36,6 +36,7 @@
 
 
 def load(folder: Path, text: str) -> Any:
+    """Load a configuration file with this text."""
     path = folder / "config.json"
     path.write_text(text)
     return load_config({}, str(path))
@@ -110,36 +111,37 @@
 
 # ---- changes at run time --------------------------------------------------------------------------------
 
-ONCE = CallClass("once", 1.0, 2000.0, 9000.0, 0.2, Repeat.ONCE_ONLY, None)
+ONCE_ONLY_CLASS = CallClass("once", 1.0, 2000.0, 9000.0, 0.2, Repeat.ONCE_ONLY, None)
 
 
 def changed_settings(**changes: Any) -> SettingsChanged:
+    """Return an event with changed settings."""
     return SettingsChanged(replace(SETTINGS, **{"revision": 1, **changes}))
 
 
 def test_open_call_keeps_its_class_and_attempts_after_a_change() -> None:
-    bench = ControllerDriver()
-    (first,) = sends(bench.offer(left=9000.0))
-    bench.feed(changed_settings(classes=(ONCE,), max_attempts=1))
-    bench.end_attempt(1, first.server, Ending.TIMED_OUT)
+    driver = ControllerDriver()
+    (first,) = sends(driver.offer(left=9000.0))
+    driver.feed(changed_settings(classes=(ONCE_ONLY_CLASS,), max_attempts=1))
+    driver.end_attempt(1, first.server, Ending.TIMED_OUT)
     # The class was removed and the limit is now one attempt; neither applies to an open call.
-    assert [send.ref for send in sends(bench.advance(2000.0))] == [1]
-    (second,) = sends(bench.offer(name="once"))
-    assert finals(bench.end_attempt(2, second.server, Ending.TIMED_OUT)) == [Fail(2)]
+    assert [send.ref for send in sends(driver.advance(2000.0))] == [1]
+    (second,) = sends(driver.offer(name="once"))
+    assert finals(driver.end_attempt(2, second.server, Ending.TIMED_OUT)) == [Fail(2)]
 
 
 def test_call_keeps_its_repeat_rule_after_a_change() -> None:
-    bench = ControllerDriver()
-    bench.feed(changed_settings(classes=(ONCE,)))
-    (first,) = sends(bench.offer(name="once"))
-    bench.feed(changed_settings(classes=(replace(ONCE, repeat=Repeat.HARMLESS),), revision=2))
-    assert finals(bench.end_attempt(1, first.server, Ending.TIMED_OUT)) == [Fail(1)]
+    driver = ControllerDriver()
+    driver.feed(changed_settings(classes=(ONCE_ONLY_CLASS,)))
+    (first,) = sends(driver.offer(name="once"))
+    driver.feed(changed_settings(classes=(replace(ONCE_ONLY_CLASS, repeat=Repeat.HARMLESS),), revision=2))
+    assert finals(driver.end_attempt(1, first.server, Ending.TIMED_OUT)) == [Fail(1)]
 
 
 def test_peer_messages_are_dropped_when_the_tenants_change() -> None:
     two = (Tenant("a", 1.0), Tenant("b", 1.0))
-    bench = ControllerDriver(settings=replace(SETTINGS, tenants=two[:1], may_tell_peers=True))
-    bench.feed(PeerMessage(1, b"\0\x05"))
-    bench.feed(changed_settings(tenants=two, may_tell_peers=True))
-    bench.advance(3000.0)
-    assert set(bench.controller.inside_share) == {"a", "b"}
+    driver = ControllerDriver(settings=replace(SETTINGS, tenants=two[:1], may_tell_peers=True))
+    driver.feed(PeerMessage(1, b"\0\x05"))
+    driver.feed(changed_settings(tenants=two, may_tell_peers=True))
+    driver.advance(3000.0)
+    assert set(driver.controller.inside_share) == {"a", "b"}
--- a/tests/net/test_cli.py
+++ b/tests/net/test_cli.py
@@ -14,6 +14,7 @@
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run a command of the program."""
     command = [sys.executable, "-B", "-m", "martentide", *arguments]
     return subprocess.run(command, cwd=ROOT, env={}, capture_output=True, text=True, timeout=30)
 
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -22,11 +22,13 @@
 
 
 def answer(server: Wire, call: bytes) -> None:
+    """Accept the next set-up at the server and answer it."""
     assert server.receive(Type.SET_UP).call == call
     server.send(Type.ANSWER, call, {Code.DESCRIPTION: DESCRIPTION})
 
 
 def set_up_call(caller: Wire, server: Wire, call: bytes) -> None:
+    """Set up a call and wait for its answer."""
     caller.set_up(call)
     answer(server, call)
     assert caller.receive(Type.ANSWER).call == call
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -20,23 +20,28 @@
 
 
 def idle(one: Wire) -> None:
+    """Send nothing."""
     pass
 
 
 def half_a_message(one: Wire) -> None:
+    """Send the beginning of a message."""
     one.sock.sendall(b"\0\x20\x01")
 
 
 def sends_one_test(one: Wire) -> None:
+    """Send one health check."""
     one.send(Type.TEST, A, {Code.CAUSE: b"\0"})
 
 
 def reads_nothing(one: Wire) -> None:
+    """Send a message and read no response."""
     one.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
     one.sock.sendall(b"\0\x09\x34" + A)
 
 
 def set_up_call(program: Program, server: Wire, call: bytes) -> Wire:
+    """Set up a call from a new connection, which is returned."""
     caller = program.caller("127.0.0.3")
     caller.set_up(call)
     assert server.receive(Type.SET_UP).call == call
--- a/tests/net/test_dispatcher.py
+++ b/tests/net/test_dispatcher.py
@@ -57,6 +57,7 @@
 
 
 def offer(peer: RecordingPeer, call: bytes = CALL, left: float = 3000.0) -> Offer:
+    """Return a caller's set-up with ``left`` ms."""
     return Offer(peer, call, b"voice", b"7f3a", b"desc", left, 0, FUTURE)
 
 
@@ -81,10 +82,12 @@
 
 
 def stood(attempt: int = 0) -> Stood:
+    """Return a server's answer to the first call."""
     return Stood(1, attempt, "s-1", 20.0, b"good")
 
 
 def ended(ending: Ending, attempt: int = 0) -> Ended:
+    """Return the end of an attempt of the first call."""
     return Ended(1, attempt, "s-1", ending, False, 20.0, None)
 
 
--- a/tests/net/test_gone_clients.py
+++ b/tests/net/test_gone_clients.py
@@ -22,18 +22,22 @@
 
 
 def close(caller: Wire) -> None:
+    """Close the connection."""
     caller.sock.close()
 
 
 def reset(caller: Wire) -> None:
+    """Reset the connection."""
     caller.reset()
 
 
 def cancel(caller: Wire) -> None:
+    """Give up the call; the connection stays."""
     caller.release(A, 16)
 
 
 def half_close(caller: Wire) -> None:
+    """Close the caller's direction of the connection only."""
     caller.sock.shutdown(socket.SHUT_WR)
 
 
--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -34,11 +34,13 @@
         await asyncio.gather(self.link.task, return_exceptions=True)
 
     async def wait_until_read(self, messages: int) -> None:
+        """Wait until the link has read that many messages."""
         async with asyncio.timeout(10):
             while len(self.received) < messages:
                 await asyncio.sleep(0)
 
     def process(self, messages: int) -> None:
+        """Tell the link that its oldest messages were processed."""
         for _ in range(messages):
             self.link.message_processed()
 
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -27,6 +27,7 @@
 
 @contextmanager
 def upgrade(old: Program) -> Iterator[Program]:
+    """Start a successor and kill it at the end."""
     new = old.start_successor()
     try:
         yield new
@@ -49,6 +50,7 @@
 
 
 def handover_sockets(folder: Path) -> list[Path]:
+    """Return the sockets in the folder at which a successor connects."""
     return [path for path in folder.iterdir() if stat.S_ISSOCK(path.stat().st_mode)]
 
 
--- a/tests/net/test_upgrade_crossings.py
+++ b/tests/net/test_upgrade_crossings.py
@@ -32,6 +32,7 @@
 
 @contextmanager
 def upgrade(old: Program) -> Iterator[Program]:
+    """Start a successor and kill it at the end."""
     new = old.start_successor()
     try:
         yield new
@@ -45,6 +46,7 @@
 
 
 def assert_released(caller: Wire, call: bytes) -> None:
+    """Assert that the caller's final answer is a release."""
     final = caller.receive(Type.ANSWER, Type.RELEASE)
     assert (final.type, final.call) == (Type.RELEASE, call)
 
@@ -156,19 +158,23 @@
 
     @property
     def client_connections(self) -> ClientConnections:
+        """The client connections of the process."""
         return self.callers.client_connections
 
     @property
     def link(self) -> Link:
+        """The process's end of the connection."""
         return next(iter(self.client_connections.open_set_ups))
 
     def move_out(self) -> None:
+        """Hand all connections over to a successor."""
         self.callers.hand_over_accepting(
             lambda frame, _: self.moved_frames.append(frame)  # type: ignore[arg-type]
         )
         self.callers.move_out()
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait until the condition holds."""
         async with asyncio.timeout(TIMEOUT_S):
             while not condition():
                 await asyncio.sleep(0.001)
--- a/tests/overload/test_core.py
+++ b/tests/overload/test_core.py
@@ -43,10 +43,12 @@
 
 
 def member(name: str = "m0") -> Overload:
+    """Return the overload control of one of the LIVING members."""
     return Overload(name, LIVING[name], WORTHS, 2_000.0, 600.0, seed=1)
 
 
 def load_message(hold: float, lasting: float = 1.0, servers: list[str] = SERVERS, **more: object) -> Load:
+    """Return another member's message in which each server requests ``hold`` to be held back."""
     pressed = [ServerPressure(name, round(1_000 * hold), 1) for name in servers]
     return Load(round(1_000 * lasting), 0, 0, 0, {"status": 900, "sign": 100}, pressed, **more)  # type: ignore[arg-type]
 
@@ -63,6 +65,7 @@
     def poll(
         self, messages: dict[str, Load] | None = None, allotment: float = ALLOTMENT, after: float = 250.0
     ) -> None:
+        """Advance the clock by ``after`` ms and poll with these messages by sender."""
         self.now += after
         self.counter += 1
         received = [(name, LIVING[name], self.counter, load, 50.0) for name, load in (messages or {}).items()]
--- a/tests/overload/test_escrow.py
+++ b/tests/overload/test_escrow.py
@@ -40,6 +40,7 @@
     crashes: int = 0
 
     def key(self) -> tuple[Any, ...]:
+        """Return what tells two states of the search apart."""
         accounts = tuple(
             (
                 one.process_id, one.tokens, one.last_number,
@@ -52,6 +53,7 @@
 
 
 def copy_account(module: Any, account: Any) -> Any:
+    """Return a copy of an account whose changes don't affect the original."""
     one = account
     return module.Escrow(
         one.name,
@@ -121,6 +123,7 @@
 
 
 def with_message(messages: tuple[LoadMessage, ...], new: LoadMessage) -> tuple[LoadMessage, ...]:
+    """Add a message; of each owner only the last MAX_PENDING are kept."""
     mine = [message for message in messages if message.owner == new.owner][-(MAX_PENDING - 1) :]
     rest = [message for message in messages if message.owner != new.owner]
     return tuple(sorted([*rest, *mine, new], key=lambda message: (message.owner, message.at, repr(message))))
--- a/tests/overload/test_level.py
+++ b/tests/overload/test_level.py
@@ -24,6 +24,7 @@
 
 
 def run_updates(level: Level, pressures: list[float], storm: bool = False, begin: float = 0.0) -> list[float]:
+    """Update the level with each pressure in turn; return the admitted shares."""
     shares = []
     for at, pressure in enumerate(pressures):
         level.update(begin + at * POLL_INTERVAL, pressure, storm)
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -27,6 +27,7 @@
 
 
 async def run_step(rig: Rig, verb: str, *arguments: object) -> None:
+    """Execute one step of a scenario at once."""
     await rig.execute_step(Step(0.0, verb, arguments))
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -50,6 +50,7 @@
         self.open = {"s0", "s1"}
 
     def check(self, actions: list[Action]) -> None:
+        """Check the Controller's actions on one event."""
         own = self.driver.settings
         for action in actions:
             match action:
@@ -116,6 +117,7 @@
 
 
 def step(driver: ControllerDriver, observer: Observer, kind: int, pick: int, share: float) -> None:
+    """Deliver one event, which ``kind`` and ``pick`` choose, and check the actions."""
     live = [ref for ref, call in observer.calls.items() if call.current_server is not None]
     if kind <= 2:
         left = share * 4000.0 - 50.0
@@ -163,6 +165,7 @@
 def finish(
     driver: ControllerDriver, observer: Observer, ref: int, ending: Ending, report: Report | None
 ) -> None:
+    """End the call's attempt and check the actions."""
     call = observer.calls[ref]
     server = call.current_server
     assert server is not None
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -93,6 +93,7 @@
 
 
 def run(text: str) -> list[str]:
+    """Serve these input lines; return the output lines."""
     sink = io.StringIO()
     serve(io.StringIO(text), sink)
     return sink.getvalue().splitlines()
