--- a/tests/lifecycle/test_settings.py
+++ b/tests/lifecycle/test_settings.py
@@ -73,11 +73,11 @@
 
 
 def test_truncated_file_is_rejected(tmp_path: Path) -> None:
-    whole = json.dumps(VALID)
-    for cut in range(len(whole)):
+    text = json.dumps(VALID)
+    for cut in range(len(text)):
         with pytest.raises(ConfigError):
-            load(tmp_path, whole[:cut])
-    assert load(tmp_path, whole).name == "n0"
+            load(tmp_path, text[:cut])
+    assert load(tmp_path, text).name == "n0"
 
 
 def test_duplicate_class_and_empty_class_list(tmp_path: Path) -> None:
--- a/tests/net/test_codec.py
+++ b/tests/net/test_codec.py
@@ -103,12 +103,12 @@
 
 
 def test_complete_messages_are_split_off_also_before_an_invalid_one() -> None:
-    whole = write_message(Type.TEST, bytes(8))
-    received = bytearray(whole + whole[:5])
-    assert list(split(received)) == [whole[2:]] and bytes(received) == whole[:5]
-    received += whole[5:] + b"\xff\xff"
+    message = write_message(Type.TEST, bytes(8))
+    received = bytearray(message + message[:5])
+    assert list(split(received)) == [message[2:]] and bytes(received) == message[:5]
+    received += message[5:] + b"\xff\xff"
     bodies = split(received)
-    assert next(bodies) == whole[2:]
+    assert next(bodies) == message[2:]
     with pytest.raises(CodecError):
         next(bodies)
 
