--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -36,7 +36,7 @@
         self.rng = random.Random(seed)
         self.frame = Frame("scale")
         self.records = [member_record(index) for index in range(1, members + 1)]
-        self.by_incarnation = {record.life: record for record in self.records}
+        self.by_process_id = {record.process_id: record for record in self.records}
         terms = dataclasses.replace(Terms(), max_members=max(Terms().max_members, members + 1))
         own_record = member_record(0)
         self.core = Membership(
@@ -45,7 +45,7 @@
         self.sent_bytes = self.sent_datagrams = 0
         self.now = 0.0
         first = self.records[0]
-        first_sync = Datagram(Kind.MISSING, first, self.core.me.life, 0, members=self.records[1:])
+        first_sync = Datagram(Kind.MISSING, first, self.core.me.process_id, 0, members=self.records[1:])
         self._handle_event(DatagramReceived(first_sync))
 
     def _handle_event(self, event: DatagramReceived | Due) -> None:
@@ -59,10 +59,10 @@
 
     def _acknowledge(self, sent: Send) -> None:
         ping = sent.datagram
-        recipient = self.by_incarnation.get(ping.to)
+        recipient = self.by_process_id.get(ping.to)
         if recipient is not None and ping.kind == Kind.PING:
             self._send_to_member(
-                Datagram(Kind.ACK, recipient, self.core.me.life, int(self.now), ping.stamp, 0, ping.probe)
+                Datagram(Kind.ACK, recipient, self.core.me.process_id, int(self.now), ping.stamp, 0, ping.probe)
             )
 
     def _send_to_member(self, datagram: Datagram) -> None:
@@ -79,13 +79,13 @@
             if self.now - last_probe_at >= self.core.terms.period:
                 last_probe_at = self.now
                 other = self.rng.choice(self.records)
-                self._send_to_member(Datagram(Kind.PING, other, self.core.me.life, int(self.now), probe=1))
+                self._send_to_member(Datagram(Kind.PING, other, self.core.me.process_id, int(self.now), probe=1))
             if self.now - last_sync_at >= self.core.terms.sync_interval:
                 last_sync_at = self.now
                 other = self.rng.choice(self.records)
                 digest = [checksum ^ differing for checksum in self.core._digest()]
                 self._send_to_member(
-                    Datagram(Kind.DIGEST, other, self.core.me.life, int(self.now), digest=digest)
+                    Datagram(Kind.DIGEST, other, self.core.me.process_id, int(self.now), digest=digest)
                 )
 
 
--- a/martentide_lab/fleet/invariants.py
+++ b/martentide_lab/fleet/invariants.py
@@ -52,9 +52,9 @@
 
 @dataclass(slots=True)
 class Process:
-    """What the log says of one incarnation of a process; times in ms of the log."""
+    """What the log says of one process; times in ms of the log."""
 
-    incarnation: int
+    process_id: int
     started_at: float
     stopped_at: float | None = None
     disturbed_at: float = -1e9  # end of the last disturbance
@@ -79,8 +79,8 @@
         self.last_fault_at = 0.0
         self.pending_detections: list[
             tuple[float, str, str, int, float]
-        ] = []  # due, observer, subject, incarnation, ended at
-        self.ended_incarnations: dict[int, float] = {}  # incarnation to the end of its process
+        ] = []  # due, observer, subject, process id, ended at
+        self.ended_process_ids: dict[int, float] = {}  # by process id: end of the process
         self.violations: list[Violation] = []
 
     def check(self, log: Iterable[Event], end: float) -> list[Violation]:
@@ -120,14 +120,14 @@
         if process is None or process.ended_at is not None:
             return
         process.ended_at, process.left = event.at, event.kind == "left"
-        self.ended_incarnations[process.incarnation] = event.at
+        self.ended_process_ids[process.process_id] = event.at
         self.last_fault_at = event.at
         for name in self.names:
             view = self.views[name].get(event.subject)
             if name != event.subject and self._is_running(name) and view is not None and view[1] < State.DEAD:
                 due = event.at + self.bounds.detection
-                if view[0] == process.incarnation:
-                    self.pending_detections.append((due, name, event.subject, process.incarnation, event.at))
+                if view[0] == process.process_id:
+                    self.pending_detections.append((due, name, event.subject, process.process_id, event.at))
 
     def _handle_continue(self, event: Event) -> None:
         process = self.processes.get(event.subject)
@@ -190,21 +190,21 @@
         return not (cut_now or recently_cut or impaired)
 
     def _handle_member(self, event: Event) -> None:
-        observer, subject, state, incarnation = (
+        observer, subject, state, process_id = (
             event.observer,
             event.subject,
             event.fields["state"],
             event.fields["life"],
         )
         old_view = self.views[observer].get(subject)
-        self.views[observer][subject] = (incarnation, state)
+        self.views[observer][subject] = (process_id, state)
         process = self.processes.get(subject)
-        is_running = process is not None and process.incarnation == incarnation and process.ended_at is None
+        is_running = process is not None and process.process_id == process_id and process.ended_at is None
         if state == State.DEAD and is_running:
             undisturbed = self._is_undisturbed(observer, event.at) and self._is_undisturbed(subject, event.at)
             if undisturbed and self._is_reachable(observer, subject, event.at):
                 self._report("not-accused", event, event.fields.get("evidence", ""))
-        ended_at = self.ended_incarnations.get(incarnation)
+        ended_at = self.ended_process_ids.get(process_id)
         late = ended_at is not None and event.at - ended_at > self.bounds.detection
         if (
             late
@@ -223,14 +223,14 @@
 
     def _check_detections(self, now: float) -> None:
         while self.pending_detections and self.pending_detections[0][0] <= now:
-            due, observer_name, subject, incarnation, ended_at = self.pending_detections.pop(0)
+            due, observer_name, subject, process_id, ended_at = self.pending_detections.pop(0)
             observer = self.processes.get(observer_name)
             if observer is None or observer.ended_at is not None or observer.started_at > ended_at:
                 continue
             if observer.stopped_at is not None or observer.disturbed_at > ended_at - self.bounds.settling:
                 continue
             view = self.views[observer_name].get(subject)
-            if view is not None and view[0] == incarnation and view[1] < State.DEAD:
+            if view is not None and view[0] == process_id and view[1] < State.DEAD:
                 text = f"ended at {ended_at / 1000:.3f} s and still held as alive"
                 self.violations.append(Violation("found-dead", due, observer_name, subject, text))
 
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -119,7 +119,7 @@
             sender = records[0] if records[0].name != name else records[1]
             others = [record for record in records if record.name != name]
             self.handle_event(
-                name, DatagramReceived(Datagram(Kind.MISSING, sender, node.core.me.life, 0, members=others))
+                name, DatagramReceived(Datagram(Kind.MISSING, sender, node.core.me.process_id, 0, members=others))
             )
 
     # ---- processes --------------------------------------------------------------------------------------
@@ -136,7 +136,7 @@
         node.core = Membership(
             name, node.zone, node.address, self.seeds, self.terms, self.rng.getrandbits(48), now
         )
-        self._log("started", name, name, life=node.core.me.life)
+        self._log("started", name, name, life=node.core.me.process_id)
         self._schedule_timer(node)
 
     def kill(self, name: str) -> None:
@@ -255,14 +255,14 @@
             case Changed(record, old, by, evidence):
                 self._log(
                     "member", node.name, record.name, state=record.state,
-                    old=None if old is None else int(old), by=by, evidence=evidence, life=record.life,
+                    old=None if old is None else int(old), by=by, evidence=evidence, life=record.process_id,
                 )  # fmt: skip
             case Learned(entry):
                 self._log(
                     "facet", node.name, entry.owner, facet=entry.kind, counter=entry.counter, age=entry.age
                 )
             case Displaced(by):
-                self._log("displaced", node.name, by.name, life=by.life)
+                self._log("displaced", node.name, by.name, life=by.process_id)
             case Stalled(span):
                 self._log("late", node.name, node.name, span=span)
         for observe in self.observers:
--- a/martentide_lab/fleet/simulated_agreement.py
+++ b/martentide_lab/fleet/simulated_agreement.py
@@ -100,7 +100,7 @@
         assert node.core is not None
         self.queued_messages[name] = []
         self.agreements[name] = self.core_type(
-            name, node.core.me.life, self.voters, self.lease_timings, self.rng.getrandbits(48),
+            name, node.core.me.process_id, self.voters, self.lease_timings, self.rng.getrandbits(48),
             node.local_time(self.now), self.disks.get(name),
         )  # fmt: skip
         self._schedule_agreement_timer(name)
--- a/martentide_lab/simulated_site.py
+++ b/martentide_lab/simulated_site.py
@@ -168,7 +168,7 @@
             self.overloads = [
                 overload.Overload(
                     member.name,
-                    member.core.me.life,
+                    member.core.me.process_id,
                     worths,
                     self.settings.max_hold_off,
                     self.controllers[index].tolerable_wait,
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -22,13 +22,14 @@
 from martentide_lab.fleet.scenario import Step
 from martentide_lab.proxy import CLASSES
 from martentide_lab.servers import DRAINING, READY, ReceivedSetUp, SessionServer
-from tests.fleet.support import WAIT_LIMIT_S, play
+from tests.fleet.support import WAIT_LIMIT_S, run_scenario
 
-BOUND = 2_000.0  # ms
+WITHDRAWAL_BOUND_MS = 2_000.0  # after which a withdrawn server must get no new calls
 PROXIES, SERVERS = 5, 2
 
 
 def rules(attempts: int = 5, gone: tuple[str, ...] = ()) -> dict[str, Any]:
+    """Return rules as proposed; servers in ``gone`` are withdrawn."""
     classes = {
         name: {"repeat": "harmless", "deadline_ms": deadline, "pools": None}
         for name, _, _, deadline in CLASSES
@@ -37,19 +38,23 @@
 
 
 async def run_step(rig: Rig, verb: str, *arguments: object) -> None:
+    """Execute one step of a scenario at once."""
     await rig.execute_step(Step(0.0, verb, arguments))
 
 
 async def query_versions(rig: Rig, name: str) -> dict[str, Any]:
+    """Return a member's status of the agreement."""
     found: dict[str, Any] = json.loads(
         await asyncio.to_thread(query, rig.proxies[name].operator_address, VERSIONS)
     )
     return found
 
 
-async def propose_rules(rig: Rig, name: str, wanted: dict[str, Any], base: int = -1) -> dict[str, Any]:
+async def propose_rules(
+    rig: Rig, name: str, proposed_rules: dict[str, Any], base: int = -1
+) -> dict[str, Any]:
     """Propose rules at a member; returns the verdict."""
-    body = {"rules": wanted, "base": base, "by": "a test", "why": "a case"}
+    body = {"rules": proposed_rules, "base": base, "by": "a test", "why": "a case"}
     return await asyncio.to_thread(propose, rig.proxies[name].operator_address, body, WAIT_LIMIT_S)
 
 
@@ -67,22 +72,22 @@
             await asyncio.sleep(0.1)
 
 
-def play_with_version_1(folder: Path, scene: Callable[[Rig], Awaitable[None]], **more: Any) -> None:
-    """Run the scene once version 1 is in force; no invariant may be violated, and no two members may ever act
-    on contradicting versions."""
+def run_with_version_1(folder: Path, scenario: Callable[[Rig], Awaitable[None]], **more: Any) -> None:
+    """Run the scenario once version 1 is in force; no invariant may be violated, and no two members may ever
+    act on contradicting versions."""
 
-    async def whole(rig: Rig) -> None:
+    async def full_scenario(rig: Rig) -> None:
         async with asyncio.timeout(WAIT_LIMIT_S):
             while (await query_versions(rig, "n0"))["acts"] != "own settings":
                 await asyncio.sleep(0.1)
         assert (await propose_rules(rig, "n4", rules()))["done"]
         await wait_until_acting(rig, 1)
-        await scene(rig)
+        await scenario(rig)
 
     extra = {
         f"n{at}": f'agreement {{ voters "n0" "n1" "n2"; folder "{folder}/n{at}" }}' for at in range(PROXIES)
     }
-    play(whole, PROXIES, SERVERS, extra_settings=extra, **more)
+    run_scenario(full_scenario, PROXIES, SERVERS, extra_settings=extra, **more)
 
 
 async def withdraw(rig: Rig, by: str, server: SessionServer) -> float:
@@ -93,26 +98,26 @@
 
 
 def test_a_withdrawn_server_gets_no_new_calls_once_the_version_is_in_force(tmp_path: Path) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         since = await withdraw(rig, "n3", rig.servers[0])
         await wait_until_acting(rig, 2)
         await asyncio.sleep(2.0)
-        assert not check_withdrawn(rig.servers[0], since, BOUND)
+        assert not check_withdrawn(rig.servers[0], since, WITHDRAWAL_BOUND_MS)
         assert len(rig.servers[1].received_set_ups) > 0
         assert (await propose_rules(rig, "n1", rules()))["done"]
         before = len(rig.servers[0].received_set_ups)
         await asyncio.sleep(2.0)
         assert len(rig.servers[0].received_set_ups) > before  # used again
 
-    play_with_version_1(tmp_path, scene)
+    run_with_version_1(tmp_path, scenario)
 
 
 def test_a_partitioned_member_falls_back_to_safe_rules_in_time(tmp_path: Path) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         # Servers, discovery service and callers stay reachable.
         await run_step(rig, "split", "n4", "n0,n1,n2,n3")
         since = await withdraw(rig, "n0", rig.servers[0])
-        await asyncio.sleep(BOUND / 1000.0)
+        await asyncio.sleep(WITHDRAWAL_BOUND_MS / 1000.0)
         assert (await query_versions(rig, "n4"))["acts"] == "safe"
         served = sum(load.answer_counts["answer"] for name, load in rig.all_load_generators if name == "n4")
         await asyncio.sleep(2.0)
@@ -124,12 +129,12 @@
         await wait_until_acting(rig, 2)
         assert since
 
-    play_with_version_1(tmp_path, scene)
+    run_with_version_1(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("after", [0.0, 0.15, 0.4])
 def test_the_leader_is_killed_while_a_version_comes_into_force(tmp_path: Path, after: float) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         leader = (await query_versions(rig, "n4"))["leader"]
         other = next(name for name in ("n3", "n4") if name != leader)
         proposed = asyncio.create_task(propose_rules(rig, other, rules(attempts=1)))
@@ -140,11 +145,11 @@
         await run_step(rig, "start", leader)
         await wait_until_acting(rig, 2)
 
-    play_with_version_1(tmp_path, scene)
+    run_with_version_1(tmp_path, scenario)
 
 
 def test_the_version_in_force_survives_a_restart_of_all(tmp_path: Path) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         names = ",".join(rig.scenario.names())
         await run_step(rig, "kill", names)
         await run_step(rig, "start", names)
@@ -153,11 +158,11 @@
         assert not (await propose_rules(rig, "n4", rules(attempts=2), base=0))["done"]  # stale
         assert (await propose_rules(rig, "n4", rules(attempts=2), base=1))["done"]
 
-    play_with_version_1(tmp_path, scene)
+    run_with_version_1(tmp_path, scenario)
 
 
 def test_a_partition_without_a_majority_of_voters_gets_no_new_version(tmp_path: Path) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         await run_step(rig, "split", "n0,n3", "n1,n2,n4")
         assert (await propose_rules(rig, "n4", rules(attempts=1)))["done"]
         await wait_until_acting(rig, 2, "n1", "n2", "n4")
@@ -169,26 +174,26 @@
         await run_step(rig, "heal")
         await wait_until_acting(rig, 2)
 
-    play_with_version_1(tmp_path, scene)
+    run_with_version_1(tmp_path, scenario)
 
 
 def test_a_process_suspended_for_5_s_does_not_act_on_outdated_rules(tmp_path: Path) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         await run_step(rig, "stop", "n4")
         since = await withdraw(rig, "n0", rig.servers[0])
         await asyncio.sleep(5.0)
-        woken = unix_ms()
+        resumed_at = unix_ms()
         await run_step(rig, "continue", "n4")
         await wait_until_acting(rig, 2)
-        assert not [one for one in rig.servers[0].received_set_ups if one.received_at > woken + 50.0]
-        assert not check_withdrawn(rig.servers[0], since, BOUND)
+        assert not [one for one in rig.servers[0].received_set_ups if one.received_at > resumed_at + 50.0]
+        assert not check_withdrawn(rig.servers[0], since, WITHDRAWAL_BOUND_MS)
 
-    play_with_version_1(tmp_path, scene)
+    run_with_version_1(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("new", ["n1", "n3"])
 def test_a_voter_whose_disk_is_emptied_has_no_vote_until_replaced(tmp_path: Path, new: str) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         await run_step(rig, "kill", "n1")
         for file in (tmp_path / "n1").iterdir():
             file.unlink()
@@ -208,115 +213,118 @@
         assert (await query_versions(rig, new))["votes"]
         assert (await propose_rules(rig, "n1", rules(attempts=2)))["done"]
 
-    play_with_version_1(tmp_path, scene)
+    run_with_version_1(tmp_path, scenario)
 
 
 def test_a_version_is_proposed_and_shown_by_the_command(tmp_path: Path) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         good, bad = tmp_path / "good.json", tmp_path / "bad.json"
         good.write_text(json.dumps(rules(attempts=2)))
         bad.write_text(json.dumps({**rules(), "attempts": "many"}))
-        lacking = tmp_path / "lacking.json"
-        lacking.write_text(json.dumps({**rules(), "classes": {}}))
+        incomplete = tmp_path / "lacking.json"
+        incomplete.write_text(json.dumps({**rules(), "classes": {}}))
         run = CliRunner()
 
-        def called(*arguments: str) -> Any:
+        def run_command(*arguments: str) -> Any:
             return run.invoke(top, ["fleet", *arguments, "--operator", rig.proxies["n3"].operator_address])
 
-        found = await asyncio.to_thread(called, "propose", str(bad))
+        found = await asyncio.to_thread(run_command, "propose", str(bad))
         assert (
             found.exit_code == 2 and "attempts: expected a number from 1 to 100, found 'many'" in found.stderr
         )
-        found = await asyncio.to_thread(called, "propose", str(lacking))
+        found = await asyncio.to_thread(run_command, "propose", str(incomplete))
         assert found.exit_code == 3 and "expected status-check" in found.stderr
-        found = await asyncio.to_thread(called, "propose", str(good), "--why", "month end")
+        found = await asyncio.to_thread(run_command, "propose", str(good), "--why", "month end")
         assert found.exit_code == 0 and "version 2 is in force" in found.stdout
         await wait_until_acting(rig, 2)
-        found = await asyncio.to_thread(called, "versions")
+        found = await asyncio.to_thread(run_command, "versions")
         assert "month end" in found.stdout and "acts by agreed" in found.stdout
-        found = await asyncio.to_thread(called, "diff", "1", "2")
+        found = await asyncio.to_thread(run_command, "diff", "1", "2")
         assert (
             found.exit_code == 1
             and "attempts: 5 -> 2" in found.stdout
             and "more than allowed" in found.stdout
         )
-        found = await asyncio.to_thread(called, "diff", "1", "7")
+        found = await asyncio.to_thread(run_command, "diff", "1", "7")
         assert found.exit_code == 3 and "version 7: expected one whose rules are kept (1, 2)" in found.stderr
-        found = await asyncio.to_thread(called, "rollback", "1")
+        found = await asyncio.to_thread(run_command, "rollback", "1")
         assert found.exit_code == 0 and "version 3 is in force" in found.stdout
         await wait_until_acting(rig, 3)
-        found = await asyncio.to_thread(called, "rules")
+        found = await asyncio.to_thread(run_command, "rules")
         assert json.loads(found.stdout)["attempts"] == 5
         await asyncio.sleep(1.5)  # until every status has been gossiped
-        found = await asyncio.to_thread(called, "status")
+        found = await asyncio.to_thread(run_command, "status")
         assert found.stdout.count("agreed") == PROXIES and found.stdout.startswith("member")
         assert "learns" in versions(json.dumps(await query_versions(rig, "n3")))
 
-    play_with_version_1(tmp_path, scene)
+    run_with_version_1(tmp_path, scenario)
 
 
 def test_a_drain_received_by_one_member_applies_to_all_while_their_discovery_service_is_down(
     tmp_path: Path,
 ) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         others = "n1,n2,n3,n4"
         await run_step(rig, "split", others, "board")
         rig.discovery.publish([(rig.servers[0], DRAINING)])
         since = unix_ms()
         await asyncio.sleep(4.0)
-        assert not check_withdrawn(rig.servers[0], since, BOUND)
+        assert not check_withdrawn(rig.servers[0], since, WITHDRAWAL_BOUND_MS)
         digests = {(await query_versions(rig, name))["list"] for name in rig.proxies}
         assert len(digests) == 1
         await run_step(rig, "heal")
         rig.discovery.publish([(rig.servers[0], READY)])  # moves backwards for the same start: ignored
         await asyncio.sleep(1.0)
-        assert not check_withdrawn(rig.servers[0], since, BOUND)
+        assert not check_withdrawn(rig.servers[0], since, WITHDRAWAL_BOUND_MS)
 
-    play_with_version_1(tmp_path, scene)
+    run_with_version_1(tmp_path, scenario)
 
 
-Steps = list[tuple[Any, ...]]  # s to wait, verb, arguments; "put": propose at that member
+Steps = list[tuple[Any, ...]]  # s to wait, verb, arguments; "propose": at that member
 CASES: dict[str, Steps] = {
-    "stopped for 1 s in the joint phase": [(0.0, "stop", "n4"), (0.0, "put", "n3"), (1.0, "continue", "n4")],
-    "stopped for 3 s in the joint phase": [(0.0, "stop", "n4"), (0.0, "put", "n3"), (3.0, "continue", "n4")],
-    "stopped for 10 s": [(0.0, "stop", "n4"), (0.0, "put", "n3"), (10.0, "continue", "n4")],
-    "one-way cut of a voter": [(0.0, "cut", "n1", "n0,n2,n3,n4"), (0.0, "put", "n3"), (3.0, "heal")],
-    "one-way cut to a voter": [(0.0, "cut", "n0,n2,n3,n4", "n1"), (0.0, "put", "n3"), (3.0, "heal")],
+    "stopped for 1 s in the joint phase": [
+        (0.0, "stop", "n4"), (0.0, "propose", "n3"), (1.0, "continue", "n4")],
+    "stopped for 3 s in the joint phase": [
+        (0.0, "stop", "n4"), (0.0, "propose", "n3"), (3.0, "continue", "n4")],
+    "stopped for 10 s": [(0.0, "stop", "n4"), (0.0, "propose", "n3"), (10.0, "continue", "n4")],
+    "one-way cut of a voter": [(0.0, "cut", "n1", "n0,n2,n3,n4"), (0.0, "propose", "n3"), (3.0, "heal")],
+    "one-way cut to a voter": [(0.0, "cut", "n0,n2,n3,n4", "n1"), (0.0, "propose", "n3"), (3.0, "heal")],
     "upgrade by hand-over in the joint phase": [
-        (0.0, "stop", "n4"), (0.0, "put", "n2"), (0.3, "upgrade", "n0"), (1.0, "upgrade", "n3"),
+        (0.0, "stop", "n4"), (0.0, "propose", "n2"), (0.3, "upgrade", "n0"), (1.0, "upgrade", "n3"),
         (2.0, "continue", "n4")],
-    "clocks that run fast and slow": [(0.0, "pace", "n4", 0.01), (0.0, "put", "n3"), (3.0, "put", "n4")],
+    "clocks that run fast and slow": [
+        (0.0, "pace", "n4", 0.01), (0.0, "propose", "n3"), (3.0, "propose", "n4")],
     "all voters down for 30 s": [
-        (0.0, "kill", "n0,n1,n2"), (30.0, "start", "n0,n1,n2"), (3.0, "put", "n4")],
-    "a disk that is full": [(0.0, "disk", "n1", "full"), (0.0, "put", "n3"), (2.0, "put", "n4")],
+        (0.0, "kill", "n0,n1,n2"), (30.0, "start", "n0,n1,n2"), (3.0, "propose", "n4")],
+    "a disk that is full": [(0.0, "disk", "n1", "full"), (0.0, "propose", "n3"), (2.0, "propose", "n4")],
     "a disk that hangs": [
-        (0.0, "disk", "n1", "hang"), (0.0, "put", "n3"), (3.0, "disk", "n1", ""), (0.0, "put", "n4")],
+        (0.0, "disk", "n1", "hang"), (0.0, "propose", "n3"), (3.0, "disk", "n1", ""), (0.0, "propose", "n4")],
 }  # fmt: skip
-DISK = """
+FAULTY_DISK_CODE = """
 import errno, os, time
 from martentide.net.learned import DiskFolder
 sync, write = DiskFolder.sync, DiskFolder.write
-def slow(self, name):
+def sync_after_hang(self, name):
     while os.path.exists(self.path + "/hang"):
         time.sleep(0.05)
     sync(self, name)
-def full(self, name, data):
+def write_unless_full(self, name, data):
     if os.path.exists(self.path + "/full"):
         raise OSError(errno.ENOSPC, "no space is left")
     write(self, name, data)
-DiskFolder.sync, DiskFolder.write = slow, full
+DiskFolder.sync, DiskFolder.write = sync_after_hang, write_unless_full
 """
 
 
 @pytest.mark.parametrize("case", CASES)
 def test_a_version_comes_into_force_and_nothing_contradicts_it(tmp_path: Path, case: str) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         await run_step(rig, "server", "s1", "error")
-        puts: list[asyncio.Task[dict[str, Any]]] = []
+        proposals: list[asyncio.Task[dict[str, Any]]] = []
         for wait, verb, *arguments in CASES[case]:
             await asyncio.sleep(wait)
-            if verb == "put":
-                puts.append(asyncio.create_task(propose_rules(rig, arguments[0], rules(attempts=1))))
+            if verb == "propose":
+                proposals.append(asyncio.create_task(propose_rules(rig, arguments[0], rules(attempts=1))))
             elif verb == "disk":
                 for word in ("hang", "full"):
                     (tmp_path / arguments[0] / word).unlink(missing_ok=True)
@@ -324,7 +332,7 @@
                     (tmp_path / arguments[0] / arguments[1]).touch()
             else:
                 await run_step(rig, verb, *arguments)
-        verdicts = [await one for one in puts]
+        verdicts = [await one for one in proposals]
         assert verdicts[-1]["done"], verdicts
         await wait_until_acting(rig, max(one["number"] for one in verdicts))
         since = unix_ms()
@@ -332,57 +340,57 @@
         assert not check_attempts(rig.servers, since, unix_ms(), 1, 50.0)
         await run_step(rig, "server", "s1", "well")
 
-    play_with_version_1(tmp_path, scene, mutant=DISK, clock_offsets={"n4": 0.0}, rate=80.0)
+    run_with_version_1(tmp_path, scenario, mutant=FAULTY_DISK_CODE, clock_offsets={"n4": 0.0}, rate=80.0)
 
 
 def test_many_versions_one_in_ten_invalid(tmp_path: Path) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         done = 0
         for at in range(50):
-            wanted = rules(attempts=1 + at % 3)
+            proposed_rules = rules(attempts=1 + at % 3)
             if at % 10 == 9:
-                wanted["classes"]["no-such-class"] = wanted["classes"].pop(CLASSES[0][0])
+                proposed_rules["classes"]["no-such-class"] = proposed_rules["classes"].pop(CLASSES[0][0])
                 with pytest.raises(QueryError, match="expected status-check"):
-                    await propose_rules(rig, f"n{at % PROXIES}", wanted)
+                    await propose_rules(rig, f"n{at % PROXIES}", proposed_rules)
             else:
-                done += (await propose_rules(rig, f"n{at % PROXIES}", wanted))["done"]
+                done += (await propose_rules(rig, f"n{at % PROXIES}", proposed_rules))["done"]
         assert done == 45
         await wait_until_acting(rig, 46)
 
-    play_with_version_1(tmp_path, scene)
+    run_with_version_1(tmp_path, scenario)
 
 
-IGNORED = """
+IGNORED_LEASE_CODE = """
 import martentide.agreement.core as core
 core.Agreement.lease_valid = lambda self, now: True
 core.Agreement._expire_lease = lambda self: None
 """
-NOT_JOINT = """
+NO_JOINT_PHASE_CODE = """
 import martentide.agreement.core as core
 core.Agreement._is_compatible = lambda self, joint: True
 """
-WALL = """
+WALL_CLOCK_CODE = """
 import time
 import martentide.agreement.core as core
-granted = core.Agreement._on_lease_grant
-def by_wall(self, sender, grant):
-    granted(self, sender, grant)
+original = core.Agreement._on_lease_grant
+def on_lease_grant(self, sender, grant):
+    original(self, sender, grant)
     if grant.lease > 0.0:
-        self.wall = time.time() * 1000.0 + grant.lease
-def lapse(self):
+        self.wall_expiry = time.time() * 1000.0 + grant.lease
+def expire_lease(self):
     if self.acting_on is not None and not self.lease_valid(self.now):
         self.acting_on = None
         self._update_rules()
-core.Agreement._on_lease_grant = by_wall
-core.Agreement.lease_valid = lambda self, now: time.time() * 1000.0 < getattr(self, "wall", 0.0)
-core.Agreement._expire_lease = lapse
+core.Agreement._on_lease_grant = on_lease_grant
+core.Agreement.lease_valid = lambda self, now: time.time() * 1000.0 < getattr(self, "wall_expiry", 0.0)
+core.Agreement._expire_lease = expire_lease
 """
 
 
 def test_members_without_agreement_neither_delay_it_nor_are_restricted_by_it(
     tmp_path: Path,
 ) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         named = ("n0", "n1", "n2")
         async with asyncio.timeout(WAIT_LIMIT_S):
             while (await query_versions(rig, "n0"))["acts"] != "own settings":
@@ -403,15 +411,20 @@
 
     extra = {name: f'agreement {{ voters "n0" "n1" "n2"; folder "{tmp_path}/{name}" }}' for name in
              ("n0", "n1", "n2")}  # fmt: skip
-    play(scene, PROXIES, SERVERS, extra_settings=extra)
+    run_scenario(scenario, PROXIES, SERVERS, extra_settings=extra)
 
 
-MUTANTS = {"": "", "lease ignored": IGNORED, "joint phase left out": NOT_JOINT, "wall clock": WALL}
+MUTANTS = {
+    "": "",
+    "lease ignored": IGNORED_LEASE_CODE,
+    "joint phase left out": NO_JOINT_PHASE_CODE,
+    "wall clock": WALL_CLOCK_CODE,
+}
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
 def test_an_injected_fault_is_found_by_the_calls_that_servers_received(tmp_path: Path, mutant: str) -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         await run_step(rig, "server", "s1", "error")  # so that calls are retried where that is allowed
         await run_step(rig, "split", "n4", "n0,n1,n2,n3")
         await run_step(rig, "clock", "n4", -3600.0)
@@ -423,7 +436,7 @@
         await run_step(rig, "heal")
         await wait_until_acting(rig, 2)
 
-    play_with_version_1(tmp_path, scene, mutant=MUTANTS[mutant], clock_offsets={"n4": 0.0}, rate=100.0)
+    run_with_version_1(tmp_path, scenario, mutant=MUTANTS[mutant], clock_offsets={"n4": 0.0}, rate=100.0)
 
 
 @pytest.mark.parametrize(("attempts", "broken"), [(1, False), (2, True)])
@@ -436,8 +449,8 @@
     assert bool(check_attempts([server], 5_000.0, 9_000.0, 1, 100.0)) is broken
 
 
-@pytest.mark.parametrize(("late", "broken"), [(100.0, False), (BOUND + 100.0, True)])
+@pytest.mark.parametrize(("late", "broken"), [(100.0, False), (WITHDRAWAL_BOUND_MS + 100.0, True)])
 def test_the_checker_of_withdrawn_servers_can_fail(late: float, broken: bool) -> None:
     server = SessionServer(0)
     server.received_set_ups.append(ReceivedSetUp(b"", b"", 5_000.0 + late))
-    assert bool(check_withdrawn(server, 5_000.0, BOUND)) is broken
+    assert bool(check_withdrawn(server, 5_000.0, WITHDRAWAL_BOUND_MS)) is broken
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -21,17 +21,22 @@
 
 
 def record(name: str = "b", state: State = State.ALIVE, incarnation: int = 1, **more: object) -> MemberRecord:
-    fields = {"generation": 1, "life": 22, "zone": "z", "host": "127.0.0.1", "port": 7_001, "by": ""} | more
+    """Return a record of another member."""
+    fields = {
+        "generation": 1, "process_id": 22, "zone": "z", "host": "127.0.0.1", "port": 7_001, "by": "",
+    } | more  # fmt: skip
     return MemberRecord(name=name, incarnation=incarnation, state=state, **fields)  # type: ignore[arg-type]
 
 
 def member() -> Membership:
-    return Membership("a", "z", ADDRESS, (), Terms(), 1, 0.0, life=11)
+    """Return the core of a member ``a`` that knows no other."""
+    return Membership("a", "z", ADDRESS, (), Terms(), 1, 0.0, process_id=11)
 
 
 def receive(
     core: Membership, now: float, *records: MemberRecord, sender: MemberRecord | None = None, **more: object
 ) -> list:  # type: ignore[type-arg]
+    """Deliver a gossip datagram with these records; return the actions."""
     datagram = Datagram(Kind.GOSSIP, sender or record(), 11, 0, members=list(records), **more)  # type: ignore[arg-type]
     return core.handle(now, DatagramReceived(datagram))
 
@@ -58,13 +63,13 @@
         (record(state=State.LEFT, incarnation=2), record(incarnation=9), State.LEFT),
         (
             record(state=State.LEFT, incarnation=2),
-            record(state=State.ALIVE, generation=2, life=33),
+            record(state=State.ALIVE, generation=2, process_id=33),
             State.ALIVE,
         ),
-        (record(generation=2, life=33), record(state=State.LEFT, incarnation=9), State.ALIVE),
+        (record(generation=2, process_id=33), record(state=State.LEFT, incarnation=9), State.ALIVE),
         (
             record(),
-            record(state=State.DEAD, life=44, by="c"),
+            record(state=State.DEAD, process_id=44, by="c"),
             State.ALIVE,
         ),  # another instance of that generation
     ],
@@ -73,25 +78,25 @@
     known: MemberRecord, received: MemberRecord, expected: State
 ) -> None:
     core = member()
-    receive(core, 1.0, sender=record("c", life=99, port=7_003))
-    receive(core, 2.0, record("b"), sender=record("c", life=99, port=7_003))
-    receive(core, 3.0, known, sender=record("c", life=99, port=7_003))
-    receive(core, 4.0, received, sender=record("c", life=99, port=7_003))
+    receive(core, 1.0, sender=record("c", process_id=99, port=7_003))
+    receive(core, 2.0, record("b"), sender=record("c", process_id=99, port=7_003))
+    receive(core, 3.0, known, sender=record("c", process_id=99, port=7_003))
+    receive(core, 4.0, received, sender=record("c", process_id=99, port=7_003))
     assert core.members["b"].state is expected
 
 
 def test_an_unknown_member_is_not_added_as_suspect_dead_or_left() -> None:
     core = member()
     for state in (State.SUSPECT, State.DEAD, State.LEFT):
-        receive(core, 1.0, record("d", state, life=55, by="c"))
+        receive(core, 1.0, record("d", state, process_id=55, by="c"))
     assert "d" not in core.members
 
 
 def test_a_member_refutes_its_suspicion_and_starts_a_generation_above_an_earlier_instance() -> None:
     core = member()
-    receive(core, 1.0, record("a", State.SUSPECT, 4, life=11, by="b", port=ADDRESS[1]))
+    receive(core, 1.0, record("a", State.SUSPECT, 4, process_id=11, by="b", port=ADDRESS[1]))
     assert (core.me.incarnation, core.me.state, core.health_multiplier) == (5, State.ALIVE, 1)
-    receive(core, 2.0, record("a", State.DEAD, 7, life=10, generation=6, port=ADDRESS[1]))
+    receive(core, 2.0, record("a", State.DEAD, 7, process_id=10, generation=6, port=ADDRESS[1]))
     assert (core.me.generation, core.me.incarnation) == (7, 1)
 
 
@@ -112,6 +117,7 @@
 def receive_entry(
     core: Membership, now: float, entry: StateEntry, echo: int, echo_delay: int = 0
 ) -> list[Learned]:
+    """Deliver a gossip datagram with one state entry; return what was learned from it."""
     datagram = Datagram(Kind.GOSSIP, record(), 11, 0, echo, echo_delay, entries=[entry])
     while core.due < now:  # so that the elapsed time isn't taken for a stall
         core.handle(core.due, Due())
@@ -124,7 +130,7 @@
     fleet = SimulatedFleet(5, seed)
     rng = random.Random(seed)
     fleet.network.set_all_links(delay=5.0, jitter=rng.choice([10.0, 900.0, 4_000.0]), duplicate=0.2, loss=0.1)
-    born: dict[tuple[str, int], float] = {}
+    published_at: dict[tuple[str, int], float] = {}
     for name in fleet.members:
         fleet.start(name)
     for _ in range(12):
@@ -133,7 +139,7 @@
         core = fleet.members[name].core
         if core is not None and not fleet.members[name].stopped:
             fleet.publish(name, 3, b"v", max_age=60_000)
-            born[(name, core.own_entries[3].entry.counter)] = fleet.now
+            published_at[(name, core.own_entries[3].entry.counter)] = fleet.now
         one = rng.choice(list(fleet.members))
         (fleet.resume if fleet.members[one].stopped else fleet.stop)(one)
     for name in fleet.members:
@@ -144,7 +150,7 @@
         assert node.core is not None
         for owner, entry, age in node.core.state_entries_of(3, node.local_time(fleet.now)):
             received += 1
-            assert age >= fleet.now - born[(owner.name, entry.counter)] - 1.0
+            assert age >= fleet.now - published_at[(owner.name, entry.counter)] - 1.0
     assert received or fleet.network.base.jitter > 1_000.0
 
 
@@ -164,11 +170,11 @@
 def test_tables_are_bounded() -> None:
     core = Membership("a", "z", ADDRESS, (), Terms(max_members=10, max_former_addresses=5), 1, 0.0)
     for index in range(50):
-        receive(core, 1.0, sender=record(f"m{index}", life=100 + index, port=8_000 + index))
+        receive(core, 1.0, sender=record(f"m{index}", process_id=100 + index, port=8_000 + index))
     assert len(core.members) == 10 and core.counts["no-room"] == 40
     for kind in range(30):
         datagram = Datagram(
-            Kind.GOSSIP, record("m0", life=100, port=8_000), core.me.life, 0, 0, 0,
+            Kind.GOSSIP, record("m0", process_id=100, port=8_000), core.me.process_id, 0, 0, 0,
             entries=[StateEntry("m0", 1, 100, kind, 1, 1, 0, 9_000, b"x")],
         )  # fmt: skip
         core.handle(1.0, DatagramReceived(datagram))
@@ -179,7 +185,7 @@
 
 def test_a_member_discards_its_table_after_a_long_stall() -> None:
     core = member()
-    receive(core, 1.0, record("c", life=33, port=7_003))
+    receive(core, 1.0, record("c", process_id=33, port=7_003))
     core.handle(core.due + 100_000.0, Due())
     assert not core.members and core.joining and core.former_addresses
 
@@ -228,7 +234,9 @@
     """Faulty merge: also queues a record by which ``n0`` later resurrects a dead member."""
     result = ORIGINAL_APPLY_NEWER_RECORD(self, known, received, by, direct)  # type: ignore[arg-type]
     if self.me.name == "n0" and received.state == State.DEAD:
-        resurrected = record(received.name, State.ALIVE, 99, life=received.life, port=received.port)
+        resurrected = record(
+            received.name, State.ALIVE, 99, process_id=received.process_id, port=received.port
+        )
         self.members[received.name].since = -1e9
         PENDING.append((self, resurrected))
     return result
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -27,7 +27,7 @@
 from tests.support import SETTINGS, entry
 
 QUICK = Pace(period=20.0, gap=5.0, hung=60.0, first_retry=10.0)
-LIMIT = 15.0
+TIMEOUT_S = 15.0
 
 
 class IdleServer:
@@ -48,17 +48,21 @@
         self.last_wait = 0.0
 
     def change_state(self) -> None:
+        """Change a wait, so that there is something to save."""
         self.last_wait += 1.0
         self.dispatcher.controller.servers["s0"].wait = self.last_wait
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(LIMIT):
+        """Keep changing the state until the condition holds."""
+        async with asyncio.timeout(TIMEOUT_S):
             while not condition():
                 self.change_state()
                 await asyncio.sleep(0.005)
 
 
 def run_scenario(folder: Path, scenario: Callable[[StoreFixture], Awaitable[None]], servers: int = 2) -> None:
+    """Run the scenario with a running store."""
+
     async def run() -> None:
         fixture = StoreFixture(folder, servers)
         await fixture.store.start()
@@ -76,6 +80,7 @@
 
 
 def saved_wait(folder: Path) -> float:
+    """Return the wait that the file holds for the first server."""
     learned = read_state((folder / STATE).read_bytes(), fingerprint(SETTINGS))
     return next(server.wait for server in learned.servers if server.name == "s0")
 
@@ -96,7 +101,7 @@
 def test_unchanged_state_is_not_written_again(tmp_path: Path) -> None:
     async def scenario(fixture: StoreFixture) -> None:
         await fixture.until(lambda: fixture.store.save_count >= 1)
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT_S):
             await fixture.store.idle.wait()
         before = fixture.store.snapshots.sequence
         while fixture.store.snapshots.sequence < before + 4:
@@ -136,7 +141,7 @@
     real = os.fsync
 
     def hang(fd: int) -> None:
-        free.wait(LIMIT)
+        free.wait(TIMEOUT_S)
         real(fd)
 
     async def scenario(fixture: StoreFixture) -> None:
@@ -158,7 +163,7 @@
     real = os.makedirs
 
     def hang(path: str, mode: int = 0o777, exist_ok: bool = False) -> None:
-        free.wait(LIMIT)
+        free.wait(TIMEOUT_S)
         real(path, mode, exist_ok)
 
     monkeypatch.setattr("martentide.net.learned.os.makedirs", hang)
@@ -219,21 +224,24 @@
 def run_program(
     scenario: Callable[[ProxyProcess, list[SessionServer]], Awaitable[None]], extras: str
 ) -> None:
+    """Run the scenario with a proxy process and two session servers."""
+
     async def run() -> None:
-        servers, board = [SessionServer(number) for number in range(2)], DiscoveryServer()
+        servers, discovery = [SessionServer(number) for number in range(2)], DiscoveryServer()
         for server in servers:
             await server.start()
-        await board.start()
-        async with asyncio.timeout(40), ProxyProcess(board, servers, extras) as proxy:
+        await discovery.start()
+        async with asyncio.timeout(40), ProxyProcess(discovery, servers, extras) as proxy:
             await scenario(proxy, servers)
         for server in servers:
             await server.stop()
-        await board.stop()
+        await discovery.stop()
 
     asyncio.run(run())
 
 
 def extras_text(folder: Path) -> str:
+    """Return an extras file that saves the state every 50 ms."""
     return f'learned-state {{\n folder "{folder}"\n times period-ms=50 gap-ms=10\n}}\n'
 
 
--- a/tests/overload/test_core.py
+++ b/tests/overload/test_core.py
@@ -43,10 +43,12 @@
 
 
 def member(name: str = "m0") -> Overload:
+    """Return the overload control of one of the LIVING members."""
     return Overload(name, LIVING[name], WORTHS, 2_000.0, 600.0, seed=1)
 
 
 def load_message(hold: float, lasting: float = 1.0, servers: list[str] = SERVERS, **more: object) -> Load:
+    """Return another member's message in which each server requests ``hold`` to be held back."""
     pressed = [ServerPressure(name, round(1_000 * hold), 1) for name in servers]
     return Load(round(1_000 * lasting), 0, 0, 0, {"status": 900, "sign": 100}, pressed, **more)  # type: ignore[arg-type]
 
@@ -63,6 +65,7 @@
     def poll(
         self, messages: dict[str, Load] | None = None, allotment: float = ALLOTMENT, after: float = 250.0
     ) -> None:
+        """Advance the clock by ``after`` ms and poll with these messages by sender."""
         self.now += after
         self.counter += 1
         received = [(name, LIVING[name], self.counter, load, 50.0) for name, load in (messages or {}).items()]
@@ -120,17 +123,17 @@
     assert overload.own_claims["s1"][0] == 0.0
 
 
-@pytest.mark.parametrize("lie", [0.0, 1.0])
-def test_false_claim_shifts_hold_back_by_a_bounded_amount(lie: float) -> None:
-    truth = 0.4
+@pytest.mark.parametrize("false_claim", [0.0, 1.0])
+def test_false_claim_shifts_hold_back_by_a_bounded_amount(false_claim: float) -> None:
+    true_share = 0.4
     driver = Driver(member())
     for _ in range(20):
-        others = {f"m{at}": load_message(truth) for at in (1, 2, 3)}
-        late = [ServerPressure(name, round(1_000 * lie), 0) for name in SERVERS]
-        faulty = Load(round(1_000 * (1.0 - lie)), 0, 0, 0, {}, late)
+        others = {f"m{at}": load_message(true_share) for at in (1, 2, 3)}
+        late = [ServerPressure(name, round(1_000 * false_claim), 0) for name in SERVERS]
+        faulty = Load(round(1_000 * (1.0 - false_claim)), 0, 0, 0, {}, late)
         driver.poll({**others, "m4": faulty})
     held = [hold for hold, _ in driver.overload.hold_backs.values()]
-    assert held and all(abs(hold - truth) <= MAX_CLAIM_DEVIATION + 1e-9 for hold in held)
+    assert held and all(abs(hold - true_share) <= MAX_CLAIM_DEVIATION + 1e-9 for hold in held)
 
 
 def test_received_claims_are_not_republished() -> None:
@@ -186,7 +189,7 @@
     for _ in range(4):
         rich.poll({"m1": load_message(0.0, tokens_wanted=2)})
     transfers_sent = rich.overload.escrow.pending_transfers(rich.now)
-    assert transfers_sent and transfers_sent[0].to == "m1" and transfers_sent[0].life == LIVING["m1"]
+    assert transfers_sent and transfers_sent[0].to == "m1" and transfers_sent[0].process_id == LIVING["m1"]
     message = load_message(0.0, transfers=transfers_sent)
     for _ in range(3):
         poor.poll({"m0": message}, allotment=0.0)
@@ -249,8 +252,11 @@
 def test_decisions_never_get_more_tokens_than_first_tries_earned(seed: int) -> None:
     """Four members with lost, duplicated, late and reordered messages, suspensions and restarts."""
     rng = random.Random(seed)
-    members = [Overload(name, life, WORTHS, 2_000.0, 600.0, seed) for name, life in list(LIVING.items())[:4]]
-    lives = dict(list(LIVING.items())[:4])
+    members = [
+        Overload(name, process_id, WORTHS, 2_000.0, 600.0, seed)
+        for name, process_id in list(LIVING.items())[:4]
+    ]
+    process_ids = dict(list(LIVING.items())[:4])
     history: list[tuple[float, str, int, int, Load]] = []
     now, tries, granted, counter = 0.0, 0, 0.0, 0
     for _ in range(400):
@@ -258,26 +264,28 @@
         at = rng.randrange(4)
         overload = members[at]
         if rng.random() < 0.02:
-            lives[overload.name] += 100
+            process_ids[overload.name] += 100
             overload = members[at] = Overload(
-                overload.name, lives[overload.name], WORTHS, 2_000.0, 600.0, seed
+                overload.name, process_ids[overload.name], WORTHS, 2_000.0, 600.0, seed
             )
         for _ in range(rng.choice([0, 0, 5, 30])):
             number = f"{rng.getrandbits(40)}"
             overload.observe(now, SetUpOffered(1, "status", None, number, 3_000.0, -1, False, False))
             tries += 1
         received = [
-            (owner, life, number, load, now - when)
-            for when, owner, life, number, load in rng.sample(history, min(len(history), rng.randrange(4)))
+            (owner, process_id, number, load, now - when)
+            for when, owner, process_id, number, load in rng.sample(
+                history, min(len(history), rng.randrange(4))
+            )
             if owner != overload.name and now - when < LOAD_EXPIRY
         ]
-        outcome = overload.poll(now, SERVERS, received, lives, float(rng.choice([0, 0, ALLOTMENT])))
+        outcome = overload.poll(now, SERVERS, received, process_ids, float(rng.choice([0, 0, ALLOTMENT])))
         granted += sum(event.tokens for event in outcome.events if isinstance(event, RepeatBudget))
         if outcome.message is not None:
             counter += 1
             history = [
                 *history[-20:],
-                (now, overload.name, lives[overload.name], counter, read_load(outcome.message)),
+                (now, overload.name, process_ids[overload.name], counter, read_load(outcome.message)),
             ]
         assert granted <= RETRY_RATIO * tries + 1e-9
     assert granted > 0
