--- a/martentide_lab/simulated_site.py
+++ b/martentide_lab/simulated_site.py
@@ -289,8 +289,9 @@
             match action:
                 case SetTimer(token, delay):
                     self.schedule_at(
-                        self.now + delay, lambda token=token: self._timer(index, incarnation, token)
-                    )  # type: ignore[misc]
+                        self.now + delay,
+                        lambda token=token: self._timer(index, incarnation, token),  # type: ignore[misc]
+                    )
                 case SendSetUp():
                     self._send(index, action)
                 case Refuse() | Fail():
@@ -301,9 +302,7 @@
                     if (ref, attempt) in self.outstanding_attempts:
                         self.schedule_at(
                             self.now,
-                            lambda ref=ref, attempt=attempt: self._end_attempt(  # type: ignore[misc]
-                                ref, attempt, Ending.CANCELLED
-                            ),
+                            lambda ref=ref, number=attempt: self._end_attempt(ref, number, Ending.CANCELLED),  # type: ignore[misc]
                         )
                 case Probe(name):
                     self._probe(index, name)
