--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -85,7 +85,9 @@
 @click.option("--short", is_flag=True)
 def config_command(sizes: str, short: bool) -> None:
     """Measure what the leader of the agreement sends at one rule change per second."""
-    rows: list[Row] = [run_simulated(count, VOTERS, 1) for count in ([9, 25] if short else parse_sizes(sizes))]
+    rows: list[Row] = [
+        run_simulated(count, VOTERS, 1) for count in ([9, 25] if short else parse_sizes(sizes))
+    ]
     print_rows(rows)
     if short:
         check(all(not row["broken"] for row in rows), "an invariant of the agreement is broken")
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -62,7 +62,9 @@
         recipient = self.by_process_id.get(ping.to)
         if recipient is not None and ping.kind == Kind.PING:
             self._send_to_member(
-                Datagram(Kind.ACK, recipient, self.core.me.process_id, int(self.now), ping.stamp, 0, ping.probe)
+                Datagram(
+                    Kind.ACK, recipient, self.core.me.process_id, int(self.now), ping.stamp, 0, ping.probe
+                )
             )
 
     def _send_to_member(self, datagram: Datagram) -> None:
@@ -79,7 +81,9 @@
             if self.now - last_probe_at >= self.core.terms.period:
                 last_probe_at = self.now
                 other = self.rng.choice(self.records)
-                self._send_to_member(Datagram(Kind.PING, other, self.core.me.process_id, int(self.now), probe=1))
+                self._send_to_member(
+                    Datagram(Kind.PING, other, self.core.me.process_id, int(self.now), probe=1)
+                )
             if self.now - last_sync_at >= self.core.terms.sync_interval:
                 last_sync_at = self.now
                 other = self.rng.choice(self.records)
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -119,7 +119,8 @@
             sender = records[0] if records[0].name != name else records[1]
             others = [record for record in records if record.name != name]
             self.handle_event(
-                name, DatagramReceived(Datagram(Kind.MISSING, sender, node.core.me.process_id, 0, members=others))
+                name,
+                DatagramReceived(Datagram(Kind.MISSING, sender, node.core.me.process_id, 0, members=others)),
             )
 
     # ---- processes --------------------------------------------------------------------------------------
