--- a/benchmarks/scale/fits.py
+++ b/benchmarks/scale/fits.py
@@ -46,5 +46,5 @@
             sum(residual * residual for residual in residuals) / (count - 2) / sum_squares_x
         )
         slope_error = T_QUANTILE_95.get(count - 2, T_QUANTILE_95_LARGE) * deviation
-    largest = max(range(count), key=lambda index: quantities[index])
-    return Fit(intercept, slope, slope_error, residuals[largest], quantities[largest])
+    largest_index = max(range(count), key=lambda index: quantities[index])
+    return Fit(intercept, slope, slope_error, residuals[largest_index], quantities[largest_index])
--- a/martentide_lab/control/simulated.py
+++ b/martentide_lab/control/simulated.py
@@ -74,7 +74,10 @@
 
 
 class SimulatedTier:
-    """Control nodes and proxies of a layout; ``start`` starts all of them."""
+    """Control nodes and proxies of a layout; ``start`` starts all of them.
+
+    ``loaded_share`` is the share of the services whose proxies change their pressure at random.
+    """
 
     def __init__(
         self,
@@ -84,7 +87,6 @@
         base_link: Link | None = None,
         loaded_share: float = 0.1,
     ) -> None:
-        # loaded_share: share of the services whose proxies change their pressure
         self.layout, self.terms = layout, terms or ControlTerms()
         self.rng = random.Random(seed)
         self.fleet = SimulatedFleet(layout.nodes, seed, base=base_link, name="control")
