--- a/martentide_lab/call_ledger.py
+++ b/martentide_lab/call_ledger.py
@@ -64,7 +64,10 @@
             entry.final_answers += 1
 
     def expire(self, call: bytes) -> bool:
-        """Record that the caller's time is over; return True if there was no final answer."""
+        """Record that the caller's time is over; return True if the call had no final answer.
+
+        Return False for an answered call and for one that is no longer remembered.
+        """
         entry = self.entries.get(call)
         if entry is None or entry.final_answers:
             return False
--- a/martentide_lab/callers.py
+++ b/martentide_lab/callers.py
@@ -1,4 +1,4 @@
-"""A load generator for callers: offers calls in the platform's protocol and releases standing calls.
+"""A load generator in the role of callers: offers calls in the platform's protocol and releases them.
 
 Each call is recorded in a ledger, which checks that it gets one final answer while the caller waits. When
 its time is over, the caller gives up the call, as the platform's callers do.
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class RedialedCall:
-    """A call with its redials, whose worth counts once; times in ms of the event loop's clock."""
+    """A call with its redials, counted once for its worth; times in ms of the event loop's clock."""
 
     class_name: str
     number: bytes
@@ -66,7 +66,7 @@
         self.answer_counts: Counter[str] = Counter()
         self.calls: OrderedDict[bytes, OfferedCall] = OrderedDict()
         self.ledger = CallLedger()
-        self.closed_at: float | None = None  # when the proxy closed the connection, in ms
+        self.closed_at: float | None = None  # ms; when the connection ended or was closed by the proxy
         self.writer: asyncio.StreamWriter | None = None
         self.loop = asyncio.get_running_loop()
 
--- a/martentide_lab/checker.py
+++ b/martentide_lab/checker.py
@@ -1,4 +1,4 @@
-"""Checks the external processor against its protocol and the set-ups that the session servers received.
+"""Checks the rules of the external processor on its messages and on the set-ups at the session servers.
 
 It uses no state of the product: it reads the messages that a front sent and received (the tap of ``Client``)
 and the records of the test servers, and counts violations.
--- a/martentide_lab/control/invariants.py
+++ b/martentide_lab/control/invariants.py
@@ -1,5 +1,7 @@
 """Invariants of the control tier: what proxies hold, compared with which processes are in fact running.
 
+Each name stands here with the condition that violates the invariant.
+
 ``held-dead``: a subscriber lacks a running member of its own region for longer than ``detection``, although
 no fault affects either of them. ``held-alive``: a subscriber still holds a member that ended longer ago than
 ``detection``. ``past-end``: a proxy uses state that was last confirmed longer ago than its lifetime.
@@ -22,11 +24,13 @@
     """Limits of the invariants; times are in ms."""
 
     detection: float = 6_000.0  # until the end or the start of a member is known
-    settling: float = 10_000.0  # after a fault; before that, the affected proxies and nodes are not checked
+    # After a fault, before the load and what proxies hold are checked; for a proxy also after its start or
+    # its latest lease.
+    settling: float = 10_000.0
     bytes_per_second: int = 2_000  # of one proxy, both directions
-    load_bound: float = 1.25  # leases of one node, relative to the mean of its region
-    leases_per_incarnation: int = 12  # per run; a proxy with more of them is flapping
-    return_home: float = 14_000.0  # after a fault, until proxies are back at nodes of their region
+    load_bound: float = 1.25  # leases of one node, relative to the mean of its region; see ``min_bound``
+    leases_per_incarnation: int = 12  # mean over a run; a proxy with more is flapping
+    return_home: float = 14_000.0  # after a fault or its start, until a proxy is at a node of its region
 
 
 @dataclass(frozen=True, slots=True)
--- a/martentide_lab/control/processes.py
+++ b/martentide_lab/control/processes.py
@@ -21,7 +21,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return currently free UDP ports of loopback. Nodes must know each other's ports before they start."""
+    """Return UDP ports of loopback that were free just now; they are not reserved.
+
+    Nodes must know each other's ports before they start.
+    """
     with ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket(type=socket.SOCK_DGRAM)) for _ in range(count)]
         for udp_socket in sockets:
@@ -52,7 +55,7 @@
         )
 
     async def start(self, name: str) -> None:
-        """Start a node and wait until it serves; raises RuntimeError if it ends before that."""
+        """Start a node and wait until it serves; raises RuntimeError if it ends before, or TimeoutError."""
         extras_path = self.folder / f"{name}.kdl"
         extras_path.write_text(
             f'control-node {{\n fleet "{FLEET_NAME}"\n name "{name}"\n '
--- a/martentide_lab/control/simulated.py
+++ b/martentide_lab/control/simulated.py
@@ -52,8 +52,8 @@
     client: ControlClient | None = None
     incarnations: int = 0
     changed_at: float = 0.0  # start of the running incarnation, or end of the last one
-    capacity: int = 100
-    pressure: int = 0  # thousandths
+    capacity: int = 100  # set-ups a second
+    pressure: int = 0  # thousandths of the calls to be held back
     bytes_in: int = 0
     bytes_out: int = 0
     recent_datagrams: deque[tuple[float, int]] = field(default_factory=deque)  # time and bytes of each
@@ -61,7 +61,7 @@
     max_bytes_per_second: int = 0
     attached_at: float | None = None
     received_at: float = 0.0  # last datagram of any node
-    isolations: int = 0
+    isolations: int = 0  # times that the client became isolated
     lease_count: int = 0  # leases granted, over all incarnations
 
     def count_bytes(self, now: float, size: int) -> None:
@@ -202,7 +202,7 @@
             self.fleet.schedule(due - self.now, lambda: self._run_proxy_timers(proxy, core))
 
     def _report_own_state(self, proxy: SimulatedProxy) -> None:
-        """Pass capacity and pressure to the client; under load, pressure changes by a random step first."""
+        """Pass capacity and pressure to the client; in a loaded service, change pressure at random first."""
         if proxy.info.service in self.loaded_services:
             pressure = proxy.pressure + self.rng.randrange(-150, 151)
             proxy.pressure = min(900, max(0, pressure))
--- a/martentide_lab/fronts.py
+++ b/martentide_lab/fronts.py
@@ -161,7 +161,7 @@
         self.stream = method()
 
     async def hello(self, front: str = "raw", session: bytes = b"") -> pb.Welcome:
-        """Open a stream, send the hello and return the welcome."""
+        """Open a stream, send the hello and return the welcome; messages of the server list are dropped."""
         await self.open()
         await self.send(pb.FrontMessage(hello=pb.Hello(front=front, session=session)))
         message = await self.next()
@@ -201,7 +201,8 @@
     async def next(self, *kinds: str) -> pb.ProxyMessage:
         """Return the next message of one of these kinds; without kinds, of any kind but ``server``.
 
-        Other messages are dropped. Raises EOFError at the end of the stream and TimeoutError after 15 s.
+        Other messages are dropped. Raises EOFError at the end of the stream and TimeoutError after
+        15 s without a frame.
         """
         while True:
             while self.received_messages:
--- a/martentide_lab/load_model.py
+++ b/martentide_lab/load_model.py
@@ -7,10 +7,12 @@
 MAX_QUEUE_WAIT_MS = 2_500.0  # longest wait in a server's queue; beyond it a set-up is refused
 REFUSAL_COST = 0.2  # processing cost of a refusal, as a fraction of that of a set-up
 REPORT_INTERVAL_MS = 300.0  # time between two updates of the share in a server's report
-# The share to be held back is 0 up to the threshold and reaches 1 after a further range of queue wait.
+# The share to be held back is 0 up to the threshold of queue wait. It then grows linearly, by 1 per range,
+# up to ``MAX_HOLD_BACK_SHARE``.
 HOLD_BACK_THRESHOLD_MS, HOLD_BACK_RANGE_MS = 100.0, 500.0
 MAX_HOLD_BACK_SHARE = 0.95  # largest share that a server asks to be held back
-REDIAL_BACKOFF_MS = 950.0  # before the first redial, doubled for each further one; site: 470 to 1,500
+# Wait before the first redial, doubled for each further one; the range at the site is 470 to 1,500 ms.
+REDIAL_BACKOFF_MS = 950.0
 HOLD_OFF_COMPLIANCE = 0.7  # share of callers that respect the hold-off time of a refusal
 
 
--- a/martentide_lab/proxy.py
+++ b/martentide_lab/proxy.py
@@ -114,7 +114,11 @@
             (self.folder / "extras.kdl").write_text(extras)
 
     async def start(self) -> None:
-        """Start the process and wait until it serves; raise RuntimeError if it ends before."""
+        """Start the process and wait until it serves.
+
+        Raises RuntimeError if it ends before, and TimeoutError if a line of the start takes longer than
+        ``START_TIMEOUT_S``.
+        """
         endpoints = [endpoint(server, self.address_overrides.get(server.name)) for server in self.servers]
         config = {
             "name": self.name, "listen": self.listen, "seed": f"{zlib.crc32(self.name.encode()):016x}",
@@ -174,7 +178,7 @@
                 self.on_log_line(self, text)
 
     async def wait_for_log_line(self, substring: str, after: int = 0) -> str:
-        """Wait for a log line that contains ``substring`` and return it; ``after`` skips that many lines.
+        """Wait for a log line with ``substring``; return the first one after the first ``after`` lines.
 
         Raises TimeoutError after ``START_TIMEOUT_S`` and RuntimeError if the process has ended.
         """
@@ -194,7 +198,7 @@
         self.process.send_signal(number)
 
     async def wait_until_ended(self) -> int:
-        """Wait for the end of the process and return its exit code."""
+        """Wait for the end of the process and return its exit code; raises TimeoutError."""
         assert self.process is not None
         async with asyncio.timeout(START_TIMEOUT_S):
             return await self.process.wait()
--- a/martentide_lab/servers.py
+++ b/martentide_lab/servers.py
@@ -86,7 +86,7 @@
         self.port = 0
         self.rng = random.Random(self.number)
         self.stalled_until = self.busy_until = self.reported_at = 0.0
-        self.reported_share = 0.0  # share to be held back in the latest report
+        self.reported_share = 0.0  # share to be held back, as of its latest update
         self.pending_set_ups: dict[bytes, ReceivedSetUp] = {}
         self.standing: dict[bytes, asyncio.StreamWriter] = {}
         self.writers: set[asyncio.StreamWriter] = set()
@@ -248,7 +248,10 @@
             self.server.close()
 
     def publish(self, servers: Iterable[tuple[SessionServer, int]], started: int = 0) -> None:
-        """Publish one update with servers and their states; ``started`` is their start time in Unix ms."""
+        """Publish one update with servers and their states.
+
+        ``started`` is their start time in Unix ms; 0 means unknown.
+        """
         revision = self.base_revision + len(self.frames) + 1
         local = socket.inet_aton("127.0.0.1")
         body = FRAME.pack(revision, 2)
--- a/martentide_lab/simulated_site.py
+++ b/martentide_lab/simulated_site.py
@@ -56,7 +56,7 @@
 MAX_REDIALS = 3
 OTHER_PROXY_SHARE = 0.1  # share of redials to a randomly chosen proxy instead of the home proxy
 PROBE_TIMEOUT_MS = 1_000.0  # time after which a health check counts as unanswered
-ASSIGNMENT_INTERVAL_MS = 250.0  # time between two polls of a member's health-check assignment
+ASSIGNMENT_INTERVAL_MS = 250.0  # between two polls of a member's health-check assignment and overload
 
 
 @dataclass
@@ -129,7 +129,7 @@
         self.outstanding_attempts: dict[tuple[int, int], tuple[int, str, float]] = {}
         self.attempt_counts: Counter[int] = Counter()
         self.sent_set_ups: list[tuple[float, str]] = []
-        self.incarnations = [0] * proxy_count
+        self.incarnations = [0] * proxy_count  # restarts of each proxy
         self.fleet: SimulatedFleet | None = None
         self.assignments: list[HealthCheckAssignment] = []
         self.overloads: list[overload.Overload] = []
@@ -274,7 +274,10 @@
             )
 
     def handle_event(self, index: int, event: Event) -> None:
-        """Pass an event to a proxy's Controller, execute its actions and update the fleet's components."""
+        """Pass an event to a proxy's Controller and execute the actions that it returns.
+
+        If the proxy is in a fleet, its overload control and its health-check assignment observe the event.
+        """
         controller = self.controllers[index]
         self._execute_actions(index, controller.handle(self.now, event))
         if self.overloads:
@@ -434,7 +437,11 @@
     # ---- results ------------------------------------------------------------------------------------------
 
     def served_share(self, begin: float, end: float) -> float:
-        """Return the share of the offered worth that stood within the aim, of calls started in the span."""
+        """Return the share of worth served, of the calls with a first try between ``begin`` and ``end``.
+
+        A call is served if it stands within its class's aim, counted from the first try. The share is 1 if
+        there are no calls.
+        """
         served_worth = offered_worth = 0.0
         for call in self.calls:
             if begin <= call.started_at < end:
@@ -463,7 +470,10 @@
             )
 
     def cold_start_load_beyond_chance(self, server: SimulatedServer) -> float:
-        """Return the highest load relative to the allowed one plus two standard deviations plus 2."""
+        """Return the highest load relative to the allowed one plus two standard deviations plus 2.
+
+        The limit is 1.
+        """
         windows = self._cold_windows(server)
         return max(
             (count / (allowed + 2.0 * math.sqrt(allowed) + 2.0) for count, allowed in windows), default=0.0
