--- a/martentide_lab/callers.py
+++ b/martentide_lab/callers.py
@@ -1,4 +1,4 @@
-"""A load generator in the role of callers: offers calls in the platform's protocol and releases them.
+"""A load generator in the role of callers: offers calls by the platform's protocol, releases standing ones.
 
 Each call is recorded in a ledger, which checks that it gets one final answer while the caller waits. When
 its time is over, the caller gives up the call, as the platform's callers do.
--- a/martentide_lab/control/invariants.py
+++ b/martentide_lab/control/invariants.py
@@ -24,11 +24,11 @@
     """Limits of the invariants; times are in ms."""
 
     detection: float = 6_000.0  # until the end or the start of a member is known
-    # After a fault, before the load and what proxies hold are checked; for a proxy also after its start or
-    # its latest lease.
+    # Wait after a fault before members and load are checked; for the members that a proxy holds also after
+    # its start and its latest lease. Expiry is always checked.
     settling: float = 10_000.0
     bytes_per_second: int = 2_000  # of one proxy, both directions
-    load_bound: float = 1.25  # leases of one node, relative to the mean of its region; see ``min_bound``
+    load_bound: float = 1.25  # leases of one node, relative to the mean of its region
     leases_per_incarnation: int = 12  # mean over a run; a proxy with more is flapping
     return_home: float = 14_000.0  # after a fault or its start, until a proxy is at a node of its region
 
--- a/martentide_lab/servers.py
+++ b/martentide_lab/servers.py
@@ -250,7 +250,7 @@
     def publish(self, servers: Iterable[tuple[SessionServer, int]], started: int = 0) -> None:
         """Publish one update with servers and their states.
 
-        ``started`` is their start time in Unix ms; 0 means unknown.
+        ``started`` is their start time in Unix ms; 0 means long ago.
         """
         revision = self.base_revision + len(self.frames) + 1
         local = socket.inet_aton("127.0.0.1")
