--- a/martentide_lab/fleet/rig.py
+++ b/martentide_lab/fleet/rig.py
@@ -125,9 +125,8 @@
         self.starvation_tasks: dict[str, asyncio.Task[None]] = {}
         self.log: list[Event] = []
         self.views: dict[str, dict[str, int]] = {}  # by observer: the states that it holds of others
-        self.excused_periods: list[
-            tuple[str, float, float]
-        ] = []  # proxy, from, until (ms): a failed call is no violation then
+        # Proxy, from, until (ms): a failed call at the proxy is no violation then.
+        self.excused_periods: list[tuple[str, float, float]] = []
         self.started_at = time.monotonic()
         self.scenario_started_at = 0.0  # ms since the begin of the log
         self.loop = asyncio.get_running_loop()
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -227,9 +227,8 @@
         core = node.core
         if core is None or core.displaced:
             return
-        due = (
-            max(self.now, node.simulated_time(core.due)) + 0.01
-        )  # rounding must not make the timer run early
+        # The 0.01 ms keep rounding from making the timer run early.
+        due = max(self.now, node.simulated_time(core.due)) + 0.01
         if node.scheduled_at <= self.now or due < node.scheduled_at:
             node.scheduled_at = due
             self.schedule(due - self.now, lambda: self._timer_expired(node, core, due))
--- a/martentide_lab/fleet/simulated_agreement.py
+++ b/martentide_lab/fleet/simulated_agreement.py
@@ -72,13 +72,11 @@
         self.voters = [f"n{number}" for number in range(voters)]
         self.agreements: dict[str, Agreement] = {}
         self.disks: dict[str, VoterState] = {}
-        self.queued_messages: dict[
-            str, list[tuple[str, bytes]]
-        ] = {}  # queued in the sockets of stopped processes; sender and body
+        # Sender and body of the messages in the sockets of stopped processes.
+        self.queued_messages: dict[str, list[tuple[str, bytes]]] = {}
         self.results: list[ProposalResult] = []
-        self.requests_in_force: dict[
-            int, str
-        ] = {}  # by version number: the request of the version that a member acted on first
+        # By version number: the request of the version that a member acted on first.
+        self.requests_in_force: dict[int, str] = {}
         self.violations: list[str] = []
         self.rejections: dict[str, str] = {}  # members that reject every version, and their reason
         self.safe_ms: dict[str, float] = dict.fromkeys(self.members, 0.0)  # ms on the safe rules, by member
