--- a/martentide_lab/fleet/hollow_member.py
+++ b/martentide_lab/fleet/hollow_member.py
@@ -14,7 +14,10 @@
 
 
 class HollowMember(asyncio.DatagramProtocol):
-    """``transform`` encodes each datagram; None: the frame's own encoding."""
+    """A membership core on a UDP socket.
+
+    ``transform`` encodes each datagram; None: the frame's own encoding.
+    """
 
     def __init__(
         self,
--- a/martentide_lab/fleet/invariants.py
+++ b/martentide_lab/fleet/invariants.py
@@ -5,7 +5,7 @@
     not-accused    no member holds a process as dead that runs and that it can reach
     not-raised     a process that was killed isn't held as alive again without having been started
     one-fleet      ``Bounds.healing`` after the last fault all running members know each other, and no other
-    one-name       of two processes under one name at most one sends
+    one-name       of two processes under one name at most one sends (not checked here)
 
 A process is *disturbed* while it is stopped or cut off and for ``Bounds.settling`` after: nothing is required
 of it then.
@@ -26,11 +26,11 @@
 class Bounds:
     """Limits that the invariants depend on; times in ms."""
 
-    detection: float = 8_000.0
+    detection: float = 8_000.0  # from the end of a process until all others must hold it as dead or left
     settling: float = (
         6_000.0  # undisturbed time after which two members must hold the right state of each other
     )
-    healing: float = 8_000.0
+    healing: float = 8_000.0  # from the last fault until all must know each other
     suspension: float = 700.0  # a process stopped for less must not be held as dead
     loss: float = 0.25  # share of datagrams; beyond it a false accusation is no violation
     delay: float = 40.0  # one way on all links; beyond it probes are too late
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class Process:
-    """What the log says of one process; times in ms of the log."""
+    """State of one process, derived from the log; times in ms of the log."""
 
     process_id: int
     started_at: float
@@ -175,7 +175,7 @@
         return at - process.disturbed_at > self.bounds.settling and at - process.started_at > 0
 
     def _is_reachable(self, a: str, b: str, at: float) -> bool:
-        """Whether datagrams have passed between both throughout: no link at either is cut or impaired."""
+        """Whether no link at either member was cut or impaired, now or within ``Bounds.settling`` before."""
         cut_now = any(a in pair or b in pair for pair in self.cut_links)
         recently_cut = any(
             at - until <= self.bounds.settling
--- a/martentide_lab/fleet/rig.py
+++ b/martentide_lab/fleet/rig.py
@@ -127,9 +127,9 @@
         self.views: dict[str, dict[str, int]] = {}  # by observer: the states that it holds of others
         self.excused_periods: list[
             tuple[str, float, float]
-        ] = []  # proxy, from, until (ms): a failed call is no violation then
+        ] = []  # proxy, from, until (ms): call faults then are no violations, except two final answers
         self.started_at = time.monotonic()
-        self.scenario_started_at = 0.0  # ms since the begin of the log
+        self.scenario_started_at = 0.0  # ms since the start of the log
         self.loop = asyncio.get_running_loop()
         self.changed = asyncio.Event()
 
@@ -163,11 +163,11 @@
         self.hub.close()
 
     def now(self) -> float:
-        """ms since the begin of the log."""
+        """ms since the start of the log."""
         return (time.monotonic() - self.started_at) * 1000.0
 
     def record(self, kind: str, observer: str, subject: str = "", **fields: Any) -> None:
-        """Add an event to the log and wake those that wait for a change."""
+        """Add an event to the log and wake all callers of ``wait_until``."""
         self.log.append(Event(self.now(), kind, observer, subject, fields))
         if kind == "started":
             self.views[observer] = {}
@@ -210,7 +210,7 @@
         )
 
     async def _start_process(self, name: str, member_name: str | None = None, fleet: str = "rig") -> None:
-        """``member_name``: the name in the fleet where it differs from ``name``; ``fleet``: its name."""
+        """``member_name``: its name in the fleet if not ``name``; ``fleet``: the name of the fleet."""
         extras = self.extras(name).replace('"rig"', f'"{fleet}"') if self.with_fleet else None
         proxy = ProxyProcess(
             self.discovery, self.servers, extras, True, name=member_name or name,
@@ -245,7 +245,7 @@
         self.load_tasks[name] = self.loop.create_task(load.run())
 
     def _handle_log_line(self, name: str, line: str) -> None:
-        """Record the event that a log line of a member stands for."""
+        """Record the event that a member's log line reports, if any."""
         if "fleet-" not in line:
             if "internal-error" in line or "Traceback" in line:
                 self.record("error", name, name, line=line)
--- a/martentide_lab/fleet/scenario.py
+++ b/martentide_lab/fleet/scenario.py
@@ -51,7 +51,7 @@
 class Step:
     """One action of a scenario."""
 
-    at: float  # ms from the begin of the scenario
+    at: float  # ms from the start of the scenario
     verb: str
     arguments: tuple[Any, ...] = ()
 
@@ -92,7 +92,7 @@
 class Event:
     """One entry of the log: ``observer`` saw or did something that concerns ``subject``."""
 
-    at: float  # ms from the begin of the log
+    at: float  # ms from the start of the log
     kind: str
     observer: str
     subject: str = ""
--- a/martentide_lab/fleet/search.py
+++ b/martentide_lab/fleet/search.py
@@ -68,7 +68,10 @@
 
 
 def shrink(steps: Sequence[Step], fails: Callable[[Sequence[Step]], bool]) -> list[Step]:
-    """Remove the steps that the failure doesn't need, in ever smaller blocks; ``fails`` runs the rest."""
+    """Remove the steps that the failure doesn't need: blocks of half the steps first, then ever smaller ones.
+
+    ``fails`` runs the remaining steps and returns whether they still fail.
+    """
     remaining = list(steps)
     size = max(1, len(remaining) // 2)
     while True:
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -65,7 +65,7 @@
 
 
 class SimulatedFleet(Simulation):
-    """A fleet with its members in ``zones`` by turns; the first ``seeds`` members are seeds of all."""
+    """A fleet with its members spread over ``zones`` zones; the first ``seeds`` members are seeds of all."""
 
     def __init__(
         self,
@@ -164,7 +164,7 @@
             self._log("stopped", name, name)
 
     def resume(self, name: str) -> None:
-        """Continue a suspended process, as SIGCONT."""
+        """Continue a suspended process, as SIGCONT; no effect on a starved one."""
         node = self.members[name]
         if node.core is None or not node.stopped or node.starved_incarnation:
             return
--- a/martentide_lab/fleet/simulated_agreement.py
+++ b/martentide_lab/fleet/simulated_agreement.py
@@ -83,10 +83,10 @@
         self.rejections: dict[str, str] = {}  # members that reject every version, and their reason
         self.safe_ms: dict[str, float] = dict.fromkeys(self.members, 0.0)  # ms on the safe rules, by member
         self.sent_messages: dict[str, tuple[int, int]] = {}  # count and bytes, by sender
-        self.checked_at = 0.0
+        self.checked_at = 0.0  # simulated time (ms) of the last check of the rules
         self.request_numbers = itertools.count(1)
-        self.timers: dict[str, float] = {}
-        self.conflicts: dict[tuple[bytes, bytes], list[str]] = {}
+        self.timers: dict[str, float] = {}  # by member: simulated time (ms) of its next timer; 0: none
+        self.conflicts: dict[tuple[bytes, bytes], list[str]] = {}  # by pair of rule sets: how they contradict
 
     # ---- processes --------------------------------------------------------------------------------------
 
@@ -160,7 +160,7 @@
         self._schedule_agreement_timer(name)
 
     def propose(self, name: str, rules: bytes, base: int = -1) -> str:
-        """Propose rules at a member; returns the request, or an empty text where the member doesn't run."""
+        """Propose rules at a member; returns the request, or "" if the member doesn't run or is suspended."""
         agreement = self.agreements.get(name)
         number = str(next(self.request_numbers))
         if agreement is None or self.members[name].stopped:
--- a/tests/agreement/test_raft.py
+++ b/tests/agreement/test_raft.py
@@ -46,6 +46,7 @@
 
     @staticmethod
     def random() -> float:
+        """Return 0.5."""
         return 0.5
 
 
@@ -148,7 +149,7 @@
 
 
 def successors(world: World, bounds: Bounds) -> Iterator[World]:
-    """Return the states that one event leads to."""
+    """Yield each state that one event leads to."""
     for body in world.sent:
         message = decode_message(body)
         if message.to in world.nodes:
@@ -254,7 +255,7 @@
 
 @pytest.fixture(autouse=True)
 def one_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    # An entry of an earlier term arrives without the newer one.
+    """Send one entry per message, so that one of an earlier term arrives without the newer one."""
     monkeypatch.setattr(raft, "MAX_MESSAGE_ENTRIES", 1)
 
 
@@ -266,6 +267,8 @@
 
 
 class VotesTwice(Raft):
+    """Fault: a process forgets its vote and can vote twice in a term."""
+
     def _on_vote_request(self, message: Message) -> None:
         if message.term == self.term:
             self.voted_for = ""
@@ -273,6 +276,8 @@
 
 
 class CountsOlder(Raft):
+    """Fault: a leader commits entries of an older term by their count."""
+
     def _advance_commit(self) -> None:
         held = sorted(
             self.last_index if one == self.voter_id else self._peer(one).match_index for one in self.voters
@@ -282,8 +287,11 @@
 
 
 class CountsLearners(Raft):
+    """Fault: a learner counts as a voter."""
+
     @property
     def voters(self) -> tuple[str, ...]:
+        """The voters and the learner ``l``."""
         return (*super().voters, "l")
 
     def _count_votes(self) -> None:
@@ -292,6 +300,8 @@
 
 
 class TakesAnySnapshot(Raft):
+    """Fault: a process installs any snapshot, also one older than its committed entries."""
+
     def _install_snapshot(self, snapshot: Snapshot) -> None:
         self.log, self.snapshot = [], snapshot
         self.commit_index = self.last_applied = snapshot.index
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -27,18 +27,24 @@
 
 
 class GrantsBeforeCommit(Agreement):
+    """Fault: a leader grants leases before its newest entry is committed."""
+
     def _append_command(self, command: BeginJointPhase | EndJointPhase) -> None:
         super()._append_command(command)
         self.deciding_index = 0
 
 
 class IgnoresLeases(Agreement):
+    """Fault: a joint phase advances without regard to the leases that were granted."""
+
     def _advance_joint_phase(self) -> None:
         self.leases.clear()
         super()._advance_joint_phase()
 
 
 class CountsLeaseFromArrival(Agreement):
+    """Fault: a lease counts from the arrival of its grant, and for twice its length."""
+
     def _on_lease_grant(self, sender: str, grant: LeaseGrant) -> None:
         super()._on_lease_grant(sender, grant)
         if grant.lease > 0.0:
@@ -46,7 +52,10 @@
 
 
 class ActsOnJointVersionAlone(Agreement):
+    """Fault: in a joint phase a member acts on the new version instead of the meet of both."""
+
     def rules(self) -> Any:
+        """The rules that the member acts on."""
         joint = self.known_state.joint
         if self.acting_on is not None and self.acting_on[1] and joint is not None:
             return self._decoded(joint)  # instead of the meet of both versions
--- a/tests/extproc/test_ledger.py
+++ b/tests/extproc/test_ledger.py
@@ -335,10 +335,12 @@
         ]
 
     def ask(self, left: float | None, name: str) -> None:
+        """Deliver a new request."""
         self.request += 1
         self.harness.ask(self.request, left, name)
 
     def carry(self, key: int, server: str, patience: float) -> None:
+        """Deliver the decisions' order to send the next attempt."""
         self.last_attempt[key] = attempt = self.last_attempt.get(key, -1) + 1
         self.harness.feed(Carry(key, key, attempt, server, patience))
 
@@ -350,6 +352,7 @@
         patience=st.sampled_from([1.0, 200.0, 4000.0]),
     )
     def asks(self, left: float | None, name: str, routed: bool, patience: float) -> None:
+        """A front sends a request; if ``routed``, the decisions order its first attempt at once."""
         before = len(self.harness.requests_by_key)
         self.ask(left, name)
         if routed and len(self.harness.requests_by_key) > before:
@@ -358,11 +361,13 @@
     @precondition(lambda self: self.actionable_keys())
     @rule(data=st.data(), server=st.sampled_from(["s0", "s1"]), patience=st.sampled_from([200.0, 4000.0]))
     def orders(self, data: st.DataObject, server: str, patience: float) -> None:
+        """The decisions order an attempt."""
         self.carry(data.draw(st.sampled_from(self.actionable_keys())), server, patience)
 
     @precondition(lambda self: self.actionable_keys())
     @rule(data=st.data(), hold_off=st.sampled_from([None, 0.0, 80.0]))
     def decides(self, data: st.DataObject, hold_off: float | None) -> None:
+        """The decisions give a final answer."""
         key = data.draw(st.sampled_from(self.actionable_keys()))
         self.decided.add(key)
         self.harness.decide(self.harness.requests_by_key[key], hold_off)
@@ -370,6 +375,7 @@
     @precondition(lambda self: self.harness.in_flight and not self.broken)
     @rule(data=st.data(), ending=st.sampled_from([None, *Ending]), late=st.booleans())
     def reports(self, data: st.DataObject, ending: Ending | None, late: bool) -> None:
+        """The front reports the outcome of an attempt, twice if ``late``."""
         request = data.draw(st.sampled_from(sorted(self.harness.in_flight)))
         attempt = self.harness.in_flight[request]
         self.harness.outcome(request, ending, attempt)
@@ -379,6 +385,7 @@
     @precondition(lambda self: self.request and not self.broken)
     @rule(data=st.data())
     def cancels(self, data: st.DataObject) -> None:
+        """The front cancels a request."""
         request = data.draw(st.integers(max(1, self.request - 3), self.request))
         self.harness.in_flight.pop(request, None)
         self.harness.feed(Cancel(request))
@@ -386,21 +393,25 @@
     @precondition(lambda self: self.owed_attempts())
     @rule(data=st.data(), hang_up=st.booleans())
     def takes_back(self, data: st.DataObject, hang_up: bool) -> None:
+        """The decisions withdraw an attempt."""
         ref, attempt = data.draw(st.sampled_from(sorted(self.owed_attempts().items())))
         self.harness.feed(TakeBack(ref, ref, attempt, hang_up))
 
     @rule(span=st.sampled_from([1.0, 60.0, 210.0, 460.0, 1500.0]))
     def advance(self, span: float) -> None:
+        """Time passes."""
         self.harness.advance(span)
 
     @rule(
         name=st.sampled_from(["s0", "s1"]), state=st.sampled_from([ServerState.OPEN] * 3 + list(ServerState))
     )
     def change(self, name: str, state: ServerState) -> None:
+        """The state of a listed server changes."""
         self.harness.feed(ListChanged((listed_server(name, state),)))
 
     @rule(breaks=st.sampled_from([True, False, False, False]))
     def stream(self, breaks: bool) -> None:
+        """The stream breaks, or a broken one is resumed."""
         if breaks and not self.broken:
             self.harness.feed(Stream.BROKEN)
             self.broken = True
@@ -409,6 +420,7 @@
             self.broken = False
 
     def teardown(self) -> None:
+        """End the session; nothing may stay open."""
         self.harness.feed(Stream.BROKEN)
         self.harness.feed(Stream.EXPIRED)
         self.harness.advance(20_000.0)
--- a/tests/fleet/test_simulated.py
+++ b/tests/fleet/test_simulated.py
@@ -27,30 +27,37 @@
         self.fleet.play((), 3_000.0)
 
     def do(self, verb: str, *arguments: object, duration: float = 700.0) -> None:
+        """Execute one step of a scenario, then run the fleet for ``duration`` ms."""
         self.fleet.execute_step(Step(0.0, verb, arguments))
         self.fleet.run(self.fleet.now + duration)
 
     @rule(name=NAMES, verb=st.sampled_from(["kill", "start", "stop", "continue", "term"]), duration=DURATIONS)
     def process(self, name: str, verb: str, duration: float) -> None:
+        """Kill, start, stop, continue or terminate a process."""
         self.do(verb, name, duration=duration)
 
     @rule(side=st.sets(NAMES, min_size=1, max_size=4), duration=DURATIONS)
     def split(self, side: set[str], duration: float) -> None:
+        """Cut the fleet in two."""
         self.do("split", ",".join(sorted(side)), ",".join(sorted(MEMBERS - side)), duration=duration)
 
     @rule(one=NAMES, other=NAMES)
     def cut(self, one: str, other: str) -> None:
+        """Cut one direction between two members."""
         self.do("cut", one, other)
 
     @rule(verb=st.sampled_from(["loss", "duplicate", "damage"]), share=st.sampled_from([0.0, 0.1, 0.2]))
     def network(self, verb: str, share: float) -> None:
+        """Set the loss, duplication or damage of all links."""
         self.do(verb, share)
 
     @rule(duration=DURATIONS)
     def heal(self, duration: float) -> None:
+        """End all cuts."""
         self.do("heal", duration=duration)
 
     def teardown(self) -> None:
+        """Repair all faults, let the fleet recover for 14 s and check the invariants."""
         for verb, *arguments in (("heal",), ("loss", 0.0), ("damage", 0.0), ("continue", ",".join(MEMBERS))):
             self.do(str(verb), *arguments, duration=0.0)
         self.fleet.run(self.fleet.now + 14_000.0)
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -164,30 +164,36 @@
             raise OSError(self.fail[name], "fault")
 
     def read(self, name: str, limit: int) -> bytes | None:
+        """Return a file's contents, or None; raises OSError for more than ``limit`` bytes."""
         data = self.live.get(name)
         if data is not None and len(data) > limit:
             raise OSError(errno.EFBIG, "File too large")
         return data
 
     def write(self, name: str, data: bytes) -> None:
+        """Write a file; half of it if the step fails."""
         self.live[name] = data[: len(data) // 2]
         self._step("write")
         self.live[name] = data
 
     def sync(self, name: str) -> None:
+        """Put a file's contents on the disk."""
         self._step("sync")
         self.synced[name] = self.live[name]
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file."""
         self._step("keep-old" if new == OLD else "rename")
         self.live[new] = self.live.pop(old)
         if old in self.synced:
             self.synced[new] = self.synced.pop(old)
 
     def exists(self, name: str) -> bool:
+        """Whether the file exists."""
         return name in self.live
 
     def sync_folder(self) -> None:
+        """A step that can fail; renames are never lost here."""
         self._step("sync-folder")
 
     def crash(self) -> None:
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -34,6 +34,7 @@
     """A server actor that ignores every item."""
 
     def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
+        """Ignore the item."""
         pass
 
 
--- a/tests/net/test_dispatcher.py
+++ b/tests/net/test_dispatcher.py
@@ -30,18 +30,23 @@
         self.items: list[Order | Withdraw | Heard | Probing | Listed | Settle] = []
 
     def answer(self, call: bytes, description: bytes) -> None:
+        """Record an answer."""
         self.notifications.append(("answer", call, description))
 
     def refuse(self, call: bytes, hold_off: float) -> None:
+        """Record a refusal."""
         self.notifications.append(("refuse", call))
 
     def fail(self, call: bytes) -> None:
+        """Record a failure."""
         self.notifications.append(("fail", call))
 
     def release(self, call: bytes, cut: bool) -> None:
+        """Record a release."""
         self.notifications.append(("release", call, cut))
 
     def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
+        """Record an item for the server."""
         self.items.append(item)
 
 
@@ -49,6 +54,7 @@
     """Fails on every offer after requesting its next timer."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
+        """Raise RuntimeError on an offer, with a timer among the actions."""
         super().handle(now, event)
         if isinstance(event, SetUpOffered):
             self.actions = [SetTimer(1, 0.0)]
--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -40,7 +40,7 @@
                 await asyncio.sleep(0)
 
     def process(self, messages: int) -> None:
-        """Tell the link that its oldest messages were processed."""
+        """Notify the link that its oldest messages were processed."""
         for _ in range(messages):
             self.link.message_processed()
 
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -95,7 +95,7 @@
             fresh = old.servers[0].accept()
             after = new.caller("127.0.0.2")
             set_up_call(after, fresh, A)
-            set_up_call(before, server, B)  # the old process, not terminated yet, keeps its own connections
+            set_up_call(before, server, B)  # before SIGTERM, the old process keeps its own connections
 
 
 def test_predecessor_resumes_after_its_successor_dies(tmp_path: Path) -> None:
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -21,7 +21,7 @@
 
 
 def driver_with(proxies: int = 6, servers: int = 4) -> ControllerDriver:
-    """Return the driver of a Controller without a release wait."""
+    """Return the driver of one Controller in a fleet of ``proxies``, without a release wait."""
     return ControllerDriver(settings=replace(SETTINGS, proxies=proxies, release=0.0), servers=servers)
 
 
--- a/tests/overload/test_slow_start.py
+++ b/tests/overload/test_slow_start.py
@@ -47,7 +47,7 @@
 
 
 def refill_without_expiry(tokens: float, rate: float, elapsed: float) -> float:
-    """The usual token bucket, whose grants never expire."""
+    """Faulty version of ``slow_start.refill``: an ordinary token bucket, whose tokens never expire."""
     return min(1.5, tokens + rate * elapsed / 1000.0)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,10 @@
 
 
 def times_sent_to_cold_server(proxies: int) -> list[float]:
-    """Return when (ms) a server that starts at 10 s, from then on the first choice, is sent set-ups."""
+    """Return the times (ms) at which a fleet sends set-ups to a server that starts at 10 s.
+
+    The server is the first choice of every call from then on.
+    """
     settings = replace(SETTINGS, proxies=proxies)
     fleet = [Controller(replace(settings, own_slot=slot), slot) for slot in range(proxies)]
     warm = tuple(entry(f"s{at}", at) for at in range(WARM_SERVERS))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The plug-in for known failures: which of them the run ignores, what it prints and what fails the run."""
+"""The plug-in for known failures: which failures don't fail the run, what it prints, what fails the run."""
 
 from __future__ import annotations
 
