--- a/martentide_lab/fleet/invariants.py
+++ b/martentide_lab/fleet/invariants.py
@@ -54,7 +54,7 @@
 class Process:
     """State of one process, derived from the log; times in ms of the log."""
 
-    process_id: int
+    process_id: int  # random number of the process; ``life`` in events
     started_at: float
     stopped_at: float | None = None
     disturbed_at: float = -1e9  # end of the last disturbance
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -50,7 +50,7 @@
     scheduled_at: float = 0.0  # simulated time (ms) of its next timer; 0: none
     sent_bytes: int = 0  # with the headers of IP and UDP
     sent_datagrams: int = 0
-    incarnations: int = 0
+    incarnations: int = 0  # starts of the process so far
     starved_incarnation: int = 0  # the incarnation that is starved of CPU time; 0: none
     clock_rate: float = 1.0  # ms of its clock per ms of simulated time
     counts: Counter[str] = field(default_factory=Counter)
--- a/martentide_lab/fleet/simulated_agreement.py
+++ b/martentide_lab/fleet/simulated_agreement.py
@@ -50,8 +50,8 @@
     """The result of a proposal as its proposer received it, at ``at`` ms."""
 
     request: str
-    done: bool
-    number: int
+    done: bool  # whether the proposal succeeded
+    number: int  # of the version
     at: float
 
 
