--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -50,7 +50,7 @@
     scheduled_at: float = 0.0  # simulated time (ms) of its next timer; 0: none
     sent_bytes: int = 0  # with the headers of IP and UDP
     sent_datagrams: int = 0
-    incarnations: int = 0
+    incarnations: int = 0  # starts of the process so far
     starved_incarnation: int = 0  # the incarnation that is starved of CPU time; 0: none
     clock_rate: float = 1.0  # ms of its clock per ms of simulated time
     counts: Counter[str] = field(default_factory=Counter)
@@ -65,7 +65,7 @@
 
 
 class SimulatedFleet(Simulation):
-    """A fleet with its members in ``zones`` by turns; the first ``seeds`` members are seeds of all."""
+    """A fleet with its members spread over ``zones`` zones; the first ``seeds`` members are seeds of all."""
 
     def __init__(
         self,
@@ -164,7 +164,7 @@
             self._log("stopped", name, name)
 
     def resume(self, name: str) -> None:
-        """Continue a suspended process, as SIGCONT."""
+        """Continue a suspended process, as SIGCONT; no effect on a starved one."""
         node = self.members[name]
         if node.core is None or not node.stopped or node.starved_incarnation:
             return
