--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -41,6 +41,9 @@
 START_MS, REPLACED_AFTER_MS = 1_000_000.0, 10_000.0  # Unix ms; ms after START_MS
 PLANNED_LOAD, SURGE_LOAD = 0.8, 1.6  # share of the capacity of all servers
 UNEVEN_FACTOR = 6.0  # load of the first proxy in the uneven case, as a multiple of each other proxy's
+# "together", "late", "apart": the proxies are notified of the cold server all after 500 ms, all after 3 s, or
+# each at a random time within 5 s. In the other cases it is 500 ms, and the first proxy has more load, all
+# proxies restart during the ramp, or the load rises to SURGE_LOAD 1 s after the replacement.
 CASES = ("together", "late", "apart", "uneven", "restarts", "surge")
 
 
--- a/benchmarks/extproc.py
+++ b/benchmarks/extproc.py
@@ -431,7 +431,10 @@
 
 
 async def measure(requests: int, rate: float, memory: int, seed: int) -> dict[str, Any]:
-    """Runs all parts; ``memory``: requests of the memory part."""
+    """Runs all parts.
+
+    ``requests`` and ``rate`` (a second) are those of the mixed part, ``memory`` those of the memory part.
+    """
     site = BenchmarkSite(4, delay=8.0)
     await site.start()
     result: dict[str, Any] = {"requests": requests}
--- a/benchmarks/fleet_membership.py
+++ b/benchmarks/fleet_membership.py
@@ -101,7 +101,8 @@
                 await rig.wait_until(lambda: is_split(rig, half, rest), CONVERGENCE_TIMEOUT_S)  # noqa: B023
                 await rig.execute_step(Step(0, "heal"))
                 heal_ms.append(await rig.wait_until(rig.is_converged, CONVERGENCE_TIMEOUT_S))
-                await asyncio.sleep(7.0)  # the checker expects no detection shortly after a split
+                # The checker requires nothing of a member for 6 s after it was cut off (``Bounds.settling``).
+                await asyncio.sleep(7.0)
         span = (rig.now() - started_at) / 1000.0
         cpu_used += sum(cpu_seconds(rig.proxies[name]) - cpu_before[name] for name in names)
         violations = rig.violations()
--- a/benchmarks/fleet_rules.py
+++ b/benchmarks/fleet_rules.py
@@ -5,9 +5,10 @@
 a row remove the same server and allow either one attempt or three (one server answers with errors, so that
 calls need further attempts). Whether members acted on contradicting rules is read from the set-ups that the
 servers received after the proposer was notified that the version is in force: calls with more attempts than
-allowed, and set-ups at the removed server. Set-ups of members on safe rules at that time are not counted,
-because these members use any server that answers. Last, one member is cut off to measure what safe rules
-serve. Then 9, 64 and 200 members run in simulated time. The last line is ``RESULT {json}``.
+allowed, and set-ups at the removed server. At the removed server, set-ups of members on safe rules at that
+time are not counted, because these members use any server that answers. Last, one member is cut off to
+measure what safe rules serve. Then 9, 64 and 200 members run in simulated time. The last line is
+``RESULT {json}``.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
     in_force: bool = False
     number: int = 0
     attempts: int = 3  # allowed per call
-    refused: bool = False  # rejected as an invalid file
+    refused: bool = False  # rejected at once, as an invalid file
 
 
 def make_rules(removed_server: int, attempts: int, invalid: bool = False) -> dict[str, Any]:
@@ -108,9 +109,9 @@
 
 
 async def inject_faults(rig: Rig, count: int, rng: random.Random) -> Counter[str]:
-    """Injects ``count`` random faults one after the other and reverts each; returns the number of each kind.
+    """Injects ``count`` random faults one after the other; returns the number of each kind.
 
-    A changed clock stays changed while later faults run.
+    Each fault is reverted before the next one, except a changed clock, which stays until it is set again.
     """
     names = rig.scenario.names()
     kinds: Counter[str] = Counter()
@@ -189,6 +190,8 @@
 def find_contradictions(rig: Rig, proposals: list[Proposal]) -> tuple[float, int, int]:
     """Set-ups that a version in force forbids, found in what the servers received.
 
+    These are set-ups at the removed server, except those of members on safe rules, and, if one attempt is
+    allowed, calls with further attempts (one for each call, at the time of its first attempt).
     Counts from the notification that the version is in force until a version that allows them is proposed.
     Returns the longest delay after the notification in ms, the number of set-ups later than the bound, and
     the number of all of them.
--- a/benchmarks/fleet_tests_duty.py
+++ b/benchmarks/fleet_tests_duty.py
@@ -2,9 +2,9 @@
 
 Runs real processes, without a fleet and as a fleet, at the same total load: one server hung (answers
 nothing), one mute (answers health checks but no set-up), one cold. Counts the health checks and set-ups that
-the servers received, and measures the time until every proxy sends calls to the recovered hung server. Then
-the same in simulated time, also with more proxies than one machine can run as processes. The last line is
-``RESULT {json}``.
+the servers received, and measures the time until every proxy sends calls to the recovered hung server, by the
+call ids of each proxy's callers. Then the same in simulated time without the cold server, also with more
+proxies than one machine can run as processes. The last line is ``RESULT {json}``.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 TOTAL_RATE = 120.0  # calls a second, all proxies together
 SETTLE_S, COUNTED_S = 6.0, 12.0  # before counting; counted
 RETURN_WAIT_S = 12.0  # within which all proxies should send calls to the recovered server
-COLD_AGE_MS = 4_000.0  # age of the cold server when counting starts
+COLD_AGE_MS = 4_000.0  # not used: the cold server starts when counting starts
 
 
 def events_per_second(times: list[float], begin: float, end: float) -> float:
@@ -134,7 +134,8 @@
         for name in ("4-fleet", "8-fleet"):
             assert not result["real"][name]["rules_broken"], result
             assert result["real"][name]["back"] == int(name.split("-")[0]), result
-        # The health checks of a server don't grow with the fleet. Simulated time is the same on any machine.
+        # The health checks of a server don't grow with the fleet, because only the members assigned to it
+        # make them. Simulated time gives the same figures on every machine.
         small_fleet, large_fleet = (
             result["simulated"][name]["tests_hung"] for name in ("8-fleet", "40-fleet")
         )
--- a/benchmarks/scale/fits.py
+++ b/benchmarks/scale/fits.py
@@ -1,4 +1,4 @@
-"""Least squares lines through measured points, with the interval of the slope."""
+"""Least squares lines through measured points, with the interval of the slope and the residual."""
 
 from __future__ import annotations
 
--- a/benchmarks/scale/tier.py
+++ b/benchmarks/scale/tier.py
@@ -72,7 +72,10 @@
             self.undetected[proxy.info.name] = self.tier.now
 
     def _check_detection(self) -> None:
-        """Record when the last sampled subscriber has dropped a killed member."""
+        """Record when the last sampled subscriber has dropped a killed member.
+
+        A killed member that was started again counts as detected at that time.
+        """
         for name, killed_at in list(self.undetected.items()):
             killed = self.tier.proxies[name]
             holding = False
@@ -110,8 +113,12 @@
 
 
 def simulate_day(layout: Layout, seed: int, loss: float = 0.0, faults: bool = True) -> dict[str, object]:
-    """Simulate cold start, steady state, proxy restarts, and the loss of a zone, a region and nodes."""
-    gc.disable()  # the heap is large and lives to the end: collections would take most of the time
+    """Simulate a cold start and steady state and, with ``faults``, the faults of a day.
+
+    The faults are kills and restarts of proxies, a zone lost, a region cut off, and nodes lost and restarted.
+    ``loss`` is the share of datagrams lost on all links.
+    """
+    gc.disable()  # the heap is large and kept to the end: collections would take most of the time
     started = time.process_time()
     link = Link(delay=BASE_LINK.delay, jitter=BASE_LINK.jitter, loss=loss)
     tier = SimulatedTier(layout, seed, ControlTerms(), link)
@@ -233,6 +240,7 @@
 def _inject_fault(
     day: DayRun, name: str, begin: Callable[[], None], seconds: float, end: Callable[[], None]
 ) -> None:
+    """Run a fault and measure the recovery after it, counted from the call of ``end``."""
     day.checker.record_fault()
     begin()
     day.run(seconds)
