--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -58,7 +58,7 @@
 def worth_bound(
     calls: Sequence[tuple[str, float, float | None]], begin: float, end: float, capacity: float
 ) -> float:
-    """Upper bound of the worth served: admission with full knowledge of the offered calls.
+    """Reference for the worth served: admission with full knowledge of the offered calls.
 
     In each second it serves the calls of the highest worth that the servers have capacity for. Unused
     capacity carries over to the next second up to 20%, because calls may wait as long as their aim.
