--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -60,7 +60,10 @@
     rows = [membership.measure(count) for count in ([64, 200] if short else parse_sizes(sizes))]
     print_rows(rows)
     if short:
-        check(all(float(row["bytes_per_s"] or 0) < 4_000 for row in rows), "a calm member says over 4 kB/s")
+        check(
+            all(float(row["bytes_per_s"] or 0) < 4_000 for row in rows),
+            "a member in steady state sends over 4 kB/s",
+        )
         return
     save("membership", rows)
     draw("membership", rows, "members", ["processor_ms_per_s"])
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -1,6 +1,6 @@
 """Writes the tables of ``docs/CAPACITY.md`` between its markers from the saved results.
 
-The tables always match the saved results; a section without results says so.
+The tables always match the saved results; a section without results contains ``NOT_RUN``.
 """
 
 from __future__ import annotations
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -34,7 +34,7 @@
 from martentide_lab.servers import DiscoveryServer, ServerBehavior, SessionServer
 
 TIME_LEFT_S = 2.5  # time that a caller waits for an answer
-LATE_WAIT_S = 0.5  # further wait for an answer, to tell late from missing, and for a release acknowledgement
+LATE_WAIT_S = 0.5  # further wait that separates late from missing answers; also for a release acknowledgement
 IGNORED_SHARE = 0.1  # share of the set-ups that a session server leaves unanswered
 KEPT_CALLERS, FRESH_CALLERS = 6, 4  # callers with a persistent connection, and with one for each call
 RELEASE_WAIT_S = 8.0  # for the release of a call that its server ended
--- a/martentide/agreement/core.py
+++ b/martentide/agreement/core.py
@@ -1,4 +1,4 @@
-"""One member's share in agreeing on versions of rules. Every member acts on the agreed version while it holds
+"""One member's part in agreeing on versions of rules. Every member acts on the agreed version while it holds
 a lease; a voter also replicates the log; the leader grants leases and brings versions into force.
 
 Without I/O: events in, actions out; ``now`` is the local monotonic clock in ms.
@@ -56,7 +56,7 @@
 MAX_LEASES = 4_096  # members to which a leader grants leases
 MAX_PENDING_REQUESTS = 64  # proposals without a verdict
 MAX_RULES_BYTES = 32_000  # of one rule set: two of them with their metadata fit into one message
-PROPOSAL_TIMEOUT = 15_000.0  # ms after which the proposer is told that the outcome is unknown
+PROPOSAL_TIMEOUT = 15_000.0  # ms after which the proposer is notified that the outcome is unknown
 RESEND_INTERVAL = 500.0  # ms between two sends of a pending proposal or of a prior-state query
 MAX_INDEX_LEAD = 10_000  # entries; a ``StateChanged`` that is further ahead is ignored as invalid
 CHECK_RETRY_INTERVAL = 1_000.0  # ms after which a host that did not answer a check is asked again
@@ -352,7 +352,7 @@
         for request, pending in list(self.pending_requests.items()):
             if self.now - pending.created_at >= PROPOSAL_TIMEOUT:
                 del self.pending_requests[request]
-                text = "no word of it came back; look with `fleet versions` before proposing it again"
+                text = "no verdict received; check `fleet versions` before proposing again"
                 self.actions.append(ProposalResolved(request, False, 0, text))
             elif self.now - pending.sent_at >= RESEND_INTERVAL:
                 pending.sent_at = self.now
--- a/martentide/agreement/messages.py
+++ b/martentide/agreement/messages.py
@@ -105,7 +105,7 @@
 
 
 class PriorStateQuery(msgspec.Struct, array_like=True, frozen=True, tag="blank"):
-    """A voter without state asks whether it ever had any. ``is_answer``: the reply, in which ``known`` tells
+    """A voter without state asks whether it ever had any. ``is_answer``: the reply, in which ``known`` states
     whether the replying voter ever received a message of the log from it."""
 
     process_id: int
--- a/martentide/agreement/raft.py
+++ b/martentide/agreement/raft.py
@@ -198,8 +198,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftTimings:
-    """Timeouts in ms. A voter that heard from a leader within ``election_timeout`` grants no vote, so a
-    leader's lease lasts as long."""
+    """Timeouts in ms. A voter that received a message from a leader within ``election_timeout`` grants no
+    vote, so a leader's lease lasts as long."""
 
     election_timeout: float = 900.0  # lower bound; the actual timeout is random, up to twice as long
     heartbeat_interval: float = 200.0
@@ -274,7 +274,7 @@
 
     def has_leader_lease(self, now: float) -> bool:
         """Whether this node is the leader and no other can have been elected by ``now``, since a majority
-        heard from it within the election timeout and so grants no vote yet."""
+        received a message from it within the election timeout and so grants no vote yet."""
         return self.role is Role.LEADER and now < self._lease_expiry()
 
     def term_at(self, index: int) -> int | None:
@@ -399,7 +399,7 @@
 
     def _may_vote_for(self, message: Message) -> bool:
         """Whether the candidate's log is at least as up to date as the local one, so that it holds every
-        entry that may be committed, and no leader was heard from within the election timeout (unless that
+        entry that may be committed, and no leader message was received within the election timeout (unless that
         leader asked for this election)."""
         own_position = (self.term_at(self.last_index) or 0, self.last_index)
         leader_recent = (
--- a/martentide/extproc/ledger.py
+++ b/martentide/extproc/ledger.py
@@ -55,7 +55,7 @@
 
 
 class FrontError(ValueError):
-    """A message of the front violates the protocol; its stream is closed. The text says what was found."""
+    """A message of the front violates the protocol; its stream is closed. The text states the violation."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -276,7 +276,7 @@
 
     def _on_ask(self, now: float, ask: Ask) -> None:
         if ask.request <= self.last_request:
-            # Two verdicts under one number could not be told apart.
+            # Two verdicts under one number could not be distinguished.
             raise FrontError(f"request {ask.request} after request {self.last_request}: numbers must grow")
         self.last_request = ask.request
         self.counts["asked"] += 1
--- a/martentide/fleet/core.py
+++ b/martentide/fleet/core.py
@@ -642,7 +642,7 @@
         resurrected = self._apply_record(sender, sender.name, direct=True)
         member = self.members.get(sender.name)
         if member is None:
-            return  # the table is full, or the sender itself says that it isn't alive
+            return  # the table is full, or the sender reports itself as not alive
         held = member.record
         current = held.process_id == sender.process_id and held.generation == sender.generation
         if current:
@@ -811,7 +811,7 @@
         self._accuse(known, by, f"accused by {by}")
 
     def _add_member(self, record: MemberRecord, by: Name, direct: bool, bulk: bool) -> None:
-        """Add an unknown member if its record says alive; a dead one that was dropped isn't added again."""
+        """Add an unknown member if its record is ALIVE; a dead one that was dropped isn't added again."""
         if record.state != State.ALIVE:
             return  # a suspect isn't added either: if it is alive, its refutation will add it
         if len(self.members) >= self.terms.max_members:
--- a/martentide/fleet/events.py
+++ b/martentide/fleet/events.py
@@ -15,7 +15,7 @@
 class DatagramReceived:
     """A datagram was received and passed ``Frame.read``."""
 
-    said: Datagram
+    datagram: Datagram
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
 class Changed:
     """A member's recorded state changed; ``old`` is None for a new member.
 
-    ``evidence`` is the reason in words, ``by`` the member that reported it.
+    ``evidence`` is the reason as text for people, ``by`` the member that reported it.
     """
 
     record: MemberRecord
--- a/martentide/fleet/wire.py
+++ b/martentide/fleet/wire.py
@@ -71,8 +71,8 @@
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """What is known of a member.
 
-    ``process_id`` is a random number of each process instance; it tells two instances of the same name and
-    generation apart.
+    ``process_id`` is a random number of each process instance; it distinguishes two instances of the
+    same name and generation.
     """
 
     name: Name
--- a/martentide/lifecycle/machine.py
+++ b/martentide/lifecycle/machine.py
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReturnedListener:
-    """The successor was told to end and no longer accepts connections."""
+    """The successor was asked to end and no longer accepts connections."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -225,7 +225,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Yield:
-    """Stop accepting connections and tell the successor to start."""
+    """Stop accepting connections and notify the successor that it may start."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -240,7 +240,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveBackIt:
-    """Tell the predecessor to resume accepting."""
+    """Ask the predecessor to resume accepting connections."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -165,7 +165,7 @@
         self.links: dict[Link, int] = {}  # value: number of calls set up on the connection that were answered
         self.records: dict[bytes, CallRecord] = {}
         self.pending_releases: dict[bytes, bytes] = {}  # release messages to write on the next connection
-        self.task = self.loop.create_task(self._run(), name=f"party {host}")
+        self.task = self.loop.create_task(self._run(), name=f"calling host {host}")
 
     def post(self, item: Item) -> None:
         """Put an item into the actor's mailbox."""
@@ -628,8 +628,8 @@
     def deliver_from_predecessor(self, frame: Said) -> None:
         """Deliver a message from the predecessor to a caller."""
         if frame.host in self.calling_hosts or not frame.stands:
-            say = Say(frame.call, frame.message, frame.stands, from_predecessor=True)
-            self._calling_host(frame.host).post(say)
+            item = Say(frame.call, frame.message, frame.stands, from_predecessor=True)
+            self._calling_host(frame.host).post(item)
         elif self.client_connections.predecessor is not None:
             self.client_connections.predecessor(Left(frame.host, frame.call))
 
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -339,7 +339,7 @@
 
     def _on_save_finished(self, item: SaveFinished, now: float) -> None:
         if item.folder is not self.folder:
-            return  # a save in the previous folder says nothing about the current one
+            return  # the result of a save in the previous folder doesn't apply to the current one
         self.idle.set()
         if not item.error:
             self.save_count += 1
--- a/martentide/net/links.py
+++ b/martentide/net/links.py
@@ -174,7 +174,7 @@
         Prevents attempts for callers that have gone. After the process was paused or busy, an end of the
         connection or a give-up may still be unread when timers fire that came due meanwhile. An end may also
         follow unread bytes on a connection that has stopped reading. The end of the peer's sending side
-        counts as its end, because a half-close can't be told from a close.
+        counts as its end, because a half-close can't be distinguished from a close.
         """
         if self.close_reason is CloseReason.HANDED_OVER:
             return Presence.PRESENT  # the successor has the connection now and reports its end
--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -33,8 +33,8 @@
 # make the keepalives of all proxies add up at the server.
 KEEPALIVE_IDLE = 3.5
 KEEPALIVE_INTERVAL = 0.5  # s between keepalives
-# s in which a message must be complete once its first byte came from a server; short enough that the set-up
-# can still be retried elsewhere in time.
+# s in which a message must be complete once its first byte was received from a server; short enough that
+# the set-up can still be retried elsewhere in time.
 MESSAGE_TIMEOUT = 0.06
 SUSPECT_AFTER = 0.12  # s without a byte on a connection since a set-up until another connection is opened
 # s; a connection that closed sooner is not replaced at once, so that no server is dialled in a tight loop.
@@ -276,7 +276,7 @@
 
         Prevents attempts for callers that have gone, wherever the order waited: a release wait, a queue, a
         dial, or a paused process. Input of the caller that has not been processed yet is processed first; the
-        Heard that reports this takes the same route as a give-up and so arrives after it.
+        ``Heard`` item that reports this takes the same route as a give-up and so arrives after it.
         """
         order = attempt.order
         presence = Presence.PRESENT if order.client is None else order.client.check_presence()
@@ -295,8 +295,8 @@
             return True  # the unprocessed input arrived after the last check
         if not attempt.awaiting_input:
             attempt.input_checked_at, attempt.awaiting_input = now, True
-            heard = Heard(order.ref, order.attempt, order.call, self.name)
-            order.client.when_processed(lambda: self.notify_dispatcher(heard))
+            input_processed = Heard(order.ref, order.attempt, order.call, self.name)
+            order.client.when_processed(lambda: self.notify_dispatcher(input_processed))
         return False
 
     def _input_processed(self, item: Heard) -> None:
@@ -336,7 +336,7 @@
             self._mark_suspect(attempt.link, attempt.sent_at)
 
     def _mark_suspect(self, link: Link | None, since: float) -> None:
-        """Mark a connection suspect if nothing came on it since then; if all are suspect, open another one.
+        """Mark a connection suspect if it received nothing since then; if all are suspect, open another.
 
         A connection may stay open and yet be dead. That must neither fail later set-ups nor end the standing
         calls, as treating the whole server as lost would. The cost is one needless dial to a server that was
--- a/martentide/net/service.py
+++ b/martentide/net/service.py
@@ -57,7 +57,7 @@
     from martentide.net.learned import Store
     from martentide.net.tier.proxy import TierMember
 
-# Fraction of a cold server's limit that each of the two processes may use until the old one is told to end.
+# Fraction of a cold server's limit that each of the two processes may use until the old one is asked to end.
 COLD_SHARE_DURING_UPGRADE = 0.5
 TAKE_TIMEOUT = 1.0  # s for the predecessor to stop accepting connections
 
@@ -347,7 +347,7 @@
     def _yield_listener(self) -> None:
         assert self.channel is not None
         if self.member is not None:
-            self.member.retire()  # before Taken tells the successor that the fleet address is free
+            self.member.retire()  # before Taken notifies the successor that the fleet address is free
         if self.tier is not None:
             self.tier.retire()
         self.callers.hand_over_accepting(self.channel.send)
--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -367,8 +367,8 @@
     def _drop_overtaken(self, server: Server, sent: float) -> None:
         """Drop set-ups sent well before one that stands: a processor serves in order, so they are lost.
 
-        A server or network path may lose some set-ups while the rest are quick. These time-outs say nothing
-        about load: they neither limit the server nor make it suspect, and the attempts are cancelled to be
+        A server or network path may lose some set-ups while the rest are quick. These time-outs are no
+        sign of load: they neither limit the server nor make it suspect, and the attempts are cancelled to be
         retried in time. Drawback: an attempt that was merely late is set up twice.
         """
         for ref, attempt in [key for key, at in server.unanswered.items() if at < sent - OVERTAKE_MARGIN]:
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -326,8 +326,8 @@
             if verb == "propose":
                 proposals.append(asyncio.create_task(propose_rules(rig, arguments[0], rules(attempts=1))))
             elif verb == "disk":
-                for word in ("hang", "full"):
-                    (tmp_path / arguments[0] / word).unlink(missing_ok=True)
+                for fault in ("hang", "full"):
+                    (tmp_path / arguments[0] / fault).unlink(missing_ok=True)
                 if arguments[1]:
                     (tmp_path / arguments[0] / arguments[1]).touch()
             else:
--- a/tests/agreement/test_raft.py
+++ b/tests/agreement/test_raft.py
@@ -64,7 +64,7 @@
     violation: str = ""
 
     def key(self) -> tuple[object, ...]:
-        """Return what tells two states of the search apart."""
+        """Return what distinguishes two states of the search."""
         return (
             tuple(
                 (
--- a/tests/overload/test_escrow.py
+++ b/tests/overload/test_escrow.py
@@ -40,7 +40,7 @@
     crashes: int = 0
 
     def key(self) -> tuple[Any, ...]:
-        """Return what tells two states of the search apart."""
+        """Return what distinguishes two states of the search."""
         accounts = tuple(
             (
                 one.process_id, one.tokens, one.last_number,
