--- a/martentide/agreement/raft.py
+++ b/martentide/agreement/raft.py
@@ -399,8 +399,8 @@
 
     def _may_vote_for(self, message: Message) -> bool:
         """Whether the candidate's log is at least as up to date as the local one, so that it holds every
-        entry that may be committed, and no leader message was received within the election timeout (unless that
-        leader asked for this election)."""
+        entry that may be committed, and no leader message was received within the election timeout (unless
+        that leader asked for this election)."""
         own_position = (self.term_at(self.last_index) or 0, self.last_index)
         leader_recent = (
             self.now - self.leader_contact_at < self.timings.election_timeout
