--- a/benchmarks/extproc.py
+++ b/benchmarks/extproc.py
@@ -411,7 +411,7 @@
     proxy: ProxyProcess, kind: str, requests: int, workers: int
 ) -> tuple[float, float]:
     """Decisions a second, and the proxy's processor time for each decision in ms."""
-    cpu_before, start = proxy.processor_seconds(), time.monotonic()
+    cpu_before, start = proxy.cpu_seconds(), time.monotonic()
     requests_each = requests // workers
     processes = [
         await asyncio.create_subprocess_exec(
@@ -425,7 +425,7 @@
     if any(exit_codes):
         raise SystemExit(f"a worker failed: {exit_codes}")
     elapsed = time.monotonic() - start
-    return requests_each * workers / elapsed, (proxy.processor_seconds() - cpu_before) * 1000.0 / (
+    return requests_each * workers / elapsed, (proxy.cpu_seconds() - cpu_before) * 1000.0 / (
         requests_each * workers
     )
 
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -39,9 +39,9 @@
 
 async def mean_usage(proxies: list[ProxyProcess]) -> tuple[float, float]:
     """Return the mean share of a processor core and the mean resident MB per proxy, without faults."""
-    seconds_before = sum(proxy.processor_seconds() for proxy in proxies)
+    seconds_before = sum(proxy.cpu_seconds() for proxy in proxies)
     await asyncio.sleep(MEASURED_S)
-    share = (sum(proxy.processor_seconds() for proxy in proxies) - seconds_before) / MEASURED_S / len(proxies)
+    share = (sum(proxy.cpu_seconds() for proxy in proxies) - seconds_before) / MEASURED_S / len(proxies)
     return share, sum(proxy.resident_memory_mb() for proxy in proxies) / len(proxies)
 
 
--- a/martentide_lab/control/invariants.py
+++ b/martentide_lab/control/invariants.py
@@ -37,13 +37,13 @@
 class TierViolation:
     """One violation of an invariant."""
 
-    rule: str  # name of the invariant
+    invariant: str  # name of the invariant
     at: float  # ms
     subject: str  # name of the proxy or the region
     text: str
 
     def __str__(self) -> str:
-        return f"{self.rule}: {self.subject} at {self.at / 1000:.1f} s: {self.text}"
+        return f"{self.invariant}: {self.subject} at {self.at / 1000:.1f} s: {self.text}"
 
 
 @dataclass
--- a/martentide_lab/proxy.py
+++ b/martentide_lab/proxy.py
@@ -221,7 +221,7 @@
         assert self.process is not None
         return int(psutil.Process(self.process.pid).num_fds())
 
-    def processor_seconds(self) -> float:
+    def cpu_seconds(self) -> float:
         """Return the processor time used so far, in seconds."""
         assert self.process is not None
         times = psutil.Process(self.process.pid).cpu_times()
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -42,7 +42,7 @@
         if second == seconds // 2:
             tier.kill_proxy(proxies[7])
         checker.check(proxies)
-    return {one.rule for one in checker.finish()}
+    return {one.invariant for one in checker.finish()}
 
 
 def test_a_run_without_faults_breaks_no_invariant() -> None:
@@ -93,7 +93,7 @@
         tier.kill_node(info.name)
     tier.run(30_000.0)
     checker.check(list(tier.proxies.values()))
-    assert {one.rule for one in checker.violations} == {"past-end"}
+    assert {one.invariant for one in checker.violations} == {"past-end"}
 
 
 def test_too_many_bytes_are_found() -> None:
@@ -124,4 +124,4 @@
     checker.record_fault()
     tier.run(40_000.0)
     checker.check(list(tier.proxies.values()))
-    assert "away" in {one.rule for one in checker.violations}
+    assert "away" in {one.invariant for one in checker.violations}
