--- a/martentide_lab/fleet/invariants.py
+++ b/martentide_lab/fleet/invariants.py
@@ -27,9 +27,7 @@
     """Limits that the invariants depend on; times in ms."""
 
     detection: float = 8_000.0
-    settling: float = (
-        6_000.0  # undisturbed time after which two members must hold the right state of each other
-    )
+    settling: float = 6_000.0  # undisturbed time after which a member's view must be right
     healing: float = 8_000.0
     suspension: float = 700.0  # a process stopped for less must not be held as dead
     loss: float = 0.25  # share of datagrams; beyond it a false accusation is no violation
@@ -80,7 +78,7 @@
         self.pending_detections: list[
             tuple[float, str, str, int, float]
         ] = []  # due, observer, subject, incarnation, ended at
-        self.ended_incarnations: dict[int, float] = {}  # incarnation to the end of its process
+        self.ended_incarnations: dict[int, float] = {}  # by incarnation: when its process ended
         self.violations: list[Violation] = []
 
     def check(self, log: Iterable[Event], end: float) -> list[Violation]:
