--- a/tests/agreement/test_raft.py
+++ b/tests/agreement/test_raft.py
@@ -46,6 +46,7 @@
 
     @staticmethod
     def random() -> float:
+        """Return 0.5."""
         return 0.5
 
 
@@ -63,6 +64,7 @@
     violation: str = ""
 
     def key(self) -> tuple[object, ...]:
+        """Return what distinguishes two states of the search."""
         return (
             tuple(
                 (
@@ -77,6 +79,7 @@
 
 
 def clone(one: Raft) -> Raft:
+    """Return a copy of a process whose changes don't affect the original."""
     new = copy.copy(one)
     new.log, new.actions = list(one.log), []
     new.peers = {name: copy.copy(peer) for name, peer in one.peers.items()}
@@ -85,12 +88,14 @@
 
 
 def start_node(kind: type[Raft], disk: PersistentState) -> Raft:
+    """Start a process from what its disk holds."""
     node = kind(disk, TERMS, 1, 0.0)
     node.rng = ConstantRandom()  # type: ignore[assignment]
     return node
 
 
 def initial_world(kind: type[Raft] = Raft, names: tuple[str, ...] = VOTERS) -> World:
+    """Return the state in which all processes have started and nothing has been sent."""
     disks = {name: initial_state(name, VOTERS) for name in names}
     nodes = {name: start_node(kind, disk) for name, disk in disks.items()}
     return World(nodes, disks, frozenset(), frozenset(), frozenset())
@@ -126,12 +131,15 @@
 
 
 def crash(world: World, name: str) -> World:
+    """Restart a process from its disk."""
     node = start_node(type(world.nodes[name]), world.disks[name])
     return replace(world, nodes={**world.nodes, name: node}, crashes=world.crashes + 1)
 
 
 @dataclass(frozen=True)
 class Bounds:
+    """Limits of a search; ``forgets``: state is never written to disk."""
+
     depth: int
     states: int = 60_000
     term: int = 3
@@ -141,6 +149,7 @@
 
 
 def successors(world: World, bounds: Bounds) -> Iterator[World]:
+    """Yield each state that one event leads to."""
     for body in world.sent:
         message = decode_message(body)
         if message.to in world.nodes:
@@ -186,7 +195,8 @@
     return world
 
 
-def elected(world: World, name: str, by: str) -> World:
+def elect(world: World, name: str, by: str) -> World:
+    """Let a process start an election and ``by`` vote for it."""
     world = step(world, name, StartElection())
     term = world.nodes[name].term
     world = deliver(world, by, MessageType.REQUEST_VOTE, lambda one: one.term == term)
@@ -195,7 +205,7 @@
 
 def with_leader(kind: type[Raft] = Raft) -> World:
     """``a`` is the leader, and ``b`` holds its first entry."""
-    world = deliver(elected(initial_world(kind), "a", "b"), "b", MessageType.APPEND_ENTRIES)
+    world = deliver(elect(initial_world(kind), "a", "b"), "b", MessageType.APPEND_ENTRIES)
     return deliver(world, "a", MessageType.APPEND_REPLY)
 
 
@@ -203,11 +213,11 @@
     """The case of an entry of an earlier term: ``a`` has entries of term 1 that no other voter held; ``c``
     was the leader since, with an entry of its own; ``a`` is the leader again, ``b`` holds the first of the
     old entries, and ``c`` starts an election."""
-    world = step(elected(initial_world(kind), "a", "b"), "a", Propose(b"old"))
+    world = step(elect(initial_world(kind), "a", "b"), "a", Propose(b"old"))
     world = replace(world, sent=frozenset())
-    world = elected(step(world, "c", StartElection()), "c", "b")  # the second election: b voted in term 1
+    world = elect(step(world, "c", StartElection()), "c", "b")  # the second election: b voted in term 1
     world = replace(world, sent=frozenset())
-    world = elected(step(crash(world, "a"), "a", StartElection()), "a", "b")
+    world = elect(step(crash(world, "a"), "a", StartElection()), "a", "b")
     assert [world.nodes[name].role == Role.LEADER for name in VOTERS] == [True, False, True]
     for _ in range(3):  # rejected, and sent again from an earlier index
         world = deliver(world, "a", MessageType.APPEND_REPLY)
@@ -245,7 +255,7 @@
 
 @pytest.fixture(autouse=True)
 def one_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    # An entry of an earlier term arrives without the newer one.
+    """Send one entry per message, so that one of an earlier term arrives without the newer one."""
     monkeypatch.setattr(raft, "MAX_MESSAGE_ENTRIES", 1)
 
 
@@ -257,6 +267,8 @@
 
 
 class VotesTwice(Raft):
+    """Fault: a process forgets its vote and can vote twice in a term."""
+
     def _on_vote_request(self, message: Message) -> None:
         if message.term == self.term:
             self.voted_for = ""
@@ -264,6 +276,8 @@
 
 
 class CountsOlder(Raft):
+    """Fault: a leader commits entries of an older term by their count."""
+
     def _advance_commit(self) -> None:
         held = sorted(
             self.last_index if one == self.voter_id else self._peer(one).match_index for one in self.voters
@@ -273,8 +287,11 @@
 
 
 class CountsLearners(Raft):
+    """Fault: a learner counts as a voter."""
+
     @property
     def voters(self) -> tuple[str, ...]:
+        """The voters and the learner ``l``."""
         return (*super().voters, "l")
 
     def _count_votes(self) -> None:
@@ -283,6 +300,8 @@
 
 
 class TakesAnySnapshot(Raft):
+    """Fault: a process installs any snapshot, also one older than its committed entries."""
+
     def _install_snapshot(self, snapshot: Snapshot) -> None:
         self.log, self.snapshot = [], snapshot
         self.commit_index = self.last_applied = snapshot.index
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -27,18 +27,24 @@
 
 
 class GrantsBeforeCommit(Agreement):
+    """Fault: a leader grants leases before its newest entry is committed."""
+
     def _append_command(self, command: BeginJointPhase | EndJointPhase) -> None:
         super()._append_command(command)
         self.deciding_index = 0
 
 
 class IgnoresLeases(Agreement):
+    """Fault: a joint phase advances without regard to the leases that were granted."""
+
     def _advance_joint_phase(self) -> None:
         self.leases.clear()
         super()._advance_joint_phase()
 
 
 class CountsLeaseFromArrival(Agreement):
+    """Fault: a lease counts from the arrival of its grant, and for twice its length."""
+
     def _on_lease_grant(self, sender: str, grant: LeaseGrant) -> None:
         super()._on_lease_grant(sender, grant)
         if grant.lease > 0.0:
@@ -46,7 +52,10 @@
 
 
 class ActsOnJointVersionAlone(Agreement):
+    """Fault: in a joint phase a member acts on the new version instead of the meet of both."""
+
     def rules(self) -> Any:
+        """The rules that the member acts on."""
         joint = self.known_state.joint
         if self.acting_on is not None and self.acting_on[1] and joint is not None:
             return self._decoded(joint)  # instead of the meet of both versions
@@ -84,6 +93,7 @@
 
 
 def running_fleet(members: int = 5, voters: int = 3) -> SimulatedAgreementFleet:
+    """Return a simulated fleet that has run for 3 s."""
     fleet = SimulatedAgreementFleet(members, 7, voters, base=Link(delay=2.0, jitter=4.0))
     for name in fleet.members:
         fleet.start(name)
@@ -92,6 +102,7 @@
 
 
 def run_step(fleet: SimulatedAgreementFleet, verb: str, *arguments: object, lasts: float = 0.0) -> None:
+    """Execute one step of a scenario and run the fleet for ``lasts`` ms."""
     fleet.execute_step(Step(0.0, verb, arguments))
     fleet.run(fleet.now + lasts)
 
@@ -107,10 +118,11 @@
 
 
 def leader(fleet: SimulatedAgreementFleet) -> str:
+    """Return the name of the leader."""
     return next(
         name for name, one in fleet.agreements.items()
         if one.raft is not None and not fleet.members[name].stopped
-        and one.raft.has_leader_lease(fleet.members[name].own_time(fleet.now))
+        and one.raft.has_leader_lease(fleet.members[name].local_time(fleet.now))
     )  # fmt: skip
 
 
@@ -147,9 +159,9 @@
     run_step(fleet, "split", "n4", "n0,n1,n2,n3")
     done, took = propose_and_wait(fleet, "n0", rule_set(1))
     assert done and took < LeaseTimings().bound
-    assert "n4" not in fleet.acting()  # it is on safe rules
+    assert "n4" not in fleet.acting_rules()  # it is on safe rules
     run_step(fleet, "heal", lasts=2_000.0)
-    assert fleet.agreements["n4"].known_state.in_force.number == 2 and "n4" in fleet.acting()
+    assert fleet.agreements["n4"].known_state.in_force.number == 2 and "n4" in fleet.acting_rules()
 
 
 @pytest.mark.parametrize("after", [20.0, 60.0, 120.0, 200.0, 300.0, 400.0])
@@ -167,10 +179,10 @@
     fleet = running_fleet()
     assert propose_and_wait(fleet, "n4", rule_set(3))[0]
     run_step(fleet, "kill", "n0,n1", lasts=LeaseTimings().bound)
-    assert not fleet.acting()
+    assert not fleet.acting_rules()
     assert propose_and_wait(fleet, "n4", rule_set(1)) is None
     run_step(fleet, "start", "n0", lasts=6_000.0)
-    assert len(fleet.acting()) == 4 and not fleet.finish()
+    assert len(fleet.acting_rules()) == 4 and not fleet.finish()
 
 
 def test_all_voters_restart_with_their_disks() -> None:
@@ -188,7 +200,7 @@
     fleet.lose_disk("n1")
     run_step(fleet, "start", "n1", lasts=3_000.0)
     assert not fleet.agreements["n1"].is_voter and "n1" not in fleet.disks
-    assert propose_and_wait(fleet, "n4", rule_set(3))[0] and "n1" in fleet.acting()
+    assert propose_and_wait(fleet, "n4", rule_set(3))[0] and "n1" in fleet.acting_rules()
 
 
 @pytest.mark.parametrize("new", ["n1", "n4"])
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -1,5 +1,5 @@
 """The control tier in simulated time: no invariant breaks in a day of faults, and the checker finds each
-planted defect."""
+injected fault."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from benchmarks.scale.tier import play_day
+from benchmarks.scale.tier import simulate_day
 from martentide.control.client import ControlClient
 from martentide.control.messages import StateEntry
 from martentide.control.node import ControlNode
@@ -21,13 +21,13 @@
 
 
 def test_a_day_of_faults_breaks_no_invariant() -> None:
-    result = play_day(SMALL, 3)
+    result = simulate_day(SMALL, 3)
     assert result["rules_broken"] == 0, result["broken"]
     assert result["missing_share"] == 0.0
 
 
 def test_five_percent_loss_breaks_no_invariant() -> None:
-    result = play_day(SMALL, 4, loss=0.05)
+    result = simulate_day(SMALL, 4, loss=0.05)
     assert result["rules_broken"] == 0, result["broken"]
 
 
@@ -42,7 +42,7 @@
         if second == seconds // 2:
             tier.kill_proxy(proxies[7])
         checker.check(proxies)
-    return {one.rule for one in checker.finish()}
+    return {one.invariant for one in checker.finish()}
 
 
 def test_a_run_without_faults_breaks_no_invariant() -> None:
@@ -50,10 +50,11 @@
 
 
 def drop_a_member(patch: pytest.MonkeyPatch) -> None:
-    whole = ControlClient._update
+    """Fault: a client omits one member from the updates that it receives."""
+    original_update = ControlClient._update
 
-    def without(self: ControlClient, update: object, now: float) -> None:
-        whole(self, update, now)  # type: ignore[arg-type]
+    def update_without_member(self: ControlClient, update: object, now: float) -> None:
+        original_update(self, update, now)  # type: ignore[arg-type]
         for held in self.entries.values():
             entry = held.entry
             kept = [one for one in entry.members if one.name != "p9"]
@@ -61,22 +62,24 @@
                 entry.service, entry.region, entry.zone, entry.up, entry.capacity, entry.pressure, kept
             )
 
-    patch.setattr(ControlClient, "_update", without)
+    patch.setattr(ControlClient, "_update", update_without_member)
 
 
 def disable_expiry(patch: pytest.MonkeyPatch) -> None:
+    """Fault: a node never expires a lease."""
     patch.setattr(ControlNode, "_expire", lambda self, now: None)
 
 
 def disable_ageing(patch: pytest.MonkeyPatch) -> None:
+    """Fault: a client takes its state for fresh, however old it is."""
     patch.setattr(ControlClient, "age", lambda self, key, now: 0.0)
 
 
-@pytest.mark.parametrize(("plant", "rule"), [(drop_a_member, "held-dead"), (disable_expiry, "held-alive")])
+@pytest.mark.parametrize(("inject", "rule"), [(drop_a_member, "held-dead"), (disable_expiry, "held-alive")])
 def test_a_planted_fault_is_found(
-    monkeypatch: pytest.MonkeyPatch, plant: Callable[[pytest.MonkeyPatch], None], rule: str
+    monkeypatch: pytest.MonkeyPatch, inject: Callable[[pytest.MonkeyPatch], None], rule: str
 ) -> None:
-    plant(monkeypatch)
+    inject(monkeypatch)
     assert rule in broken_rules()
 
 
@@ -86,11 +89,11 @@
     checker = TierChecker(tier)
     tier.start()
     tier.run(10_000.0)
-    for info in tier.infos:
+    for info in tier.node_infos:
         tier.kill_node(info.name)
     tier.run(30_000.0)
     checker.check(list(tier.proxies.values()))
-    assert {one.rule for one in checker.violations} == {"past-end"}
+    assert {one.invariant for one in checker.violations} == {"past-end"}
 
 
 def test_too_many_bytes_are_found() -> None:
@@ -109,8 +112,8 @@
     monkeypatch.setattr(ControlClient, "_schedule_home_return", lambda self, update, now: None)
     tier = SimulatedTier(SMALL, 5)
     checker = TierChecker(tier)
-    home = [info.name for info in tier.infos if info.region == "r0"]
-    for info in tier.infos:
+    home = [info.name for info in tier.node_infos if info.region == "r0"]
+    for info in tier.node_infos:
         if info.name not in home:
             tier.start_node(info.name)
     for proxy in tier.proxies.values():
@@ -121,4 +124,4 @@
     checker.record_fault()
     tier.run(40_000.0)
     checker.check(list(tier.proxies.values()))
-    assert "away" in {one.rule for one in checker.violations}
+    assert "away" in {one.invariant for one in checker.violations}
--- a/tests/extproc/test_services.py
+++ b/tests/extproc/test_services.py
@@ -16,7 +16,7 @@
 from martentide.client import Attempt, Call, Client, ClientClosed, Ending, Refused, Route, Standing
 from martentide.codec.messages import Code, Type, body_length, read_message, write_message
 from martentide.decisions.v1 import decisions_pb2 as pb
-from martentide_lab.fronts import EnvoyStream, RawFrontProxy, UpstreamConnections, set_headers
+from martentide_lab.fronts import EnvoyStream, RawFrontProxy, UpstreamConnections, headers_set_by
 from martentide_lab.proxy import PROJECT_ROOT, ProxyProcess
 from martentide_lab.relay import Relay
 from martentide_lab.servers import DRAINING, DiscoveryServer, SessionServer
@@ -28,40 +28,45 @@
 class Environment:
     """A running proxy process with its session servers and its discovery service."""
 
-    def __init__(self, proxy: ProxyProcess, servers: list[SessionServer], board: DiscoveryServer) -> None:
-        self.proxy, self.servers, self.board = proxy, servers, board
+    def __init__(self, proxy: ProxyProcess, servers: list[SessionServer], discovery: DiscoveryServer) -> None:
+        self.proxy, self.servers, self.discovery = proxy, servers, discovery
 
     @asynccontextmanager
     async def raw(self, front: str = "raw") -> AsyncIterator[RawFrontProxy]:
+        """Connect as a front that sends arbitrary messages."""
         async with RawFrontProxy(self.proxy.external_processor_address) as raw_front:
             await raw_front.hello(front)
             yield raw_front
 
     def server(self, address: str) -> SessionServer:
+        """Return the session server at an address."""
         return next(server for server in self.servers if server.address == address)
 
 
 def run_scenario(
     scenario: Callable[[Environment], Awaitable[None]], more: str = "", servers: int = 2
 ) -> None:
+    """Run the scenario with a proxy; ``more`` is added to its extras."""
+
     async def run() -> None:
-        session_servers, board = [SessionServer(number) for number in range(servers)], DiscoveryServer()
+        session_servers, discovery = [SessionServer(number) for number in range(servers)], DiscoveryServer()
         for server in session_servers:
             await server.start()
-        await board.start()
+        await discovery.start()
         async with (
             asyncio.timeout(SCENARIO_TIMEOUT_S),
-            ProxyProcess(board, session_servers, EXTRAS.format(more)) as proxy,
+            ProxyProcess(discovery, session_servers, EXTRAS.format(more)) as proxy,
         ):
-            await scenario(Environment(proxy, session_servers, board))
+            await scenario(Environment(proxy, session_servers, discovery))
         for server in session_servers:
             await server.stop()
-        await board.stop()
+        await discovery.stop()
 
     asyncio.run(run())
 
 
 def kind(message: pb.ProxyMessage) -> str:
+    """Return the name of the message's kind."""
     return message.WhichOneof("kind") or ""
 
 
@@ -187,7 +192,7 @@
             routes = [(await front.next("route")).route for _ in range(2)]
             await front.outcome(2)
             await front.next("stands")
-            front.break_off()
+            front.reset_stream()
             await env.proxy.wait_for_log_line(
                 "raw/1 reason=peer-"
             )  # peer-reset, or peer-closed if the end was read first
@@ -200,7 +205,7 @@
             assert (once_more.request, once_more.server) == (1, routes[0].server)
             await again.outcome(1)
             assert (await again.next("stands")).stands.request == 1
-            again.break_off()
+            again.reset_stream()
             await asyncio.sleep(0.4)  # the lease
             await front.open()
             await front.send(pb.FrontMessage(hello=pb.Hello(front="raw", session=front.token)))
@@ -263,7 +268,7 @@
             route = (await front.next("route")).route
             assert 0 < route.valid_for_ms <= 1000, "the first byte must keep the drain rule in any case"
             draining = env.server(route.address)
-            env.board.publish([(draining, DRAINING)])
+            env.discovery.publish([(draining, DRAINING)])
             withdrawn = (await front.next("withdrawn")).withdrawn
             assert withdrawn.if_unused and withdrawn.why == "draining"
             await front.outcome(1, "NOT_SENT")
@@ -406,19 +411,19 @@
         async with grpc.aio.insecure_channel(env.proxy.external_processor_address) as channel:
             stream = EnvoyStream(channel)
             asked = await stream.request(ASKED)
-            added_headers = set_headers(asked)
+            added_headers = headers_set_by(asked)
             assert added_headers["x-envoy-original-dst-host"] in [server.address for server in env.servers]
             assert (
                 added_headers["x-martentide-attempt"] == "0"
                 and int(added_headers["x-envoy-upstream-rq-timeout-ms"]) > 0
             )
             passed = await stream.response(200, x_load_report="x0:10;x1:20;eps:0.1")
-            assert passed.WhichOneof("response") == "response_headers" and not set_headers(passed)
+            assert passed.WhichOneof("response") == "response_headers" and not headers_set_by(passed)
             await stream.done()
             full = EnvoyStream(channel)
             await full.request(ASKED)
             answered = await full.response(503)
-            assert set_headers(answered) == {"x-martentide-why": "decided"}
+            assert headers_set_by(answered) == {"x-martentide-why": "decided"}
 
     run_scenario(scenario)
 
@@ -465,11 +470,11 @@
     async def scenario(env: Environment) -> None:
         async with grpc.aio.insecure_channel(env.proxy.external_processor_address) as channel:
             stream = EnvoyStream(channel)
-            address = set_headers(await stream.request(ASKED))["x-envoy-original-dst-host"]
+            address = headers_set_by(await stream.request(ASKED))["x-envoy-original-dst-host"]
             await stream.response(200)
-            env.board.publish([(env.server(address), 2)])
+            env.discovery.publish([(env.server(address), 2)])
             with pytest.raises(grpc.aio.AioRpcError) as caught:
-                await stream._read()
+                await stream._receive()
             assert caught.value.code() is grpc.StatusCode.UNAVAILABLE
 
     run_scenario(scenario)
--- a/tests/net/test_dispatcher.py
+++ b/tests/net/test_dispatcher.py
@@ -30,18 +30,23 @@
         self.items: list[Order | Withdraw | Heard | Probing | Listed | Settle] = []
 
     def answer(self, call: bytes, description: bytes) -> None:
+        """Record an answer."""
         self.notifications.append(("answer", call, description))
 
     def refuse(self, call: bytes, hold_off: float) -> None:
+        """Record a refusal."""
         self.notifications.append(("refuse", call))
 
     def fail(self, call: bytes) -> None:
+        """Record a failure."""
         self.notifications.append(("fail", call))
 
     def release(self, call: bytes, cut: bool) -> None:
+        """Record a release."""
         self.notifications.append(("release", call, cut))
 
     def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
+        """Record an item for the server."""
         self.items.append(item)
 
 
@@ -49,6 +54,7 @@
     """Fails on every offer after requesting its next timer."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
+        """Raise RuntimeError on an offer, with a timer among the actions."""
         super().handle(now, event)
         if isinstance(event, SetUpOffered):
             self.actions = [SetTimer(1, 0.0)]
@@ -57,6 +63,7 @@
 
 
 def offer(peer: RecordingPeer, call: bytes = CALL, left: float = 3000.0) -> Offer:
+    """Return a caller's set-up with ``left`` ms."""
     return Offer(peer, call, b"voice", b"7f3a", b"desc", left, 0, FUTURE)
 
 
@@ -81,10 +88,12 @@
 
 
 def stood(attempt: int = 0) -> Stood:
+    """Return a server's answer to the first call."""
     return Stood(1, attempt, "s-1", 20.0, b"good")
 
 
 def ended(ending: Ending, attempt: int = 0) -> Ended:
+    """Return the end of an attempt of the first call."""
     return Ended(1, attempt, "s-1", ending, False, 20.0, None)
 
 
--- a/tests/net/test_gone_clients.py
+++ b/tests/net/test_gone_clients.py
@@ -17,23 +17,27 @@
 from tests.net.support import DESCRIPTION, SETTINGS, Listener, Program, Wire, frame
 
 A, B, C, D, E, F = (bytes.fromhex(text * 8) for text in ("a1", "b2", "c3", "d4", "e5", "f6"))
-RELEASE_WAIT = 1.0  # s; long enough to stop the process within the release wait
-RELEASE_WAIT_SETTINGS = {"extra": {**SETTINGS["extra"], "release_ms": RELEASE_WAIT * 1000.0}}
+RELEASE_WAIT_S = 1.0  # long enough to stop the process within the release wait
+RELEASE_WAIT_SETTINGS = {"extra": {**SETTINGS["extra"], "release_ms": RELEASE_WAIT_S * 1000.0}}
 
 
 def close(caller: Wire) -> None:
+    """Close the connection."""
     caller.sock.close()
 
 
 def reset(caller: Wire) -> None:
+    """Reset the connection."""
     caller.reset()
 
 
 def cancel(caller: Wire) -> None:
+    """Give up the call; the connection stays."""
     caller.release(A, 16)
 
 
 def half_close(caller: Wire) -> None:
+    """Close the caller's direction of the connection only."""
     caller.sock.shutdown(socket.SHUT_WR)
 
 
@@ -75,7 +79,7 @@
         program.logged("heard=AttemptEnded")
         with program.stopped():
             leave(caller)
-            time.sleep(RELEASE_WAIT + 0.2)
+            time.sleep(RELEASE_WAIT_S + 0.2)
         assert_nothing_sent(program, *servers)
 
 
@@ -173,7 +177,7 @@
 
 
 def test_an_outstanding_attempt_is_given_up_when_the_caller_half_closes(tmp_path: Path) -> None:
-    """A half-close can't be told from a close and counts as one."""
+    """A half-close can't be distinguished from a close and counts as one."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A)
