--- a/martentide/attempt_messages.py
+++ b/martentide/attempt_messages.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
-from typing import Protocol
+from typing import ClassVar, Protocol
 
 from martentide.interface import Ending, Report
 
@@ -53,9 +53,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class InputProcessed:
     """The input that the client had sent when it was checked has been processed: the attempt may begin."""
 
+    LOG_NAME: ClassVar[str] = "Heard"
+
     ref: int
     attempt: int
     call: bytes
--- a/martentide/lifecycle/machine.py
+++ b/martentide/lifecycle/machine.py
@@ -9,6 +9,7 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import ClassVar
 
 # s of a drain before idle connections close. The front sends calls for 0.2 s more after the first failed
 # health check of this proxy.
@@ -154,9 +155,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveLinks:
+class CloseIdleConnections:
     """Close callers' connections as soon as they are idle, or stop doing so if ``enabled`` is false."""
 
+    LOG_NAME: ClassVar[str] = "LeaveLinks"
+
     enabled: bool
 
 
@@ -173,17 +176,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetDue:
+class StartTimer:
     """Feed ``timer`` back as an event after ``delay`` seconds."""
 
+    LOG_NAME: ClassVar[str] = "SetDue"
+
     timer: TimerExpired
     delay: float
 
 
 @dataclass(frozen=True, slots=True)
-class TellWhenOver:
+class AwaitAllCallsEnded:
     """Send AllCallsEnded once every call is answered and no standing call is left."""
 
+    LOG_NAME: ClassVar[str] = "TellWhenOver"
+
 
 @dataclass(frozen=True, slots=True)
 class Reload:
@@ -196,29 +203,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class ReportPhaseChange:
     """Log a change of phase and its cause."""
 
+    LOG_NAME: ClassVar[str] = "Tell"
+
     phase: Phase
     by: str
 
 
 @dataclass(frozen=True, slots=True)
-class OpenMeeting:
+class OpenHandoverSocket:
     """Open the handover socket, so that a successor can find this process."""
 
+    LOG_NAME: ClassVar[str] = "OpenMeeting"
+
 
 @dataclass(frozen=True, slots=True)
-class WelcomeIt:
+class AcceptSuccessor:
     """Hand the listening socket to the process that asked."""
 
+    LOG_NAME: ClassVar[str] = "WelcomeIt"
+
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway:
+class RejectSuccessor:
     """Reject the process that asked to take over, with a reason for people."""
 
+    LOG_NAME: ClassVar[str] = "TurnAway"
+
     request: int
     reason: str
 
@@ -229,9 +244,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AcceptAgain:
+class ResumeAccepting:
     """Resume accepting on the same socket, because the successor has ended or is ending."""
 
+    LOG_NAME: ClassVar[str] = "AcceptAgain"
+
 
 @dataclass(frozen=True, slots=True)
 class MoveOut:
@@ -239,39 +256,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveBackIt:
+class ReturnListener:
     """Ask the predecessor to resume accepting connections."""
 
+    LOG_NAME: ClassVar[str] = "GiveBackIt"
+
 
 @dataclass(frozen=True, slots=True)
-class LetGoOfSuccessor:
+class CleanUpAfterSuccessor:
     """Treat the callers whose connections had moved to the successor as gone."""
 
+    LOG_NAME: ClassVar[str] = "LetGoOfSuccessor"
+
 
 @dataclass(frozen=True, slots=True)
-class LetGoOfPredecessor:
+class CleanUpAfterPredecessor:
     """Fail the calls that the predecessor left unanswered and use its share of descriptors."""
 
+    LOG_NAME: ClassVar[str] = "LetGoOfPredecessor"
+
 
 Action = (
     Answer
-    | LeaveLinks
+    | CloseIdleConnections
     | RefuseSetUps
     | StopListening
-    | SetDue
-    | TellWhenOver
+    | StartTimer
+    | AwaitAllCallsEnded
     | Reload
     | CloseFronts
-    | Tell
-    | OpenMeeting
-    | WelcomeIt
-    | TurnAway
+    | ReportPhaseChange
+    | OpenHandoverSocket
+    | AcceptSuccessor
+    | RejectSuccessor
     | Yield
-    | AcceptAgain
+    | ResumeAccepting
     | MoveOut
-    | GiveBackIt
-    | LetGoOfSuccessor
-    | LetGoOfPredecessor
+    | ReturnListener
+    | CleanUpAfterSuccessor
+    | CleanUpAfterPredecessor
 )
 
 
@@ -298,7 +321,7 @@
                 pass
             case Listening():
                 self.listening = True
-                self._emit(OpenMeeting())
+                self._emit(OpenHandoverSocket())
                 if self.phase is Phase.STARTING:
                     self._enter(Phase.IN_SERVICE, "start")
             case OutOfService(call):
@@ -323,10 +346,10 @@
     def _enter(self, phase: Phase, by: str) -> None:
         self.phase = phase
         self.epoch += 1
-        self._emit(Tell(phase, by))
+        self._emit(ReportPhaseChange(phase, by))
 
     def _set_timer(self, kind: TimerKind, delay: float) -> None:
-        self._emit(SetDue(TimerExpired(self.epoch, kind), delay))
+        self._emit(StartTimer(TimerExpired(self.epoch, kind), delay))
 
     def _out_of_service(self, call: int) -> None:
         if self.phase is Phase.STOPPING:
@@ -348,7 +371,7 @@
             self._emit(Answer(call, 200, "in service already" if self.ready else "starting"))
             return
         self._enter(Phase.IN_SERVICE if self.listening else Phase.STARTING, "operator")
-        self._emit(LeaveLinks(False), RefuseSetUps(False), Answer(call, 200, "in service"))
+        self._emit(CloseIdleConnections(False), RefuseSetUps(False), Answer(call, 200, "in service"))
 
     def _handle_upgrade(self, event: Event) -> None:
         match event:
@@ -356,7 +379,7 @@
                 self.upgrade_peer = UpgradePeer.PREDECESSOR
             case PredecessorGone() if self.upgrade_peer is UpgradePeer.PREDECESSOR:
                 self.upgrade_peer = UpgradePeer.NONE
-                self._emit(LetGoOfPredecessor())
+                self._emit(CleanUpAfterPredecessor())
             case SuccessorRequested(request):
                 self._successor_requested(request)
             case SuccessorReady() if self.upgrade_peer is UpgradePeer.SUCCESSOR:
@@ -371,12 +394,12 @@
 
     def _successor_requested(self, request: int) -> None:
         if not self.listening:
-            self._emit(TurnAway(request, self.phase.value))
+            self._emit(RejectSuccessor(request, self.phase.value))
         elif self.upgrade_peer is not UpgradePeer.NONE:
-            self._emit(TurnAway(request, f"another upgrade is under way: {self.upgrade_peer.value}"))
+            self._emit(RejectSuccessor(request, f"another upgrade is under way: {self.upgrade_peer.value}"))
         else:
             self.upgrade_peer = UpgradePeer.SUCCESSOR
-            self._emit(WelcomeIt(request))
+            self._emit(AcceptSuccessor(request))
 
     def _successor_ready(self) -> None:
         """Yield the listener, also while stopping, so that callers who connect late are served."""
@@ -388,9 +411,9 @@
     def _successor_leaves(self, upgrade_peer: UpgradePeer) -> None:
         was_accepting, self.upgrade_peer = self.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR, upgrade_peer
         if upgrade_peer is UpgradePeer.NONE:
-            self._emit(LetGoOfSuccessor())
+            self._emit(CleanUpAfterSuccessor())
         if self.phase is not Phase.STOPPING and (was_accepting or upgrade_peer is UpgradePeer.NONE):
-            self._emit(AcceptAgain(), OpenMeeting())
+            self._emit(ResumeAccepting(), OpenHandoverSocket())
 
     def _terminate(self) -> None:
         if self.phase is Phase.STOPPING:
@@ -407,13 +430,13 @@
     def _timer_expired(self, kind: TimerKind) -> None:
         match kind:
             case TimerKind.CLOSE_IDLE:
-                self._emit(LeaveLinks(True))
+                self._emit(CloseIdleConnections(True))
             case TimerKind.REFUSE_SET_UPS:
                 self._emit(RefuseSetUps(True))
             case TimerKind.STOP_ACCEPTING:
                 if self.upgrade_peer is UpgradePeer.PREDECESSOR:
-                    self._emit(GiveBackIt())
+                    self._emit(ReturnListener())
                 self.listening = False
-                self._emit(StopListening(), RefuseSetUps(True), TellWhenOver())
+                self._emit(StopListening(), RefuseSetUps(True), AwaitAllCallsEnded())
             case TimerKind.END:
                 self._enter(Phase.ENDED, "all-over")
--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -11,6 +11,7 @@
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import ClassVar
 
 from martentide.codec import CodecError
 from martentide.codec.figures import read_first_choice
@@ -26,7 +27,7 @@
 from martentide.handover.wire import MAX_CALLS_PER_FRAME, Left, MovedCalls, MovedLink, Said
 from martentide.net.call_trace import CALL_TRACE, CallStep
 from martentide.net.client_connections import ClientConnections, SendFrame
-from martentide.net.close_reason import LOG, CloseReason, log_event
+from martentide.net.close_reason import LOG, CloseReason, log_event, logged_name
 from martentide.net.config import Address
 from martentide.net.dispatcher import GiveUp, Offer, ReleaseIn, time_for_answer
 from martentide.net.links import Link, LinkEnded, Received
@@ -69,12 +70,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class MessageToCaller:
     """An outgoing message for the caller of a call; ``stands`` if it is an answer, otherwise it is final.
 
     ``from_predecessor``: the message comes from the predecessor instead of this process's dispatcher.
     """
 
+    LOG_NAME: ClassVar[str] = "Say"
+
     call: bytes
     message: bytes
     stands: bool = False
@@ -82,9 +85,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoLongerOwed:
+class PendingReleaseExpired:
     """A pending release has expired undelivered."""
 
+    LOG_NAME: ClassVar[str] = "NoLongerOwed"
+
     call: bytes
 
 
@@ -110,34 +115,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeftHere:
+class CallerLeftAtSuccessor:
     """The successor reports that the caller gave up or released the call, or is gone."""
 
+    LOG_NAME: ClassVar[str] = "LeftHere"
+
     call: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Orphaned:
+class PredecessorGone:
     """The predecessor is gone; its unanswered calls fail, and its standing calls are forgotten."""
 
+    LOG_NAME: ClassVar[str] = "Orphaned"
+
 
 @dataclass(frozen=True, slots=True)
-class Deserted:
+class SuccessorGone:
     """The successor is gone, and with it the connections that moved to it."""
 
+    LOG_NAME: ClassVar[str] = "Deserted"
+
 
 Item = (
     Opened
     | Received
     | LinkEnded
-    | Say
-    | NoLongerOwed
+    | MessageToCaller
+    | PendingReleaseExpired
     | MoveOut
     | MoveLink
     | MoveIn
-    | LeftHere
-    | Orphaned
-    | Deserted
+    | CallerLeftAtSuccessor
+    | PredecessorGone
+    | SuccessorGone
 )
 
 
@@ -177,7 +188,7 @@
             try:
                 self._handle(item)
             except Exception:
-                LOG.exception("internal-error", party=self.host, item=type(item).__name__)
+                LOG.exception("internal-error", party=self.host, item=logged_name(item))
                 if isinstance(item, Received):
                     item.link.close(CloseReason.INTERNAL)
             if isinstance(item, Received):
@@ -192,7 +203,7 @@
         match item:
             case Received():
                 self._received(item)
-            case Say():
+            case MessageToCaller():
                 self._deliver(item)
             case Opened(link):
                 self._opened(link)
@@ -204,15 +215,15 @@
                 self._move_link(item)
             case MoveIn(frame, link):
                 self._move_in(frame, link)
-            case LeftHere(call):
+            case CallerLeftAtSuccessor(call):
                 record = self.records.pop(call, None)
                 if record is not None:
                     self.notify_dispatcher(ReleaseIn(call) if record.stands else GiveUp(call))
-            case Orphaned():
+            case PredecessorGone():
                 self._predecessor_gone()
-            case Deserted():
+            case SuccessorGone():
                 self._successor_gone()
-            case NoLongerOwed(call):
+            case PendingReleaseExpired(call):
                 if self.pending_releases.pop(call, None) is not None:
                     log_event("release-not-delivered", party=self.host, call=call.hex())
 
@@ -349,21 +360,23 @@
     def answer(self, call: bytes, description: bytes) -> None:
         """Send the answer with the server's description: the call stands."""
         message = write_message(Type.ANSWER, call, {Code.DESCRIPTION: description})
-        self.post(Say(call, message, stands=True))
+        self.post(MessageToCaller(call, message, stands=True))
 
     def refuse(self, call: bytes, hold_off: float) -> None:
         """Refuse the call with cause congestion; the caller should wait ``hold_off`` ms before a redial."""
-        self.post(Say(call, write_release(call, Cause.CONGESTION, hold_off)))
+        self.post(MessageToCaller(call, write_release(call, Cause.CONGESTION, hold_off)))
 
     def fail(self, call: bytes) -> None:
         """Fail the call with cause resource unavailable."""
-        self.post(Say(call, write_release(call, Cause.RESOURCE_UNAVAILABLE)))
+        self.post(MessageToCaller(call, write_release(call, Cause.RESOURCE_UNAVAILABLE)))
 
     def release(self, call: bytes, cut: bool) -> None:
         """Release a standing call; ``cut``: it was lost with its server instead of ended normally."""
-        self.post(Say(call, write_release(call, Cause.TEMPORARY_FAILURE if cut else Cause.NORMAL)))
+        self.post(
+            MessageToCaller(call, write_release(call, Cause.TEMPORARY_FAILURE if cut else Cause.NORMAL))
+        )
 
-    def _deliver(self, item: Say) -> None:
+    def _deliver(self, item: MessageToCaller) -> None:
         record = self.records.get(item.call)
         if record is None and item.from_predecessor and not item.stands:
             # The caller reconnected after the connection of its call had closed.
@@ -415,7 +428,7 @@
     def _keep_release(self, call: bytes, message: bytes) -> None:
         if len(self.pending_releases) < MAX_PENDING_RELEASES:
             self.pending_releases[call] = message
-            self.loop.call_later(PENDING_RELEASE_EXPIRY, self.post, NoLongerOwed(call))
+            self.loop.call_later(PENDING_RELEASE_EXPIRY, self.post, PendingReleaseExpired(call))
 
     # ---- upgrade ----------------------------------------------------------------------------------------
 
@@ -510,7 +523,9 @@
                 self._uncount_standing(record)
             else:
                 self._deliver(
-                    Say(call, write_release(call, Cause.RESOURCE_UNAVAILABLE), from_predecessor=True)
+                    MessageToCaller(
+                        call, write_release(call, Cause.RESOURCE_UNAVAILABLE), from_predecessor=True
+                    )
                 )
 
 
@@ -628,7 +643,7 @@
     def deliver_from_predecessor(self, frame: Said) -> None:
         """Deliver a message from the predecessor to a caller."""
         if frame.host in self.calling_hosts or not frame.stands:
-            item = Say(frame.call, frame.message, frame.stands, from_predecessor=True)
+            item = MessageToCaller(frame.call, frame.message, frame.stands, from_predecessor=True)
             self._calling_host(frame.host).post(item)
         elif self.client_connections.predecessor is not None:
             self.client_connections.predecessor(Left(frame.host, frame.call))
@@ -636,7 +651,7 @@
     def caller_left(self, frame: Left) -> None:
         """Handle the successor's report that a caller gave up or released a call of this process."""
         if frame.host in self.calling_hosts:
-            self.calling_hosts[frame.host].post(LeftHere(frame.call))
+            self.calling_hosts[frame.host].post(CallerLeftAtSuccessor(frame.call))
 
     def share_with_predecessor(self, predecessor: Callable[[Left], None], links: int) -> None:
         """Register a predecessor with ``links`` connections: both processes share one descriptor budget."""
@@ -654,7 +669,7 @@
         """Handle the loss of the successor and of the connections that moved to it."""
         self.client_connections.successor, self.moving = None, False
         for calling_host in list(self.calling_hosts.values()):
-            calling_host.post(Deserted())
+            calling_host.post(SuccessorGone())
 
     def predecessor_gone(self) -> None:
         """Handle the loss of the predecessor: fail its unanswered calls, use the whole descriptor budget."""
@@ -663,4 +678,4 @@
             self.max_connections,
         )
         for calling_host in list(self.calling_hosts.values()):
-            calling_host.post(Orphaned())
+            calling_host.post(PredecessorGone())
--- a/martentide/net/close_reason.py
+++ b/martentide/net/close_reason.py
@@ -12,6 +12,15 @@
 LOG = structlog.get_logger()
 
 
+def logged_name(item: object) -> str:
+    """Return the name of the item's class in log lines: its LOG_NAME if it has one, else the class's name.
+
+    LOG_NAME keeps the printed name of a class that was renamed, so that its log lines stay the same.
+    """
+    name: str = getattr(item, "LOG_NAME", type(item).__name__)
+    return name
+
+
 class CloseReason(Enum):
     """Why a connection ended or could not be opened; the values appear in the log."""
 
--- a/martentide/net/dispatcher.py
+++ b/martentide/net/dispatcher.py
@@ -12,9 +12,18 @@
 from collections import Counter, OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Protocol
-
-from martentide.attempt_messages import Client, ClientLeft, Ended, Heard, Order, Presence, Stood, Withdraw
+from typing import TYPE_CHECKING, ClassVar, Protocol
+
+from martentide.attempt_messages import (
+    Client,
+    ClientLeft,
+    Ended,
+    InputProcessed,
+    Order,
+    Presence,
+    Stood,
+    Withdraw,
+)
 from martentide.codec.discovery import Listed, Notice
 from martentide.interface import (
     Action,
@@ -45,7 +54,7 @@
     TestDuty,
     TimerDue,
 )
-from martentide.net.close_reason import LOG, log_event
+from martentide.net.close_reason import LOG, log_event, logged_name
 from martentide.net.links import unix_ms
 from martentide.rules import Controller
 
@@ -140,7 +149,7 @@
 class ServerActor(Carrier, Protocol):
     """The carrier over this process's own connections to one server."""
 
-    def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
+    def post(self, item: Order | Withdraw | InputProcessed | Probing | Listed | ApplySettings) -> None:
         """Put an item into the actor's mailbox."""
         ...
 
@@ -153,9 +162,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class ApplySettings:
     """New settings apply from now on; ``connect_timeout`` in s."""
 
+    LOG_NAME: ClassVar[str] = "Settle"
+
     settings: Settings
     max_open: int
     connect_timeout: float
@@ -167,13 +178,13 @@
     | ReleaseIn
     | Stood
     | Ended
-    | Heard
+    | InputProcessed
     | ClientLeft
     | ProbeEnded
     | TimerDue
     | Overdue
     | Notice
-    | Settle
+    | ApplySettings
     | ColdShare
     | TestDuty
     | PeerNews
@@ -283,7 +294,7 @@
                 self._handle(item)
             except Exception:
                 # After an error in the decisions the affected call is failed, and all others continue.
-                LOG.exception("internal-error", item=type(item).__name__)
+                LOG.exception("internal-error", item=logged_name(item))
                 self._settle_after_error(item)
             self.call_being_decided = None
             if self.calls:
@@ -301,7 +312,7 @@
                 self._caller_left(call_id)
             case ClientLeft(ref):
                 self._client_gone(ref)
-            case Heard():
+            case InputProcessed():
                 if (server := self.servers.get(item.server)) is not None:
                     server.post(item)
             case Stood():
@@ -312,7 +323,7 @@
                 self.apply_list(item)
             case Overdue(ref):
                 self._overdue(ref)
-            case Settle(settings, max_open):
+            case ApplySettings(settings, max_open):
                 self.max_open = max_open
                 for server in self.servers.values():
                     server.post(item)
--- a/martentide/net/fleet/member.py
+++ b/martentide/net/fleet/member.py
@@ -12,7 +12,7 @@
 import secrets
 from collections import Counter
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, ClassVar
 
 from martentide.fleet.core import Membership
 from martentide.fleet.events import (
@@ -35,7 +35,7 @@
 from martentide.fleet.health_check_assignment import SCHEMA, HealthCheckAssignment, evaluate_assignment
 from martentide.fleet.wire import DatagramError, Frame, State
 from martentide.interface import AttemptEnded, Event, ProbeEnded, RepeatBudget, Settings, Stands
-from martentide.net.close_reason import LOG, log_event
+from martentide.net.close_reason import LOG, log_event, logged_name
 from martentide.net.dispatcher import Dispatcher, Probing
 from martentide.net.due_timer import DueTimer
 from martentide.overload import core as overload
@@ -65,11 +65,13 @@
     """The core's timer is due."""
 
 
-class Look:
+class EvaluationDue:
     """The health-check assignment is due for evaluation."""
 
+    LOG_NAME: ClassVar[str] = "Look"
 
-Item = bytes | Seen | Tick | Look
+
+Item = bytes | Seen | Tick | EvaluationDue
 
 
 class Endpoint(asyncio.DatagramProtocol):
@@ -211,7 +213,7 @@
             try:
                 self._handle_item(item)
             except Exception:  # a fault in one message must not end the membership
-                LOG.exception("internal-error fleet", item=type(item).__name__)
+                LOG.exception("internal-error fleet", item=logged_name(item))
             if self.core is not None:
                 self._arm()
 
@@ -233,7 +235,7 @@
                 self._receive_datagram(item)
             case Tick():
                 self._feed(Due())
-            case Look():
+            case EvaluationDue():
                 self._evaluate()
                 self.evaluation_timer = self.loop.call_later(
                     EVALUATION_INTERVAL_MS / 1000.0, self._post_evaluation
@@ -251,7 +253,7 @@
                 EVALUATION_INTERVAL_MS / 1000.0, self._post_evaluation
             )
         else:
-            self.post(Look())
+            self.post(EvaluationDue())
 
     def _receive_datagram(self, data: bytes) -> None:
         self.counts["received"] += 1
--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -13,16 +13,17 @@
 from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import ClassVar
 
-from martentide.attempt_messages import ClientLeft, Ended, Heard, Order, Presence, Stood, Withdraw
+from martentide.attempt_messages import ClientLeft, Ended, InputProcessed, Order, Presence, Stood, Withdraw
 from martentide.codec import CodecError
 from martentide.codec.discovery import Listed
 from martentide.codec.figures import read_report
 from martentide.codec.messages import Cause, Code, Message, Type, write_message, write_release
 from martentide.interface import Ending, ProbeEnded, Report, ServerState
 from martentide.net.call_trace import CALL_TRACE, CallStep
-from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
-from martentide.net.dispatcher import Probing, Settle
+from martentide.net.close_reason import LOG, CloseReason, log_connection_closed, logged_name
+from martentide.net.dispatcher import ApplySettings, Probing
 from martentide.net.links import Link, LinkEnded, Received, unix_ms
 
 MAX_CONNECTIONS = 4  # to one server, which sends its group state on at most this many
@@ -89,39 +90,66 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PatienceOver:
+class AttemptTimedOut:
     """The time of an attempt has run out."""
 
+    LOG_NAME: ClassVar[str] = "PatienceOver"
+
     order: Order
 
 
 @dataclass(frozen=True, slots=True)
-class DoubtDue:
+class SuspectTimerExpired:
     """``SUSPECT_AFTER`` has passed since the attempt's set-up was sent."""
 
+    LOG_NAME: ClassVar[str] = "DoubtDue"
+
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class TestOver:
+class HealthCheckTimedOut:
     """A health check has timed out."""
 
+    LOG_NAME: ClassVar[str] = "TestOver"
+
     check_id: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class RedialDue:
+class ReconnectTimerExpired:
     """The reconnect delay is over."""
 
+    LOG_NAME: ClassVar[str] = "RedialDue"
+
 
 @dataclass(frozen=True, slots=True)
-class QuietDue:
+class KeepaliveTimerExpired:
     """The keepalive timer has expired."""
 
-
-Timer = PatienceOver | DoubtDue | TestOver | RedialDue | QuietDue
-DispatcherItem = Stood | Ended | ProbeEnded | Heard | ClientLeft
-Item = Order | Withdraw | Heard | Probing | Listed | Settle | Received | LinkEnded | Dialled | Timer
+    LOG_NAME: ClassVar[str] = "QuietDue"
+
+
+Timer = (
+    AttemptTimedOut
+    | SuspectTimerExpired
+    | HealthCheckTimedOut
+    | ReconnectTimerExpired
+    | KeepaliveTimerExpired
+)
+DispatcherItem = Stood | Ended | ProbeEnded | InputProcessed | ClientLeft
+Item = (
+    Order
+    | Withdraw
+    | InputProcessed
+    | Probing
+    | Listed
+    | ApplySettings
+    | Received
+    | LinkEnded
+    | Dialled
+    | Timer
+)
 
 
 class Server:
@@ -154,7 +182,7 @@
         self.last_received_at = self.loop.time()
         # Loop time of the first sent message after which no byte was received; None if there is none.
         self.awaiting_since: float | None = None
-        self.keepalive_timer = self.loop.call_later(KEEPALIVE_IDLE, self.post, QuietDue())
+        self.keepalive_timer = self.loop.call_later(KEEPALIVE_IDLE, self.post, KeepaliveTimerExpired())
         self.task = self.loop.create_task(self._run(), name=f"server {self.name}")
 
     def post(self, item: Item) -> None:
@@ -168,7 +196,7 @@
             try:
                 self._handle(item)
             except Exception:
-                LOG.exception("internal-error", server=self.name, item=type(item).__name__)
+                LOG.exception("internal-error", server=self.name, item=logged_name(item))
             if isinstance(item, Received):
                 item.link.message_processed()
         self.keepalive_timer.cancel()
@@ -189,7 +217,7 @@
                 self._start_attempt(item)
             case Withdraw():
                 self._withdraw(item)
-            case Heard():
+            case InputProcessed():
                 self._input_processed(item)
             case Received():
                 self._received(item.link, item.message)
@@ -199,22 +227,22 @@
                 self._link_ended(item.link, item.reason)
             case Probing():
                 self._send_health_check()
-            case Listed() | Settle():
+            case Listed() | ApplySettings():
                 self._update(item)
             case _:
                 self._handle_timer(item)
 
     def _handle_timer(self, item: Timer) -> None:
         match item:
-            case PatienceOver():
+            case AttemptTimedOut():
                 self._attempt_timed_out(item.order)
-            case DoubtDue(attempt):
+            case SuspectTimerExpired(attempt):
                 self._suspect_due(attempt)
-            case TestOver():
+            case HealthCheckTimedOut():
                 self._end_health_check(item.check_id, Ending.TIMED_OUT, None)
-            case QuietDue():
+            case KeepaliveTimerExpired():
                 self._keepalive_due()
-            case RedialDue():
+            case ReconnectTimerExpired():
                 self.reconnect_timer = None
                 self._dial()
 
@@ -222,7 +250,7 @@
 
     def _start_attempt(self, order: Order) -> None:
         now = self.loop.time()
-        timer = self.loop.call_later(max(0.0, order.patience) / 1000.0, self.post, PatienceOver(order))
+        timer = self.loop.call_later(max(0.0, order.patience) / 1000.0, self.post, AttemptTimedOut(order))
         attempt = self.attempts[order.call] = Attempt(order, timer, now)
         self._send_set_up(attempt)
 
@@ -254,7 +282,7 @@
         if not self._client_waits(attempt):
             return
         attempt.sent_at, attempt.link = self.loop.time(), connection.link
-        attempt.suspect_timer = self.loop.call_later(SUSPECT_AFTER, self.post, DoubtDue(attempt))
+        attempt.suspect_timer = self.loop.call_later(SUSPECT_AFTER, self.post, SuspectTimerExpired(attempt))
         self._mark_awaiting()
         left = order.patience - (attempt.sent_at - attempt.ordered_at) * 1000.0
         CALL_TRACE.step(order.call, CallStep.SENT, server=self.name, attempt=order.attempt, left=round(left))
@@ -276,7 +304,7 @@
 
         Prevents attempts for callers that have gone, wherever the order waited: a release wait, a queue, a
         dial, or a paused process. Input of the caller that has not been processed yet is processed first; the
-        ``Heard`` item that reports this takes the same route as a give-up and so arrives after it.
+        ``InputProcessed`` item that reports this takes the same route as a give-up and so arrives after it.
         """
         order = attempt.order
         presence = Presence.PRESENT if order.client is None else order.client.check_presence()
@@ -295,11 +323,11 @@
             return True  # the unprocessed input arrived after the last check
         if not attempt.awaiting_input:
             attempt.input_checked_at, attempt.awaiting_input = now, True
-            input_processed = Heard(order.ref, order.attempt, order.call, self.name)
+            input_processed = InputProcessed(order.ref, order.attempt, order.call, self.name)
             order.client.when_processed(lambda: self.notify_dispatcher(input_processed))
         return False
 
-    def _input_processed(self, item: Heard) -> None:
+    def _input_processed(self, item: InputProcessed) -> None:
         attempt = self.attempts.get(item.call)
         if attempt is not None and (attempt.order.ref, attempt.order.attempt) == (item.ref, item.attempt):
             attempt.awaiting_input = False
@@ -473,7 +501,7 @@
 
     def _send_health_check(self) -> None:
         check_id = next(self.check_numbers).to_bytes(8, "big")
-        timer = self.loop.call_later(HEALTH_CHECK_TIMEOUT, self.post, TestOver(check_id))
+        timer = self.loop.call_later(HEALTH_CHECK_TIMEOUT, self.post, HealthCheckTimedOut(check_id))
         link = next(
             (connection.link for connection in reversed(self.connections) if not connection.suspect), None
         )
@@ -548,7 +576,7 @@
     def _schedule_reconnect(self) -> None:
         if self.reconnect_timer is None and self.listed.entry.state is not ServerState.GONE:
             self.reconnect_timer = self.loop.call_later(
-                random.uniform(*RECONNECT_DELAY), self.post, RedialDue()
+                random.uniform(*RECONNECT_DELAY), self.post, ReconnectTimerExpired()
             )
 
     def _link_ended(self, link: Link, reason: CloseReason) -> None:
@@ -623,15 +651,17 @@
             for connection in self.connections:  # the server lives, so its silent connections are dead
                 if connection.suspect and now - connection.link.last_received_at >= KEEPALIVE_TIMEOUT:
                     connection.link.close(CloseReason.SILENT)
-        self.keepalive_timer = self.loop.call_later(max(KEEPALIVE_INTERVAL, idle_left), self.post, QuietDue())
+        self.keepalive_timer = self.loop.call_later(
+            max(KEEPALIVE_INTERVAL, idle_left), self.post, KeepaliveTimerExpired()
+        )
 
     def _mark_awaiting(self) -> None:
         """Note when a message that a live server responds to was sent, or put off until a dial succeeds."""
         if self.awaiting_since is None:
             self.awaiting_since = self.loop.time()
 
-    def _update(self, listed: Listed | Settle) -> None:
-        if isinstance(listed, Settle):
+    def _update(self, listed: Listed | ApplySettings) -> None:
+        if isinstance(listed, ApplySettings):
             self.connect_timeout = listed.connect_timeout
             return
         restarted = (listed.entry.started or 0.0) > (self.listed.entry.started or 0.0)
--- a/martentide/net/service.py
+++ b/martentide/net/service.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from martentide.attempt_messages import Ended, Heard, Order, Withdraw
+from martentide.attempt_messages import Ended, InputProcessed, Order, Withdraw
 from martentide.codec.discovery import Listed, Notice
 from martentide.handover.wire import (
     VERSION,
@@ -35,10 +35,10 @@
 from martentide.lifecycle.machine import StateMachine
 from martentide.net import descriptors
 from martentide.net.callers import Callers
-from martentide.net.close_reason import LOG, CloseReason, log_event
+from martentide.net.close_reason import LOG, CloseReason, log_event, logged_name
 from martentide.net.config import Config, ConfigError, check_keys
 from martentide.net.discovery import AddressChanged, DiscoveryClient
-from martentide.net.dispatcher import Dispatcher, Probing, ServerActor, Settle
+from martentide.net.dispatcher import ApplySettings, Dispatcher, Probing, ServerActor
 from martentide.net.handover import (
     Channel,
     HandoverRefused,
@@ -84,7 +84,7 @@
     def __init__(self, listed: Listed, dispatcher: Dispatcher) -> None:
         self.listed, self.dispatcher = listed, dispatcher
 
-    def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
+    def post(self, item: Order | Withdraw | InputProcessed | Probing | Listed | ApplySettings) -> None:
         """Report a probe or an attempt as failed; ignore all other items."""
         if isinstance(item, Probing):
             name = self.listed.entry.name
@@ -127,7 +127,7 @@
     if changed:
         settings = dataclasses.replace(settings, revision=settings.revision + 1)
         for_controller = controller_settings(settings, processor is None or processor.config.own_links)
-        dispatcher.post(Settle(for_controller, new.max_open, new.connect_timeout))
+        dispatcher.post(ApplySettings(for_controller, new.max_open, new.connect_timeout))
         if processor is not None:
             processor.apply_settings(for_controller)
         if store is not None:
@@ -229,14 +229,14 @@
                 try:
                     self._act(action)
                 except Exception:  # a failure in one component must not prevent an orderly stop of the others
-                    LOG.exception("internal-error", action=type(action).__name__)
+                    LOG.exception("internal-error", action=logged_name(action))
 
     def _act(self, action: machine.Action) -> None:
         match action:
             case machine.Answer(call, status, text):
                 if (pending := self.pending_calls.get(call)) is not None and not pending.done():
                     pending.set_result((status, text))
-            case machine.LeaveLinks(enabled):
+            case machine.CloseIdleConnections(enabled):
                 self.callers.client_connections.set_draining(enabled)
             case machine.RefuseSetUps(enabled):
                 self.dispatcher.closing = enabled
@@ -246,9 +246,9 @@
                     self.handover_socket.close(
                         unlink=self.machine.upgrade_peer is not machine.UpgradePeer.ACCEPTING_SUCCESSOR
                     )
-            case machine.SetDue(timer, delay):
+            case machine.StartTimer(timer, delay):
                 self.loop.call_later(delay, self.post, timer)
-            case machine.TellWhenOver():
+            case machine.AwaitAllCallsEnded():
                 self.idle_task = self.loop.create_task(self._report_when_idle(), name="all over")
             case machine.Reload():
                 self.config = reload(
@@ -264,7 +264,7 @@
                 if self.processor is not None:
                     # announced on the open streams, so fronts need no grace period
                     self.processor.begin_shutdown()
-            case machine.Tell(phase, by):
+            case machine.ReportPhaseChange(phase, by):
                 log_event("service-state", state=phase.value, by=by, calls=len(self.dispatcher.calls))
                 if phase is machine.Phase.STOPPING:
                     self._leave_fleet()
@@ -299,15 +299,15 @@
 
     def _act_on_upgrade(self, action: machine.Action) -> None:
         match action:
-            case machine.OpenMeeting():
+            case machine.OpenHandoverSocket():
                 if self.handover_socket is not None:
                     self.handover_socket.open()
-            case machine.TurnAway(request, reason):
+            case machine.RejectSuccessor(request, reason):
                 channel = self.pending_successors.pop(request)
                 channel.send(TurnedAway(reason))
                 channel.close()
                 log_event("upgrade", step="turned-away", detail=repr(reason))
-            case machine.WelcomeIt(request):
+            case machine.AcceptSuccessor(request):
                 self.channel = self.pending_successors.pop(request)
                 listener = self.callers.socket
                 assert listener is not None
@@ -328,17 +328,17 @@
                     self.dispatcher.post(ColdShare(0.0))
                     self.channel.send(Moving())
                     self.callers.move_out()
-            case machine.AcceptAgain():
+            case machine.ResumeAccepting():
                 log_event("upgrade", step="accepting-again")
                 self.dispatcher.post(ColdShare(1.0))
                 self.accept_task = self.loop.create_task(self._resume_accepting(), name="accept")
-            case machine.LetGoOfSuccessor():
+            case machine.CleanUpAfterSuccessor():
                 self.channel = None
                 self.callers.successor_gone()
-            case machine.GiveBackIt():
+            case machine.ReturnListener():
                 if self.channel is not None:
                     self.channel.send(GiveBack())
-            case machine.LetGoOfPredecessor():
+            case machine.CleanUpAfterPredecessor():
                 self.channel = None
                 log_event("upgrade", step="alone")
                 self.dispatcher.post(ColdShare(1.0))
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -14,12 +14,12 @@
 
 import pytest
 
-from martentide.attempt_messages import Heard, Order, Withdraw
+from martentide.attempt_messages import InputProcessed, Order, Withdraw
 from martentide.codec.discovery import Listed, Notice
 from martentide.learned.codec import fingerprint, read_state
 from martentide.learned.files import OLD, STATE
 from martentide.learned.pacing import Pace
-from martentide.net.dispatcher import Dispatcher, Probing, Settle
+from martentide.net.dispatcher import ApplySettings, Dispatcher, Probing
 from martentide.net.learned import Store
 from martentide.rules import Controller
 from martentide_lab.proxy import PROJECT_ROOT, ProxyProcess
@@ -33,7 +33,7 @@
 class IdleServer:
     """A server actor that ignores every item."""
 
-    def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
+    def post(self, item: Order | Withdraw | InputProcessed | Probing | Listed | ApplySettings) -> None:
         """Ignore the item."""
         pass
 
--- a/tests/lifecycle/test_machine.py
+++ b/tests/lifecycle/test_machine.py
@@ -7,11 +7,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from martentide.lifecycle.machine import (
-    AcceptAgain,
+    AcceptSuccessor,
     AllCallsEnded,
     Answer,
+    CloseIdleConnections,
     InService,
-    LeaveLinks,
     Listening,
     MoveOut,
     OutOfService,
@@ -19,9 +19,11 @@
     PredecessorFound,
     PredecessorGone,
     RefuseSetUps,
+    RejectSuccessor,
     Reload,
     ReloadRequested,
-    SetDue,
+    ResumeAccepting,
+    StartTimer,
     StateMachine,
     StopListening,
     SuccessorGone,
@@ -31,9 +33,7 @@
     Terminate,
     TimerExpired,
     TimerKind,
-    TurnAway,
     UpgradePeer,
-    WelcomeIt,
     Yield,
 )
 
@@ -52,7 +52,7 @@
         actions: list[object] = list(self.machine.handle(event))  # type: ignore[arg-type]
         for action in actions:
             match action:
-                case LeaveLinks(enabled):
+                case CloseIdleConnections(enabled):
                     self.closing_idle = enabled
                 case RefuseSetUps(enabled):
                     self.refusing = enabled
@@ -61,10 +61,10 @@
                 case Yield():
                     assert self.machine.upgrade_peer is UpgradePeer.ACCEPTING_SUCCESSOR
                     self.accepting = False
-                case AcceptAgain():
+                case ResumeAccepting():
                     assert not self.stopped
                     self.accepting = True
-                case SetDue(timer, delay):
+                case StartTimer(timer, delay):
                     assert delay >= 0
                     self.timers.append(timer)
         return actions
@@ -88,12 +88,14 @@
         self.calls += 1
         free = self.machine.listening and self.machine.upgrade_peer is UpgradePeer.NONE
         replies = [
-            one for one in self.feed(SuccessorRequested(self.calls)) if isinstance(one, WelcomeIt | TurnAway)
+            one
+            for one in self.feed(SuccessorRequested(self.calls))
+            if isinstance(one, AcceptSuccessor | RejectSuccessor)
         ]
         if self.machine.phase is Phase.ENDED:
             assert not replies
         else:
-            assert [type(one) for one in replies] == [WelcomeIt if free else TurnAway]
+            assert [type(one) for one in replies] == [AcceptSuccessor if free else RejectSuccessor]
 
     @rule(event=st.sampled_from([SuccessorReady(), SuccessorReturnedListener(), SuccessorGone()]))
     def successor(self, event: SuccessorReady | SuccessorReturnedListener | SuccessorGone) -> None:
@@ -173,9 +175,9 @@
 def test_stop_runs_to_the_end() -> None:
     machine = StateMachine()
     machine.handle(Listening())
-    (stop,) = [action.timer for action in machine.handle(Terminate()) if isinstance(action, SetDue)]
+    (stop,) = [action.timer for action in machine.handle(Terminate()) if isinstance(action, StartTimer)]
     assert StopListening() in machine.handle(stop)
-    (last,) = [action.timer for action in machine.handle(AllCallsEnded()) if isinstance(action, SetDue)]
+    (last,) = [action.timer for action in machine.handle(AllCallsEnded()) if isinstance(action, StartTimer)]
     machine.handle(last)
     assert machine.phase is Phase.ENDED
 
--- a/tests/net/test_dispatcher.py
+++ b/tests/net/test_dispatcher.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from martentide.attempt_messages import Ended, Heard, Order, Stood, Withdraw
+from martentide.attempt_messages import Ended, InputProcessed, Order, Stood, Withdraw
 from martentide.codec.discovery import Listed, Notice
 from martentide.interface import Action, CancelAttempt, Ending, Event, SetTimer, SetUpOffered, Stands
-from martentide.net.dispatcher import Dispatcher, GiveUp, Offer, Probing, Settle
+from martentide.net.dispatcher import ApplySettings, Dispatcher, GiveUp, Offer, Probing
 from martentide.rules import Controller
 from martentide.settings import settings_from
 from tests.net.support import SETTINGS
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.notifications: list[tuple[Any, ...]] = []
-        self.items: list[Order | Withdraw | Heard | Probing | Listed | Settle] = []
+        self.items: list[Order | Withdraw | InputProcessed | Probing | Listed | ApplySettings] = []
 
     def answer(self, call: bytes, description: bytes) -> None:
         """Record an answer."""
@@ -45,7 +45,7 @@
         """Record a release."""
         self.notifications.append(("release", call, cut))
 
-    def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
+    def post(self, item: Order | Withdraw | InputProcessed | Probing | Listed | ApplySettings) -> None:
         """Record an item for the server."""
         self.items.append(item)
 
