--- a/martentide/handover/wire.py
+++ b/martentide/handover/wire.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnedAway:
-    """The old process rejects the request, with a reason for people."""
+    """The old process rejects the request, with a human-readable reason."""
 
     reason: str
 
--- a/martentide/lifecycle/machine.py
+++ b/martentide/lifecycle/machine.py
@@ -11,10 +11,10 @@
 from enum import Enum
 from typing import ClassVar
 
-# s of a drain before idle connections close. The front sends calls for 0.2 s more after the first failed
+# s of a drain before idle connections close. The front still sends calls for 0.2 s after the first failed
 # health check of this proxy.
 CLOSE_IDLE_DELAY = 0.4
-REFUSE_DELAY = 1.9  # s of a drain in which set-ups are accepted; at 4 s none may be younger than 2 s
+REFUSE_DELAY = 1.9  # s of a drain in which set-ups are accepted; 4 s into it none may be younger than 2 s
 LATE_ARRIVAL_PERIOD = 0.9  # s after SIGTERM in which set-ups still arrive
 MOVE_PERIOD = 1.2  # s after SIGTERM in which callers' connections move to the successor
 FLUSH_PERIOD = 0.05  # s for the last answers to leave the mailboxes
@@ -230,7 +230,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectSuccessor:
-    """Reject the process that asked to take over, with a reason for people."""
+    """Reject the process that asked to take over, with a human-readable reason."""
 
     LOG_NAME: ClassVar[str] = "TurnAway"
 
--- a/martentide/net/callers.py
+++ b/martentide/net/callers.py
@@ -35,8 +35,8 @@
 
 MAX_PENDING_RELEASES = 20_000  # releases kept for a calling host that has no connection
 ACCEPT_BATCH = 32  # maximum number of connections accepted in one turn of the event loop
-# A batch is at most this fraction (1/n) of the callers' descriptors, because ``ClientConnections`` learns of
-# accepted connections only three turns of the event loop later.
+# A batch is at most the number of the callers' descriptors divided by this, because ``ClientConnections`` is
+# notified of accepted connections only three turns of the event loop later.
 ACCEPT_BATCH_DIVISOR = 12
 CLOSED_PER_SHORTAGE = 4  # idle connections closed when the system has no descriptor left
 MIN_CALLER_CONNECTIONS = 8  # minimum of descriptors for callers while a predecessor still holds connections
@@ -440,16 +440,16 @@
         standing = [call for call, record in unconnected.items() if record.stands and not record.moved]
         pending = list(self.pending_releases.items())
         self.pending_releases.clear()
-        for at in range(0, max(len(standing), len(pending)), MAX_CALLS_PER_FRAME):
-            part = slice(at, at + MAX_CALLS_PER_FRAME)
+        for start in range(0, max(len(standing), len(pending)), MAX_CALLS_PER_FRAME):
+            part = slice(start, start + MAX_CALLS_PER_FRAME)
             self.client_connections.successor(
                 MovedCalls(self.host, tuple(standing[part]), tuple(pending[part])), None
             )
         for call in standing:
             self.records[call].moved = True
-        until = self.loop.time() + MOVE_TIMEOUT
+        deadline = self.loop.time() + MOVE_TIMEOUT
         for link in list(self.links):
-            self._move_link(MoveLink(link, until))
+            self._move_link(MoveLink(link, deadline))
 
     def _move_link(self, item: MoveLink) -> None:
         link = item.link
@@ -466,7 +466,9 @@
                 link.close(CloseReason.BLOCKED)
             return
         records = {call: record for call, record in self.records.items() if record.link is link}
-        calls = [[call for call, one in records.items() if one.stands is stands] for stands in (False, True)]
+        calls = [
+            [call for call, record in records.items() if record.stands is stands] for stands in (False, True)
+        ]
         frame = MovedLink(
             host=self.host,
             port=int(link.peer.rpartition(":")[2]),
@@ -477,8 +479,8 @@
             standing=tuple(calls[1][:MAX_CALLS_PER_FRAME]),
         )
         send(frame, link.descriptor)
-        for at in range(MAX_CALLS_PER_FRAME, len(calls[1]), MAX_CALLS_PER_FRAME):
-            send(MovedCalls(self.host, tuple(calls[1][at : at + MAX_CALLS_PER_FRAME]), ()), None)
+        for start in range(MAX_CALLS_PER_FRAME, len(calls[1]), MAX_CALLS_PER_FRAME):
+            send(MovedCalls(self.host, tuple(calls[1][start : start + MAX_CALLS_PER_FRAME]), ()), None)
         for call, record in records.items():
             CALL_TRACE.step(call, CallStep.MOVED_OUT, stands=record.stands, peer=link.peer)
             record.link, record.moved = None, True
--- a/martentide/net/client_connections.py
+++ b/martentide/net/client_connections.py
@@ -1,4 +1,4 @@
-"""The descriptors reserved for callers: which connections are kept, and which are closed first."""
+"""The callers' connections: which of them are kept, and which are closed first when descriptors run short."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from martentide.net.close_reason import CloseReason
 from martentide.net.links import Link
 
-PROBATION = 2.0  # s in which a new connection must have sent something that can be answered
-PROBATION_RECHECK = 0.25  # s between checks while it waits for an answer or a release
+MUTE_TIMEOUT = 2.0  # s in which a new connection must have sent something that can be answered
+MUTE_RECHECK = 0.25  # s between checks of a mute connection that waits for an answer or a release
 MESSAGE_TIMEOUT = 1.5  # s in which a message must be complete once its first byte came from a caller
 RELAXED_MESSAGE_TIMEOUT = 2.6  # s, while few descriptors are in use: some callers need 2 s to write a message
 # Share of the callers' descriptors in use from which on MESSAGE_TIMEOUT applies to new connections, so that
@@ -27,7 +27,7 @@
 
     A connection is mute until something on it was answered, busy while a set-up on it is open, and resting
     otherwise. A flood of connections that send nothing must not keep callers out: mute connections are closed
-    after ``PROBATION``. When descriptors run short, mute connections are closed earlier, the oldest first,
+    after ``MUTE_TIMEOUT``. When descriptors run short, mute connections are closed earlier, the oldest first,
     and then the connections that have been resting longest. ``max_connections`` is the number of descriptors.
     """
 
@@ -58,7 +58,7 @@
         """Add a new connection; if there are too many now, close one, possibly the new one."""
         self.open_set_ups[link], self.standing_calls[link], self.host_of[link] = 0, 0, host
         self.mute[link] = None
-        self.loop.call_later(PROBATION, self._probation_over, link)
+        self.loop.call_later(MUTE_TIMEOUT, self._mute_timed_out, link)
         if self.draining:
             self.loop.call_later(MUTE_GRACE, self._close_if_drained, link)
         if len(self.open_set_ups) > self.max_connections:
@@ -75,14 +75,18 @@
 
     def _connection_to_close(self, newcomer: Link) -> Link:
         """Return the connection to close: of a host without calls if possible, mute before resting."""
-        idle = [one for one in self._idle() if one is not newcomer]
-        callless = (one for one in (*idle, newcomer) if self.host_of[one] not in self.hosts_with_calls)
-        return next(callless, idle[0] if idle else newcomer)
+        idle = [link for link in self._idle() if link is not newcomer]
+        without_calls = (
+            link for link in (*idle, newcomer) if self.host_of[link] not in self.hosts_with_calls
+        )
+        return next(without_calls, idle[0] if idle else newcomer)
 
     def _idle(self) -> list[Link]:
         """Return the connections without an open or standing call, in the order of closing."""
         links = (*self.mute, *self.resting)
-        return [one for one in links if not self.open_set_ups.get(one) and not self.standing_calls.get(one)]
+        return [
+            link for link in links if not self.open_set_ups.get(link) and not self.standing_calls.get(link)
+        ]
 
     def close_idle(self, count: int) -> int:
         """Close up to ``count`` idle connections and return how many were closed.
@@ -91,7 +95,7 @@
         Connections with an open set-up or a standing call are never closed.
         """
         idle = self._idle()
-        idle.sort(key=lambda one: self.host_of[one] in self.hosts_with_calls)  # the sort is stable
+        idle.sort(key=lambda link: self.host_of[link] in self.hosts_with_calls)  # the sort is stable
         for link in idle[:count]:
             self.remove(link)
             link.close(CloseReason.TOO_MANY)
@@ -162,16 +166,16 @@
         self.remove(link)
         link.close(CloseReason.DRAINED)
 
-    def _probation_over(self, link: Link) -> None:
+    def _mute_timed_out(self, link: Link) -> None:
         if link not in self.mute:
             return
-        # It waits for an answer or a release, or has begun a message, which has a timeout of its own.
+        # Keep it if it waits for an answer or a release, or has begun a message, which has its own timeout.
         if (
             self.open_set_ups[link]
             or self.host_of[link] in self.hosts_with_calls
-            or (link.partial_message and link.message_timeout > PROBATION)
+            or (link.partial_message and link.message_timeout > MUTE_TIMEOUT)
         ):
-            self.loop.call_later(PROBATION_RECHECK, self._probation_over, link)
+            self.loop.call_later(MUTE_RECHECK, self._mute_timed_out, link)
             return
         self.remove(link)
         link.close(CloseReason.MUTE)
--- a/martentide/net/descriptors.py
+++ b/martentide/net/descriptors.py
@@ -14,7 +14,7 @@
 
 from martentide.net.close_reason import log_event
 
-CALLERS_SHARE = 0.5  # callers hold at most a third, and old connections may overlap with new ones
+CALLERS_SHARE = 0.5  # callers use at most a third, but old connections may overlap with their replacements
 RESERVED = 16  # for standard streams, event loop, listeners, discovery service and files
 MIN_CALLERS = 8
 MAX_OPERATOR_CALLS = 24
@@ -33,9 +33,9 @@
     return min(MAX_OPERATOR_CALLS, limit // 8)
 
 
-def caller_limit(limit: int, servers: int, operated: bool) -> int:
-    """Return the limit of callers' connections: half of all, or what all else leaves if that is less."""
-    rest = limit - RESERVED - servers - (operator_limit(limit) if operated else 0)
+def caller_limit(limit: int, servers: int, has_operator: bool) -> int:
+    """Return the limit of callers' connections: half of all descriptors, or fewer if all else needs more."""
+    rest = limit - RESERVED - servers - (operator_limit(limit) if has_operator else 0)
     return max(MIN_CALLERS, min(int(limit * CALLERS_SHARE), rest))
 
 
--- a/martentide/net/discovery.py
+++ b/martentide/net/discovery.py
@@ -17,8 +17,8 @@
 from martentide.net.config import Address
 
 SILENCE_TIMEOUT = 2.2  # s without a frame after which the connection is closed
-RECONNECT_DELAY = (0.1, 0.4)  # s; the delay is drawn from this range
-# s; the delay after a connection that delivered a frame and lasted MIN_LIFETIME s. It is short because the
+RECONNECT_DELAY = (0.1, 0.4)  # s; range of the random delay
+# s; range of the delay after a connection that delivered a frame and lasted MIN_LIFETIME s; short because the
 # service counts a change as announced once it is listed, and the grace of a drain may be less than
 # RECONNECT_DELAY. The minimum lifetime prevents a tight reconnect loop.
 FAST_RECONNECT_DELAY, MIN_LIFETIME = (0.0, 0.05), 0.5
--- a/martentide/net/dispatcher.py
+++ b/martentide/net/dispatcher.py
@@ -210,10 +210,10 @@
 def time_for_answer(time_left: float) -> float:
     """Return the ms that the decisions may take for a call whose caller waits ``time_left`` ms more.
 
-    A result of 0 or less means that no time is left. Without the margin, answers would cross with their
-    caller's give-up: an attempt may run to the end of the time that the decisions know. The handling of its
-    timeout, the delivery of the answer, and the time that the set-up lay unread while the process was busy
-    come on top, and callers on sockets wait no longer than the time they state.
+    A result of 0 or less means that no time is left. The margin keeps answers from crossing their caller's
+    give-up: an attempt may run to the end of the time that the decisions know. The handling of its timeout,
+    the delivery of the answer, and the time for which the set-up lay unread while the process was busy are
+    added to that, and callers on sockets wait no longer than the time they state.
     """
     return time_left - max(MIN_ANSWER_MARGIN, min(ANSWER_MARGIN, ANSWER_MARGIN_SHARE * time_left))
 
@@ -295,7 +295,7 @@
             except Exception:
                 # After an error in the decisions the affected call is failed, and all others continue.
                 LOG.exception("internal-error", item=logged_name(item))
-                self._settle_after_error(item)
+                self._fail_call_after_error(item)
             self.call_being_decided = None
             if self.calls:
                 self.idle.clear()
@@ -348,7 +348,7 @@
         """Update the decisions' servers whose entries differ under the rules that are in force now."""
         held = self.controller.servers
         entries = self._effective_entries(tuple(listed.entry for listed in self.listed.values()))
-        changed = tuple(one for one in entries if one.name in held and held[one.name].entry != one)
+        changed = tuple(entry for entry in entries if entry.name in held and held[entry.name].entry != entry)
         if changed:
             self._feed(ServerList(ListKind.CHANGES, changed))
 
@@ -473,17 +473,17 @@
             log_event("unknown-class", call=offer.call.hex(), name=repr(name))
             offer.caller.fail(offer.call)
             return
-        left = time_for_answer(offer.time_left - max(0.0, unix_ms() - offer.received_at))
-        if left <= 0:
+        time_left = time_for_answer(offer.time_left - max(0.0, unix_ms() - offer.received_at))
+        if time_left <= 0:
             offer.caller.refuse(offer.call, 0.0)
             return
         ref = next(self.refs)
-        timer = self.loop.call_later((left + OVERDUE_MARGIN) / 1000.0, self.post, Overdue(ref))
+        timer = self.loop.call_later((time_left + OVERDUE_MARGIN) / 1000.0, self.post, Overdue(ref))
         call = self.calls[ref] = self.by_id[offer.call] = Call(offer, ref, timer)
         self.open_calls += 1
         number = offer.number.decode("utf-8", "replace") or None
         self.call_being_decided = offer.call
-        self._feed(SetUpOffered(call.ref, name, None, number, left, offer.first_choice, False, False))
+        self._feed(SetUpOffered(call.ref, name, None, number, time_left, offer.first_choice, False, False))
 
     def _caller_left(self, call_id: bytes) -> None:
         self.pending_departures[call_id] -= 1
@@ -527,7 +527,7 @@
         if call.current_attempt is None:
             self.calls.pop(call.ref, None)
 
-    def _settle_after_error(self, item: Item) -> None:
+    def _fail_call_after_error(self, item: Item) -> None:
         ref = getattr(item, "ref", None)
         call = self.by_id.get(item.call) if isinstance(item, Offer | GiveUp | ReleaseIn) else None
         call = call or (self.calls.get(ref) if isinstance(ref, int) else None)
--- a/martentide/net/links.py
+++ b/martentide/net/links.py
@@ -140,8 +140,8 @@
     def _read_loop_ended(self, _: asyncio.Task[None]) -> None:
         """End the connection, also if the read loop was cancelled before its first step.
 
-        Otherwise an actor would keep a connection for ever that was accepted in the same turn of the event
-        loop in which it was handed over.
+        Otherwise an actor would keep for ever a connection that was accepted and handed over in the same turn
+        of the event loop.
         """
         self.close(self.read_loop_reason)
         reason = self.close_reason or self.read_loop_reason
@@ -211,7 +211,7 @@
             return 1  # the number is unknown: wait for at least the next read
 
     def _notify_processed(self) -> None:
-        """Run the callbacks up to whose offset all complete messages were processed."""
+        """Run each callback whose offset the processed input has reached."""
         processed = self.processed_bytes if self.message_ends or self.splitting else self.read_bytes
         while self.processed_callbacks and self.processed_callbacks[0][0] <= processed:
             self.processed_callbacks.popleft()[1]()
--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -37,7 +37,7 @@
 # s in which a message must be complete once its first byte was received from a server; short enough that
 # the set-up can still be retried elsewhere in time.
 MESSAGE_TIMEOUT = 0.06
-SUSPECT_AFTER = 0.12  # s without a byte on a connection since a set-up until another connection is opened
+SUSPECT_AFTER = 0.12  # s without a byte on a connection after a set-up was sent until another one is opened
 # s; a connection that closed sooner is not replaced at once, so that no server is dialled in a tight loop.
 MIN_CONNECTION_LIFETIME = 0.5
 KEEPALIVE_TIMEOUT = 2.5  # s without a byte since a message was sent before the machine counts as cut off
@@ -200,7 +200,7 @@
             if isinstance(item, Received):
                 item.link.message_processed()
         self.keepalive_timer.cancel()
-        while not self.mailbox.empty():  # each order that arrived meanwhile is still owed an Ended
+        while not self.mailbox.empty():  # each order that arrived meanwhile must still get its Ended
             late = self.mailbox.get_nowait()
             if isinstance(late, Order):
                 self.notify_dispatcher(
@@ -284,15 +284,17 @@
         attempt.sent_at, attempt.link = self.loop.time(), connection.link
         attempt.suspect_timer = self.loop.call_later(SUSPECT_AFTER, self.post, SuspectTimerExpired(attempt))
         self._mark_awaiting()
-        left = order.patience - (attempt.sent_at - attempt.ordered_at) * 1000.0
-        CALL_TRACE.step(order.call, CallStep.SENT, server=self.name, attempt=order.attempt, left=round(left))
+        time_left = order.patience - (attempt.sent_at - attempt.ordered_at) * 1000.0
+        CALL_TRACE.step(
+            order.call, CallStep.SENT, server=self.name, attempt=order.attempt, left=round(time_left)
+        )
         connection.link.write(
             write_message(
                 Type.SET_UP,
                 order.call,
                 {
                     Code.CLASS: order.call_class,
-                    Code.TIME_LEFT: str(max(1, round(left))).encode("ascii"),
+                    Code.TIME_LEFT: str(max(1, round(time_left))).encode("ascii"),
                     Code.NUMBER: order.number,
                     Code.DESCRIPTION: order.description,
                 },
@@ -343,17 +345,17 @@
             return
         self._give_up(attempt)
         self._mark_suspect(attempt.link, attempt.sent_at)
-        silent = any(
+        link_silent = any(
             connection.link is attempt.link and connection.link.last_received_at <= attempt.sent_at
             for connection in self.connections
         )
-        elsewhere = any(
+        received_elsewhere = any(
             connection.link.last_received_at > max(attempt.sent_at, connection.link.opened_at)
             for connection in self.connections
         )
         # If the server sent something on another connection meanwhile, the silent connection is at fault and
         # not the server.
-        self._end_attempt(attempt, Ending.CUT if silent and elsewhere else Ending.TIMED_OUT)
+        self._end_attempt(attempt, Ending.CUT if link_silent and received_elsewhere else Ending.TIMED_OUT)
 
     def _suspect_due(self, attempt: Attempt) -> None:
         if (
@@ -366,9 +368,9 @@
     def _mark_suspect(self, link: Link | None, since: float) -> None:
         """Mark a connection suspect if it received nothing since then; if all are suspect, open another.
 
-        A connection may stay open and yet be dead. That must neither fail later set-ups nor end the standing
-        calls, as treating the whole server as lost would. The cost is one needless dial to a server that was
-        only paused.
+        A connection may stay open and yet be dead. That must neither fail later set-ups nor end standing
+        calls, which would happen if the whole server were treated as lost. The cost is one needless dial to
+        a server that was only paused.
         """
         for connection in self.connections:
             if connection.link is link and connection.link.last_received_at <= since:
@@ -450,7 +452,7 @@
     def _answered(self, link: Link, message: Message) -> None:
         attempt = self.attempts.get(message.call)
         if attempt is None or attempt.stands or attempt.link is not link:
-            return  # answers a given-up attempt: the give-up on its way ends the call at the server
+            return  # answers a given-up attempt: the give-up that was sent ends the call at the server
         description = message.parameters.get(Code.DESCRIPTION)
         if description is None:
             self._release(attempt)
@@ -478,8 +480,8 @@
             self._end_attempt(attempt, Ending.CUT, report=report)
         else:
             ending = ENDING_BY_CAUSE.get(cause or 0, Ending.ERROR)
-            full = ending is Ending.FULL and message.text(Code.NOTE) == NO_LINES_NOTE
-            self._end_attempt(attempt, ending, full, report)
+            lines_full = ending is Ending.FULL and message.text(Code.NOTE) == NO_LINES_NOTE
+            self._end_attempt(attempt, ending, lines_full, report)
 
     def _state_received(self, message: Message) -> None:
         report = self._report(message)
@@ -581,7 +583,7 @@
 
     def _link_ended(self, link: Link, reason: CloseReason) -> None:
         self.connections = [connection for connection in self.connections if connection.link is not link]
-        given_up = reason in (CloseReason.BLOCKED, CloseReason.SILENT)
+        unresponsive = reason in (CloseReason.BLOCKED, CloseReason.SILENT)
         for attempt in [
             unanswered
             for unanswered in self.attempts.values()
@@ -590,19 +592,21 @@
             if reason not in (CloseReason.SERVER_GONE, CloseReason.REPLACED):
                 # The server may hold the call: its answer may be among the bytes that could not be read.
                 self._release(attempt)
-            self._end_attempt(attempt, Ending.TIMED_OUT if given_up else Ending.CUT)
+            self._end_attempt(attempt, Ending.TIMED_OUT if unresponsive else Ending.CUT)
         for check_id, check in list(self.health_checks.items()):
             if check[2] is link:
                 self._end_health_check(check_id, Ending.CUT, None)
         # The end of a connection, even by a reset, ends no standing call. That the server process is dead
         # shows when a dial is refused, or when the server list reports a restart.
         if any(attempt.stands and attempt.link is link for attempt in self.attempts.values()):
-            # A release may have been lost with the connection, unread or partly read. The server sends it
-            # again on the next connection that is opened, even if others are open.
+            # The server's release may have been lost with the connection, unread or partly read. The server
+            # sends it again on the next connection that is opened, even if others are open.
             self._dial()
         if not self.connections:
-            waits = self.pending_releases or any(attempt.stands for attempt in self.attempts.values())
-            if waits or self.loop.time() - link.opened_at > MIN_CONNECTION_LIFETIME:
+            awaits_release = self.pending_releases or any(
+                attempt.stands for attempt in self.attempts.values()
+            )
+            if awaits_release or self.loop.time() - link.opened_at > MIN_CONNECTION_LIFETIME:
                 self._dial()  # releases in both directions wait for the next connection and have a time limit
             else:
                 self._schedule_reconnect()
--- a/martentide/net/service.py
+++ b/martentide/net/service.py
@@ -70,7 +70,7 @@
             servers.clear()
         for listed in notice.servers:
             servers[listed.entry.name] = listed
-    present = tuple(one for one in servers.values() if one.entry.state is not ServerState.GONE)
+    present = tuple(listed for listed in servers.values() if listed.entry.state is not ServerState.GONE)
     return Notice(max((notice.number for notice in notices), default=0), True, present)
 
 
@@ -552,7 +552,9 @@
         "decider": dispatcher, "list": discovery, "fleet": member, "control tier": tier,
         "learned state": store,
     }  # fmt: skip
-    tasks += [asyncio.create_task(one.run(), name=name) for name, one in actors.items() if one is not None]
+    tasks += [
+        asyncio.create_task(actor.run(), name=name) for name, actor in actors.items() if actor is not None
+    ]
     if processor is not None:
         await processor.start()
     await service.listen()
