--- a/tests/lifecycle/test_machine.py
+++ b/tests/lifecycle/test_machine.py
@@ -123,7 +123,7 @@
         assert self.machine.phase in (Phase.STOPPING, Phase.ENDED)
 
     @rule()
-    def hang_up(self) -> None:
+    def hangup_signal(self) -> None:
         before = self.machine.phase
         assert self.feed(ReloadRequested()) == ([] if before is Phase.ENDED else [Reload()])
         assert self.machine.phase is before
--- a/tests/lifecycle/test_settings.py
+++ b/tests/lifecycle/test_settings.py
@@ -52,7 +52,9 @@
         ("limits.max_attempts", "a whole number above 0"),
     ],
 )
-def test_value_that_is_not_a_positive_number(tmp_path: Path, path: str, expected: str, value: str) -> None:
+def test_value_that_is_not_a_positive_number_is_rejected(
+    tmp_path: Path, path: str, expected: str, value: str
+) -> None:
     with pytest.raises(ConfigError) as caught:
         load(tmp_path, with_value(path, value))
     place = path.replace(".0.", "[0].")
@@ -61,13 +63,13 @@
 
 @pytest.mark.parametrize("value", ["NaN", "Infinity", "-Infinity", "1e999"])
 @pytest.mark.parametrize("path", ["classes.0.deadline_ms", "limits.max_attempts", "rules.cold_ms"])
-def test_numbers_that_json_does_not_have(tmp_path: Path, path: str, value: str) -> None:
+def test_numbers_outside_the_json_standard_are_rejected(tmp_path: Path, path: str, value: str) -> None:
     with pytest.raises(ConfigError):
         load(tmp_path, with_value(path, value))
 
 
 @pytest.mark.parametrize("value", ["2.5", "1e3", "0.001"])
-def test_other_numbers_are_accepted(tmp_path: Path, value: str) -> None:
+def test_positive_numbers_in_any_notation_are_accepted(tmp_path: Path, value: str) -> None:
     config = load(tmp_path, with_value("classes.0.deadline_ms", value))
     assert config.settings.classes[0].deadline == float(value)
 
@@ -80,7 +82,7 @@
     assert load(tmp_path, text).name == "n0"
 
 
-def test_duplicate_class_and_empty_class_list(tmp_path: Path) -> None:
+def test_duplicate_class_and_empty_class_list_are_rejected(tmp_path: Path) -> None:
     twice = copy.deepcopy(VALID)
     twice["settings"]["classes"] *= 2
     with pytest.raises(ConfigError, match="found 'voice' a second time"):
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -241,7 +241,7 @@
         if self.operated:
             self.operator = int(self.logged(r"operator-listening address=127\.0\.0\.1:(\d+)").group(1))
         self.port = int(self.logged(r"serving .*address=127\.0\.0\.1:(\d+)").group(1))
-        self.logged("state=in-service")  # from now on a successor finds it
+        self.logged("state=in-service")  # from now on a successor can find the process
 
     def _limit(self) -> None:
         assert self.descriptors is not None
--- a/tests/net/test_codec.py
+++ b/tests/net/test_codec.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(
     ("length", "good"), [(8, False), (9, True), (MAX_MESSAGE_BYTES - 2, True), (MAX_MESSAGE_BYTES, False)]
 )
-def test_lengths_of_messages(length: int, good: bool) -> None:
+def test_message_length_outside_the_limits_is_malformed(length: int, good: bool) -> None:
     if good:
         assert body_length(length.to_bytes(2, "big")) == length
     else:
@@ -57,7 +57,7 @@
             body_length(length.to_bytes(2, "big"))
 
 
-def test_messages_are_written_as_they_are_read() -> None:
+def test_written_messages_are_read_back_unchanged() -> None:
     data = write_message(1, CALL, {Code.CLASS: b"voice", Code.DESCRIPTION: b"\0\xff"})
     assert body_length(data[:2]) == len(data) - 2
     assert read_message(data[2:]) == Message(1, CALL, {129: b"voice", 159: b"\0\xff"})
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("text", ["dest:-3;width:1", "dest:0.5", "dest:1;width:0", "dest:nan", "dest:x"])
-def test_impossible_figures_are_refused(text: str) -> None:
+def test_invalid_first_choices_are_malformed(text: str) -> None:
     with pytest.raises(CodecError):
         read_first_choice(text)
 
@@ -128,7 +128,7 @@
     assert (listed.entry.zone, listed.entry.started) == ("east", None)
 
 
-def test_frames_without_changes_or_with_a_partial_record() -> None:
+def test_frame_without_changes_is_no_notice_and_invalid_frames_are_malformed() -> None:
     assert read_frame(frame(41, 0)[4:], ZONES) is None
     with pytest.raises(CodecError):
         read_frame(frame(41, 2, (7, 5080, 0))[4:-1], ZONES)
@@ -148,6 +148,6 @@
 
 
 @pytest.mark.parametrize("raw", [None, {}, {"rev": "x", "notices": []}, {"rev": 1, "notices": [{"rev": 1}]}])
-def test_a_bad_known_is_named(raw: object) -> None:
+def test_error_about_an_invalid_known_list_names_the_key(raw: object) -> None:
     with pytest.raises(CodecError, match="known"):
         read_known(raw)
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("opened", [open_connection, no_connection])
 @pytest.mark.parametrize("signals", [(signal.SIGTERM,), (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP)])
-def test_sigterm_and_a_set_up_that_nobody_has_read(
+def test_set_up_unread_at_sigterm_is_served(
     tmp_path: Path, opened: Callable[[Program], Wire | None], signals: tuple[signal.Signals, ...]
 ) -> None:
     with Program(tmp_path) as program:
@@ -87,7 +87,7 @@
         assert program.process.wait(15) == 0
 
 
-def test_sigterm_while_the_discovery_service_is_down_ends_in_good_order(tmp_path: Path) -> None:
+def test_sigterm_while_the_discovery_service_is_down_waits_for_standing_calls(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server, discovery = program.caller(), program.servers[0].accept(), program.discovery.accept()
         set_up_call(caller, server, A)
@@ -103,7 +103,9 @@
 # ---- server list ----------------------------------------------------------------------------------------
 
 
-def test_a_watch_that_breaks_inside_a_frame_resumes_after_the_last_complete_one(tmp_path: Path) -> None:
+def test_discovery_connection_broken_inside_a_frame_resumes_after_the_last_complete_one(
+    tmp_path: Path,
+) -> None:
     with Program(tmp_path, servers=2) as program:
         discovery, port = program.discovery.accept(), program.servers[0].port
         discovery.receive_exactly(8)
@@ -118,8 +120,8 @@
 
 
 @pytest.mark.parametrize("number", [1, 2])
-def test_a_repeated_or_late_event_undoes_nothing(tmp_path: Path, number: int) -> None:
-    """A discovery service that returns repeats old events: a drain must stay in force."""
+def test_repeated_or_late_notice_does_not_end_a_drain(tmp_path: Path, number: int) -> None:
+    """A discovery service that returns repeats old notices: a drain must stay in force."""
     with Program(tmp_path, servers=2) as program:
         discovery, ports = program.discovery.accept(), [one.port for one in program.servers]
         caller, other = program.caller(), program.servers[1].accept()
@@ -131,11 +133,11 @@
         again.sock.sendall(frame(3, 2, (1, ports[1], READY)))
         program.logged("server-listed server=s-00000001 .*number=3")
         assert not any("server=s-00000000 state=open number=2" in line for line in program.log)
-        set_up_call(caller, other, A)  # though it names the draining one first
+        set_up_call(caller, other, A)  # although its first choice is the draining server
 
 
-def test_a_new_server_at_the_address_of_one_that_is_gone(tmp_path: Path) -> None:
-    """Both events arrive in one read; calls of the old server are cut, and new ones go to the new server."""
+def test_new_server_at_the_address_of_a_gone_one_gets_only_new_calls(tmp_path: Path) -> None:
+    """Both notices arrive in one read; calls of the old server are cut, and new ones go to the new server."""
     with Program(tmp_path) as program:
         discovery, old, caller = program.discovery.accept(), program.servers[0].accept(), program.caller()
         set_up_call(caller, old, A)
@@ -147,7 +149,7 @@
         set_up_call(caller, new, B)
 
 
-def test_a_drain_announced_between_decision_and_send(tmp_path: Path) -> None:
+def test_set_up_waiting_for_a_dial_goes_elsewhere_when_its_server_drains(tmp_path: Path) -> None:
     """The set-up waits for a dial to its server when the drain is announced, and goes to another server."""
     full, other = Listener(backlog=0), Listener()
     filling = Wire(socket.create_connection(("127.0.0.1", full.port)))
@@ -185,7 +187,9 @@
 
 
 @pytest.mark.parametrize("first", ["answer", "end"])
-def test_an_answer_and_the_end_of_its_connection_in_one_read(tmp_path: Path, first: str) -> None:
+def test_answer_read_together_with_the_end_of_its_connection_counts_if_complete(
+    tmp_path: Path, first: str
+) -> None:
     """A complete answer counts; after an incomplete one the call is set up at another server."""
     with Program(tmp_path, servers=2) as program:
         caller = program.caller()
@@ -203,7 +207,7 @@
         assert caller.receive().type == Type.TEST_RESULT  # no second answer arrived before
 
 
-def test_a_server_closes_its_idle_connection_as_a_set_up_arrives(tmp_path: Path) -> None:
+def test_set_up_that_crosses_the_close_of_an_idle_connection_is_answered_once(tmp_path: Path) -> None:
     """The close is unread when the set-up is written: the call is answered once, on the next connection."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
@@ -215,7 +219,7 @@
         assert caller.receive().type == Type.ANSWER
 
 
-def test_the_deadline_comes_due_in_the_turn_in_which_the_answer_is_read(tmp_path: Path) -> None:
+def test_deadline_and_answer_in_one_turn_give_one_final_message(tmp_path: Path) -> None:
     """Whichever is first, the caller gets one final message, and no call stands without a caller."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
@@ -232,7 +236,7 @@
         assert caller.receive().type == Type.TEST_RESULT
 
 
-def test_the_same_number_again_at_once_is_another_call(tmp_path: Path) -> None:
+def test_calls_to_the_same_number_in_succession_are_separate_calls(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         for call in (A, B, C):
--- a/tests/net/test_dispatcher.py
+++ b/tests/net/test_dispatcher.py
@@ -99,19 +99,21 @@
 
 def test_an_error_in_the_decisions_fails_the_call_and_keeps_their_timers() -> None:
     """After an error in the decisions the call must be answered and their requested timer must still run."""
-    ticks: list[Event] = []
+    handled_events: list[Event] = []
 
-    class Counting(FailingController):
+    class RecordingController(FailingController):
         def handle(self, now: float, event: Event) -> list[Action]:
-            ticks.append(event)
+            handled_events.append(event)
             return super().handle(now, event)
 
     async def run() -> RecordingPeer:
         peer = RecordingPeer()
-        dispatcher = Dispatcher(Counting(settings_from(SETTINGS), 1), lambda listed, dispatcher: peer, 10)
+        dispatcher = Dispatcher(
+            RecordingController(settings_from(SETTINGS), 1), lambda listed, dispatcher: peer, 10
+        )
         dispatcher.post(offer(peer))
         task = asyncio.create_task(dispatcher.run())
-        while len(ticks) < 2:  # the offer, then the timer that was requested before the error
+        while len(handled_events) < 2:  # the offer, then the timer that was requested before the error
             await asyncio.sleep(0.001)
         task.cancel()
         assert not dispatcher.calls and not dispatcher.by_id and dispatcher.open_calls == 0
@@ -142,7 +144,7 @@
     assert not dispatcher.calls
 
 
-def test_an_id_that_another_caller_used_is_refused_while_it_is_open_and_free_later() -> None:
+def test_id_of_another_callers_call_is_refused_while_open_and_accepted_later() -> None:
     """A caller that uses an id of another caller's call must not be left without a response."""
     other = RecordingPeer()
 
@@ -155,7 +157,7 @@
     assert other.notifications == [("refuse", CALL), ("answer", CALL, b"good")]
 
 
-def test_a_call_given_up_may_come_again_and_is_answered() -> None:
+def test_call_offered_again_after_a_give_up_is_answered() -> None:
     """A caller that repeats a set-up after its connection broke must get an answer."""
 
     def script(dispatcher: Dispatcher, peer: RecordingPeer) -> None:
@@ -169,17 +171,17 @@
 def test_the_clock_of_the_decisions_never_runs_backwards() -> None:
     times: list[float] = []
 
-    class Timed(Controller):
+    class TimeRecordingController(Controller):
         def handle(self, now: float, event: Event) -> list[Action]:
             times.append(now)
             return super().handle(now, event)
 
-    run_script(lambda dispatcher, peer: dispatcher.post(offer(peer, left=1e16)), Timed)
+    run_script(lambda dispatcher, peer: dispatcher.post(offer(peer, left=1e16)), TimeRecordingController)
     assert times == sorted(times) and times[-1] >= FUTURE
 
 
 def test_a_withdrawal_requested_by_the_decisions_does_not_end_a_standing_call() -> None:
-    class Withdrawing(Controller):
+    class WithdrawingController(Controller):
         def handle(self, now: float, event: Event) -> list[Action]:
             actions = super().handle(now, event)
             if isinstance(event, Stands):
@@ -190,4 +192,4 @@
         dispatcher.post(offer(peer))
         dispatcher.post(stood())
 
-    assert run_script(script, Withdrawing)[1].items[-1] == Withdraw(1, 0, CALL, hang_up=False)
+    assert run_script(script, WithdrawingController)[1].items[-1] == Withdraw(1, 0, CALL, hang_up=False)
--- a/tests/net/test_gone_clients.py
+++ b/tests/net/test_gone_clients.py
@@ -65,7 +65,7 @@
 
 
 @WAYS_TO_LEAVE
-def test_no_retry_though_the_release_wait_ends_in_the_same_turn(
+def test_no_retry_for_a_caller_gone_when_the_release_wait_ends(
     tmp_path: Path, leave: Callable[[Wire], None]
 ) -> None:
     with Program(
@@ -101,7 +101,7 @@
 def test_no_attempt_for_a_call_that_waits_for_room_at_a_server(
     tmp_path: Path, leave: Callable[[Wire], None]
 ) -> None:
-    """Two set-ups are unanswered, so the third waits; they are answered as its caller leaves."""
+    """Two set-ups are unanswered, so the third waits; they are answered as the caller of the third leaves."""
     with Program(tmp_path, arguments=("--log-level", "debug")) as program:
         first, caller, server = program.caller(), program.caller(), program.servers[0].accept()
         for call in (C, D):
@@ -141,7 +141,7 @@
         one.close()
 
 
-def test_a_give_up_right_after_its_set_up_in_one_read_leaves_nothing_to_send(tmp_path: Path) -> None:
+def test_set_up_and_give_up_in_one_read_send_nothing_to_the_server(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.sock.sendall(caller.set_up_bytes(A) + write_release(A, 16))
--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -78,7 +78,7 @@
     asyncio.run(run())
 
 
-def test_an_incomplete_message_is_no_unprocessed_input() -> None:
+def test_incomplete_message_does_not_count_as_unprocessed_input() -> None:
     async def run() -> None:
         async with ConnectionPair() as peer:
             calls: list[bool] = []
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -44,7 +44,7 @@
         began = time.monotonic()
         assert program.call("POST", OUT) == 200
         assert program.call("GET", READY) == 503 and not health_check_passes(program)
-        late = program.caller("127.0.0.4")  # the front still sends for a moment
+        late = program.caller("127.0.0.4")  # the front still sends calls for a short time
         set_up_call(late, server, bytes(7) + b"\1")
         assert idle.closed() and time.monotonic() - began < 4.0
         server.send(Type.ANSWER, B, {Code.DESCRIPTION: b"x"})
@@ -148,9 +148,8 @@
         servers[0].receive(Type.SET_UP)
         program.reload(changed_settings(program, max_attempts=1))
         program.logged("reloaded .*revision=1 settings=changed classes=voice,video")
-        servers[0].release(
-            A, 41
-        )  # fails an attempt of a call that was set up when five attempts were allowed
+        # Fails an attempt of a call that was set up when five attempts were allowed.
+        servers[0].release(A, 41)
         assert servers[1].receive(Type.SET_UP).call == A
         servers[1].send(Type.ANSWER, A, {Code.DESCRIPTION: b"x"})
         assert caller.receive().type == Type.ANSWER
--- a/tests/net/test_rules_on_sockets.py
+++ b/tests/net/test_rules_on_sockets.py
@@ -25,7 +25,7 @@
     return set_up
 
 
-def test_a_call_goes_on_unchanged_stands_and_is_released(tmp_path: Path) -> None:
+def test_call_is_forwarded_unchanged_answered_and_released(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         set_up = set_up_call(caller, server)
@@ -67,14 +67,14 @@
         assert (result := caller.receive()).type == Type.TEST_RESULT and result.cause() == 1
 
 
-def test_one_answer_in_time_though_the_server_is_silent(tmp_path: Path) -> None:
+def test_call_to_a_silent_server_gets_one_final_message_in_time(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller = program.caller()
         program.servers[0].accept()
         caller.set_up(A, left=300)
         assert (answer := caller.receive()).type == Type.RELEASE and answer.cause() not in (16, 34, 42, 102)
         caller.set_up(B, left=300)
-        assert caller.receive().call == B  # nothing more about the first arrived before
+        assert caller.receive().call == B  # no further message about the first call came before
 
 
 def test_a_call_given_up_is_given_up_at_the_server_and_gets_no_answer(tmp_path: Path) -> None:
@@ -85,9 +85,8 @@
         caller.release(A, 16)
         assert caller.receive().type == Type.RELEASE_ACK
         assert (give_up := server.receive()).call == A and give_up.cause() == 16
-        server.send(
-            Type.ANSWER, A, {Code.DESCRIPTION: b"late"}
-        )  # crosses the give-up, so it must not reach the caller
+        # Crosses the give-up, so it must not reach the caller.
+        server.send(Type.ANSWER, A, {Code.DESCRIPTION: b"late"})
         set_up_call(caller, server, B)
 
 
@@ -108,7 +107,7 @@
         assert caller.receive().parameters == {Code.DESCRIPTION: b"good"}
 
 
-def test_nothing_new_goes_to_a_draining_server(tmp_path: Path) -> None:
+def test_draining_server_gets_no_new_calls(tmp_path: Path) -> None:
     with Program(tmp_path, servers=2) as program:
         caller, discovery = program.caller(), program.discovery.accept()
         assert discovery.receive_exactly(8) == (1).to_bytes(8, "big")
@@ -116,10 +115,10 @@
         program.logged("server-listed server=s-00000000 state=draining")
         other = program.servers[1].accept()
         for call in (A, B):
-            set_up_call(caller, other, call)  # though both name the draining server first
+            set_up_call(caller, other, call)  # although the first choice of both is the draining server
 
 
-def test_a_refused_connection_is_no_attempt_that_ran(tmp_path: Path) -> None:
+def test_call_goes_to_another_server_if_the_dial_is_refused(tmp_path: Path) -> None:
     with Program(tmp_path, servers=2) as program:
         caller, first = program.caller(), program.servers[0].accept()
         program.servers[0].close()
@@ -137,7 +136,7 @@
         assert (released := caller.receive()).call == A and released.cause() == 41
 
 
-def test_a_reset_alone_cuts_no_call(tmp_path: Path) -> None:
+def test_connection_reset_alone_ends_no_standing_call(tmp_path: Path) -> None:
     """Calls that still stand must not be released: connections are reset for many reasons."""
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
@@ -148,9 +147,8 @@
         assert (released := caller.receive()).call == A and released.cause() == 16
 
 
-@pytest.mark.parametrize(
-    "malformed", [b"\xff\xf3\x09" + A, b"\0\x20\x09" + A]
-)  # too long, incomplete parameter
+# A message that is too long, and one with an incomplete parameter.
+@pytest.mark.parametrize("malformed", [b"\xff\xf3\x09" + A, b"\0\x20\x09" + A])
 def test_a_malformed_answer_closes_only_its_connection(tmp_path: Path, malformed: bytes) -> None:
     """A malformed answer must close its connection at once and must not end the standing calls on it."""
     with Program(tmp_path) as program:
@@ -161,9 +159,8 @@
         server.sock.sendall(malformed)
         assert server.closed()
         again = program.servers[0].accept()
-        assert (
-            again.receive(Type.RELEASE).call == B
-        )  # the server may hold the call: the malformed message was an answer
+        # The server may hold the call, because the malformed message was an answer.
+        assert again.receive(Type.RELEASE).call == B
         assert again.receive(Type.SET_UP).call == B
         again.send(Type.ANSWER, B, {Code.DESCRIPTION: DESCRIPTION})
         again.release(A, 16)
@@ -176,7 +173,7 @@
         caller, silent = program.caller(), program.servers[0].accept()
         set_up_call(caller, silent)
         caller.set_up(B, left=400)
-        assert caller.receive().call == B  # it got no answer
+        assert caller.receive().call == B  # failed, because the connection stayed silent
         other = program.servers[0].accept()
         other.send(Type.GROUP_STATE, bytes(8), {Code.REPORT: b"x0:9"})
         for _ in range(4):  # about 1 s each; meanwhile the server answers the keepalives
@@ -261,7 +258,7 @@
         assert waiting.receive().call == A
 
 
-def test_an_id_in_use_ends_the_connection_that_brings_it_again(tmp_path: Path) -> None:
+def test_set_up_with_an_id_in_use_closes_its_connection(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.set_up(A)
@@ -272,7 +269,7 @@
         assert server.receive(Type.RELEASE).call == A
 
 
-def test_an_idle_close_cuts_nothing_and_the_release_comes_on_the_next_connection(tmp_path: Path) -> None:
+def test_standing_call_survives_an_idle_close_and_is_released_on_the_next_connection(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         set_up_call(caller, server)
@@ -356,7 +353,7 @@
         set_up_call(good, server)
 
 
-def test_a_set_up_that_lacks_a_field_fails_and_unknown_ones_are_skipped(tmp_path: Path) -> None:
+def test_invalid_set_ups_fail_and_unknown_messages_are_skipped(tmp_path: Path) -> None:
     with Program(tmp_path) as program:
         caller, server = program.caller(), program.servers[0].accept()
         caller.send(Type.SET_UP, A, {Code.CLASS: b"voice"})
@@ -407,7 +404,7 @@
         assert program.process.wait(15) == 0
 
 
-def test_a_server_that_appears_is_used(tmp_path: Path) -> None:
+def test_server_announced_later_gets_calls(tmp_path: Path) -> None:
     with Program(tmp_path, servers=0) as program:
         caller, discovery, late = program.caller(), program.discovery.accept(), Listener()
         discovery.sock.sendall(frame(2, 2, (0, late.port, 0)))
@@ -415,7 +412,7 @@
         late.close()
 
 
-def test_a_release_lost_with_its_connection_comes_on_the_next_though_another_is_open(tmp_path: Path) -> None:
+def test_release_lost_with_its_connection_comes_on_a_new_one_though_another_is_open(tmp_path: Path) -> None:
     """A connection closes within a release; another one is opened although a second one is still open."""
     with Program(tmp_path) as program:
         caller, first, _ = open_two_connections(program)
@@ -424,6 +421,5 @@
         began = time.monotonic()
         program.servers[0].accept().release(A, 16)
         assert caller.receive(Type.RELEASE).call == A
-        assert (
-            time.monotonic() - began < 1.0
-        )  # required by the protocol; a keepalive would be sent only after 3.5 s
+        # Required by the protocol; a keepalive would be sent only after 3.5 s.
+        assert time.monotonic() - began < 1.0
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -189,14 +189,14 @@
 
 
 @pytest.mark.parametrize("name", ["missing", "x" * 120])
-def test_start_without_a_usable_handover_socket_path(tmp_path: Path, name: str) -> None:
+def test_start_succeeds_without_a_usable_handover_socket_path(tmp_path: Path, name: str) -> None:
     if name != "missing":
         (tmp_path / name).mkdir()
     with Program(tmp_path, operated=True, temporary=tmp_path / name) as program:
         set_up_call(program.caller(), program.servers[0].accept())
 
 
-def test_another_version_is_rejected(tmp_path: Path) -> None:
+def test_successor_of_another_version_is_rejected(tmp_path: Path) -> None:
     with Program(tmp_path, operated=True) as program:
         (path,) = handover_sockets(tmp_path)
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as client:
