--- a/martentide/net/service.py
+++ b/martentide/net/service.py
@@ -149,7 +149,7 @@
         board=new.board,
         revision=settings.revision,
         settings="changed" if changed else "same",
-        classes=",".join(kind.name for kind in settings.classes),
+        classes=",".join(call_class.name for call_class in settings.classes),
         restart_needed_for=",".join(restart_needed) or "nothing",
     )
     if member is not None:
--- a/tests/net/test_dispatcher.py
+++ b/tests/net/test_dispatcher.py
@@ -68,13 +68,15 @@
 
 
 def run_script(
-    script: Callable[[Dispatcher, RecordingPeer], None], module: type[Controller] = Controller
+    script: Callable[[Dispatcher, RecordingPeer], None], controller_type: type[Controller] = Controller
 ) -> tuple[Dispatcher, RecordingPeer]:
     """Run a script that posts items, and let the dispatcher handle all of them."""
 
     async def run() -> tuple[Dispatcher, RecordingPeer]:
         peer = RecordingPeer()
-        dispatcher = Dispatcher(module(settings_from(SETTINGS), 1), lambda listed, dispatcher: peer, 10)
+        dispatcher = Dispatcher(
+            controller_type(settings_from(SETTINGS), 1), lambda listed, dispatcher: peer, 10
+        )
         dispatcher.now = FUTURE  # ahead of the wall clock; the time of the decisions must not run backwards
         dispatcher.apply_list(Notice(1, True, (Listed(entry("s-1", 0), "127.0.0.1", 1),)))
         script(dispatcher, peer)
