--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -13,16 +13,17 @@
 from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import ClassVar
 
-from martentide.attempt_messages import ClientLeft, Ended, Heard, Order, Presence, Stood, Withdraw
+from martentide.attempt_messages import ClientLeft, Ended, InputProcessed, Order, Presence, Stood, Withdraw
 from martentide.codec import CodecError
 from martentide.codec.discovery import Listed
 from martentide.codec.figures import read_report
 from martentide.codec.messages import Cause, Code, Message, Type, write_message, write_release
 from martentide.interface import Ending, ProbeEnded, Report, ServerState
 from martentide.net.call_trace import CALL_TRACE, CallStep
-from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
-from martentide.net.dispatcher import Probing, Settle
+from martentide.net.close_reason import LOG, CloseReason, log_connection_closed, logged_name
+from martentide.net.dispatcher import ApplySettings, Probing
 from martentide.net.links import Link, LinkEnded, Received, unix_ms
 
 MAX_CONNECTIONS = 4  # to one server, which sends its group state on at most this many
@@ -36,7 +37,7 @@
 # s in which a message must be complete once its first byte was received from a server; short enough that
 # the set-up can still be retried elsewhere in time.
 MESSAGE_TIMEOUT = 0.06
-SUSPECT_AFTER = 0.12  # s without a byte on a connection since a set-up until another connection is opened
+SUSPECT_AFTER = 0.12  # s without a byte on a connection after a set-up was sent until another one is opened
 # s; a connection that closed sooner is not replaced at once, so that no server is dialled in a tight loop.
 MIN_CONNECTION_LIFETIME = 0.5
 KEEPALIVE_TIMEOUT = 2.5  # s without a byte since a message was sent before the machine counts as cut off
@@ -89,39 +90,66 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PatienceOver:
+class AttemptTimedOut:
     """The time of an attempt has run out."""
 
+    LOG_NAME: ClassVar[str] = "PatienceOver"
+
     order: Order
 
 
 @dataclass(frozen=True, slots=True)
-class DoubtDue:
+class SuspectTimerExpired:
     """``SUSPECT_AFTER`` has passed since the attempt's set-up was sent."""
 
+    LOG_NAME: ClassVar[str] = "DoubtDue"
+
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class TestOver:
+class HealthCheckTimedOut:
     """A health check has timed out."""
 
+    LOG_NAME: ClassVar[str] = "TestOver"
+
     check_id: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class RedialDue:
+class ReconnectTimerExpired:
     """The reconnect delay is over."""
 
+    LOG_NAME: ClassVar[str] = "RedialDue"
+
 
 @dataclass(frozen=True, slots=True)
-class QuietDue:
+class KeepaliveTimerExpired:
     """The keepalive timer has expired."""
 
-
-Timer = PatienceOver | DoubtDue | TestOver | RedialDue | QuietDue
-DispatcherItem = Stood | Ended | ProbeEnded | Heard | ClientLeft
-Item = Order | Withdraw | Heard | Probing | Listed | Settle | Received | LinkEnded | Dialled | Timer
+    LOG_NAME: ClassVar[str] = "QuietDue"
+
+
+Timer = (
+    AttemptTimedOut
+    | SuspectTimerExpired
+    | HealthCheckTimedOut
+    | ReconnectTimerExpired
+    | KeepaliveTimerExpired
+)
+DispatcherItem = Stood | Ended | ProbeEnded | InputProcessed | ClientLeft
+Item = (
+    Order
+    | Withdraw
+    | InputProcessed
+    | Probing
+    | Listed
+    | ApplySettings
+    | Received
+    | LinkEnded
+    | Dialled
+    | Timer
+)
 
 
 class Server:
@@ -154,7 +182,7 @@
         self.last_received_at = self.loop.time()
         # Loop time of the first sent message after which no byte was received; None if there is none.
         self.awaiting_since: float | None = None
-        self.keepalive_timer = self.loop.call_later(KEEPALIVE_IDLE, self.post, QuietDue())
+        self.keepalive_timer = self.loop.call_later(KEEPALIVE_IDLE, self.post, KeepaliveTimerExpired())
         self.task = self.loop.create_task(self._run(), name=f"server {self.name}")
 
     def post(self, item: Item) -> None:
@@ -168,11 +196,11 @@
             try:
                 self._handle(item)
             except Exception:
-                LOG.exception("internal-error", server=self.name, item=type(item).__name__)
+                LOG.exception("internal-error", server=self.name, item=logged_name(item))
             if isinstance(item, Received):
                 item.link.message_processed()
         self.keepalive_timer.cancel()
-        while not self.mailbox.empty():  # each order that arrived meanwhile is still owed an Ended
+        while not self.mailbox.empty():  # each order that arrived meanwhile must still get its Ended
             late = self.mailbox.get_nowait()
             if isinstance(late, Order):
                 self.notify_dispatcher(
@@ -189,7 +217,7 @@
                 self._start_attempt(item)
             case Withdraw():
                 self._withdraw(item)
-            case Heard():
+            case InputProcessed():
                 self._input_processed(item)
             case Received():
                 self._received(item.link, item.message)
@@ -199,22 +227,22 @@
                 self._link_ended(item.link, item.reason)
             case Probing():
                 self._send_health_check()
-            case Listed() | Settle():
+            case Listed() | ApplySettings():
                 self._update(item)
             case _:
                 self._handle_timer(item)
 
     def _handle_timer(self, item: Timer) -> None:
         match item:
-            case PatienceOver():
+            case AttemptTimedOut():
                 self._attempt_timed_out(item.order)
-            case DoubtDue(attempt):
+            case SuspectTimerExpired(attempt):
                 self._suspect_due(attempt)
-            case TestOver():
+            case HealthCheckTimedOut():
                 self._end_health_check(item.check_id, Ending.TIMED_OUT, None)
-            case QuietDue():
+            case KeepaliveTimerExpired():
                 self._keepalive_due()
-            case RedialDue():
+            case ReconnectTimerExpired():
                 self.reconnect_timer = None
                 self._dial()
 
@@ -222,7 +250,7 @@
 
     def _start_attempt(self, order: Order) -> None:
         now = self.loop.time()
-        timer = self.loop.call_later(max(0.0, order.patience) / 1000.0, self.post, PatienceOver(order))
+        timer = self.loop.call_later(max(0.0, order.patience) / 1000.0, self.post, AttemptTimedOut(order))
         attempt = self.attempts[order.call] = Attempt(order, timer, now)
         self._send_set_up(attempt)
 
@@ -254,17 +282,19 @@
         if not self._client_waits(attempt):
             return
         attempt.sent_at, attempt.link = self.loop.time(), connection.link
-        attempt.suspect_timer = self.loop.call_later(SUSPECT_AFTER, self.post, DoubtDue(attempt))
+        attempt.suspect_timer = self.loop.call_later(SUSPECT_AFTER, self.post, SuspectTimerExpired(attempt))
         self._mark_awaiting()
-        left = order.patience - (attempt.sent_at - attempt.ordered_at) * 1000.0
-        CALL_TRACE.step(order.call, CallStep.SENT, server=self.name, attempt=order.attempt, left=round(left))
+        time_left = order.patience - (attempt.sent_at - attempt.ordered_at) * 1000.0
+        CALL_TRACE.step(
+            order.call, CallStep.SENT, server=self.name, attempt=order.attempt, left=round(time_left)
+        )
         connection.link.write(
             write_message(
                 Type.SET_UP,
                 order.call,
                 {
                     Code.CLASS: order.call_class,
-                    Code.TIME_LEFT: str(max(1, round(left))).encode("ascii"),
+                    Code.TIME_LEFT: str(max(1, round(time_left))).encode("ascii"),
                     Code.NUMBER: order.number,
                     Code.DESCRIPTION: order.description,
                 },
@@ -276,7 +306,7 @@
 
         Prevents attempts for callers that have gone, wherever the order waited: a release wait, a queue, a
         dial, or a paused process. Input of the caller that has not been processed yet is processed first; the
-        ``Heard`` item that reports this takes the same route as a give-up and so arrives after it.
+        ``InputProcessed`` item that reports this takes the same route as a give-up and so arrives after it.
         """
         order = attempt.order
         presence = Presence.PRESENT if order.client is None else order.client.check_presence()
@@ -295,11 +325,11 @@
             return True  # the unprocessed input arrived after the last check
         if not attempt.awaiting_input:
             attempt.input_checked_at, attempt.awaiting_input = now, True
-            input_processed = Heard(order.ref, order.attempt, order.call, self.name)
+            input_processed = InputProcessed(order.ref, order.attempt, order.call, self.name)
             order.client.when_processed(lambda: self.notify_dispatcher(input_processed))
         return False
 
-    def _input_processed(self, item: Heard) -> None:
+    def _input_processed(self, item: InputProcessed) -> None:
         attempt = self.attempts.get(item.call)
         if attempt is not None and (attempt.order.ref, attempt.order.attempt) == (item.ref, item.attempt):
             attempt.awaiting_input = False
@@ -315,17 +345,17 @@
             return
         self._give_up(attempt)
         self._mark_suspect(attempt.link, attempt.sent_at)
-        silent = any(
+        link_silent = any(
             connection.link is attempt.link and connection.link.last_received_at <= attempt.sent_at
             for connection in self.connections
         )
-        elsewhere = any(
+        received_elsewhere = any(
             connection.link.last_received_at > max(attempt.sent_at, connection.link.opened_at)
             for connection in self.connections
         )
         # If the server sent something on another connection meanwhile, the silent connection is at fault and
         # not the server.
-        self._end_attempt(attempt, Ending.CUT if silent and elsewhere else Ending.TIMED_OUT)
+        self._end_attempt(attempt, Ending.CUT if link_silent and received_elsewhere else Ending.TIMED_OUT)
 
     def _suspect_due(self, attempt: Attempt) -> None:
         if (
@@ -338,9 +368,9 @@
     def _mark_suspect(self, link: Link | None, since: float) -> None:
         """Mark a connection suspect if it received nothing since then; if all are suspect, open another.
 
-        A connection may stay open and yet be dead. That must neither fail later set-ups nor end the standing
-        calls, as treating the whole server as lost would. The cost is one needless dial to a server that was
-        only paused.
+        A connection may stay open and yet be dead. That must neither fail later set-ups nor end standing
+        calls, which would happen if the whole server were treated as lost. The cost is one needless dial to
+        a server that was only paused.
         """
         for connection in self.connections:
             if connection.link is link and connection.link.last_received_at <= since:
@@ -422,7 +452,7 @@
     def _answered(self, link: Link, message: Message) -> None:
         attempt = self.attempts.get(message.call)
         if attempt is None or attempt.stands or attempt.link is not link:
-            return  # answers a given-up attempt: the give-up on its way ends the call at the server
+            return  # answers a given-up attempt: the give-up that was sent ends the call at the server
         description = message.parameters.get(Code.DESCRIPTION)
         if description is None:
             self._release(attempt)
@@ -450,8 +480,8 @@
             self._end_attempt(attempt, Ending.CUT, report=report)
         else:
             ending = ENDING_BY_CAUSE.get(cause or 0, Ending.ERROR)
-            full = ending is Ending.FULL and message.text(Code.NOTE) == NO_LINES_NOTE
-            self._end_attempt(attempt, ending, full, report)
+            lines_full = ending is Ending.FULL and message.text(Code.NOTE) == NO_LINES_NOTE
+            self._end_attempt(attempt, ending, lines_full, report)
 
     def _state_received(self, message: Message) -> None:
         report = self._report(message)
@@ -473,7 +503,7 @@
 
     def _send_health_check(self) -> None:
         check_id = next(self.check_numbers).to_bytes(8, "big")
-        timer = self.loop.call_later(HEALTH_CHECK_TIMEOUT, self.post, TestOver(check_id))
+        timer = self.loop.call_later(HEALTH_CHECK_TIMEOUT, self.post, HealthCheckTimedOut(check_id))
         link = next(
             (connection.link for connection in reversed(self.connections) if not connection.suspect), None
         )
@@ -548,12 +578,12 @@
     def _schedule_reconnect(self) -> None:
         if self.reconnect_timer is None and self.listed.entry.state is not ServerState.GONE:
             self.reconnect_timer = self.loop.call_later(
-                random.uniform(*RECONNECT_DELAY), self.post, RedialDue()
+                random.uniform(*RECONNECT_DELAY), self.post, ReconnectTimerExpired()
             )
 
     def _link_ended(self, link: Link, reason: CloseReason) -> None:
         self.connections = [connection for connection in self.connections if connection.link is not link]
-        given_up = reason in (CloseReason.BLOCKED, CloseReason.SILENT)
+        unresponsive = reason in (CloseReason.BLOCKED, CloseReason.SILENT)
         for attempt in [
             unanswered
             for unanswered in self.attempts.values()
@@ -562,19 +592,21 @@
             if reason not in (CloseReason.SERVER_GONE, CloseReason.REPLACED):
                 # The server may hold the call: its answer may be among the bytes that could not be read.
                 self._release(attempt)
-            self._end_attempt(attempt, Ending.TIMED_OUT if given_up else Ending.CUT)
+            self._end_attempt(attempt, Ending.TIMED_OUT if unresponsive else Ending.CUT)
         for check_id, check in list(self.health_checks.items()):
             if check[2] is link:
                 self._end_health_check(check_id, Ending.CUT, None)
         # The end of a connection, even by a reset, ends no standing call. That the server process is dead
         # shows when a dial is refused, or when the server list reports a restart.
         if any(attempt.stands and attempt.link is link for attempt in self.attempts.values()):
-            # A release may have been lost with the connection, unread or partly read. The server sends it
-            # again on the next connection that is opened, even if others are open.
+            # The server's release may have been lost with the connection, unread or partly read. The server
+            # sends it again on the next connection that is opened, even if others are open.
             self._dial()
         if not self.connections:
-            waits = self.pending_releases or any(attempt.stands for attempt in self.attempts.values())
-            if waits or self.loop.time() - link.opened_at > MIN_CONNECTION_LIFETIME:
+            awaits_release = self.pending_releases or any(
+                attempt.stands for attempt in self.attempts.values()
+            )
+            if awaits_release or self.loop.time() - link.opened_at > MIN_CONNECTION_LIFETIME:
                 self._dial()  # releases in both directions wait for the next connection and have a time limit
             else:
                 self._schedule_reconnect()
@@ -623,15 +655,17 @@
             for connection in self.connections:  # the server lives, so its silent connections are dead
                 if connection.suspect and now - connection.link.last_received_at >= KEEPALIVE_TIMEOUT:
                     connection.link.close(CloseReason.SILENT)
-        self.keepalive_timer = self.loop.call_later(max(KEEPALIVE_INTERVAL, idle_left), self.post, QuietDue())
+        self.keepalive_timer = self.loop.call_later(
+            max(KEEPALIVE_INTERVAL, idle_left), self.post, KeepaliveTimerExpired()
+        )
 
     def _mark_awaiting(self) -> None:
         """Note when a message that a live server responds to was sent, or put off until a dial succeeds."""
         if self.awaiting_since is None:
             self.awaiting_since = self.loop.time()
 
-    def _update(self, listed: Listed | Settle) -> None:
-        if isinstance(listed, Settle):
+    def _update(self, listed: Listed | ApplySettings) -> None:
+        if isinstance(listed, ApplySettings):
             self.connect_timeout = listed.connect_timeout
             return
         restarted = (listed.entry.started or 0.0) > (self.listed.entry.started or 0.0)
--- a/tests/net/test_dispatcher.py
+++ b/tests/net/test_dispatcher.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from martentide.attempt_messages import Ended, Heard, Order, Stood, Withdraw
+from martentide.attempt_messages import Ended, InputProcessed, Order, Stood, Withdraw
 from martentide.codec.discovery import Listed, Notice
 from martentide.interface import Action, CancelAttempt, Ending, Event, SetTimer, SetUpOffered, Stands
-from martentide.net.dispatcher import Dispatcher, GiveUp, Offer, Probing, Settle
+from martentide.net.dispatcher import ApplySettings, Dispatcher, GiveUp, Offer, Probing
 from martentide.rules import Controller
 from martentide.settings import settings_from
 from tests.net.support import SETTINGS
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.notifications: list[tuple[Any, ...]] = []
-        self.items: list[Order | Withdraw | Heard | Probing | Listed | Settle] = []
+        self.items: list[Order | Withdraw | InputProcessed | Probing | Listed | ApplySettings] = []
 
     def answer(self, call: bytes, description: bytes) -> None:
         """Record an answer."""
@@ -45,7 +45,7 @@
         """Record a release."""
         self.notifications.append(("release", call, cut))
 
-    def post(self, item: Order | Withdraw | Heard | Probing | Listed | Settle) -> None:
+    def post(self, item: Order | Withdraw | InputProcessed | Probing | Listed | ApplySettings) -> None:
         """Record an item for the server."""
         self.items.append(item)
 
@@ -68,13 +68,15 @@
 
 
 def run_script(
-    script: Callable[[Dispatcher, RecordingPeer], None], module: type[Controller] = Controller
+    script: Callable[[Dispatcher, RecordingPeer], None], controller_type: type[Controller] = Controller
 ) -> tuple[Dispatcher, RecordingPeer]:
     """Run a script that posts items, and let the dispatcher handle all of them."""
 
     async def run() -> tuple[Dispatcher, RecordingPeer]:
         peer = RecordingPeer()
-        dispatcher = Dispatcher(module(settings_from(SETTINGS), 1), lambda listed, dispatcher: peer, 10)
+        dispatcher = Dispatcher(
+            controller_type(settings_from(SETTINGS), 1), lambda listed, dispatcher: peer, 10
+        )
         dispatcher.now = FUTURE  # ahead of the wall clock; the time of the decisions must not run backwards
         dispatcher.apply_list(Notice(1, True, (Listed(entry("s-1", 0), "127.0.0.1", 1),)))
         script(dispatcher, peer)
@@ -99,19 +101,21 @@
 
 def test_an_error_in_the_decisions_fails_the_call_and_keeps_their_timers() -> None:
     """After an error in the decisions the call must be answered and their requested timer must still run."""
-    ticks: list[Event] = []
+    handled_events: list[Event] = []
 
-    class Counting(FailingController):
+    class RecordingController(FailingController):
         def handle(self, now: float, event: Event) -> list[Action]:
-            ticks.append(event)
+            handled_events.append(event)
             return super().handle(now, event)
 
     async def run() -> RecordingPeer:
         peer = RecordingPeer()
-        dispatcher = Dispatcher(Counting(settings_from(SETTINGS), 1), lambda listed, dispatcher: peer, 10)
+        dispatcher = Dispatcher(
+            RecordingController(settings_from(SETTINGS), 1), lambda listed, dispatcher: peer, 10
+        )
         dispatcher.post(offer(peer))
         task = asyncio.create_task(dispatcher.run())
-        while len(ticks) < 2:  # the offer, then the timer that was requested before the error
+        while len(handled_events) < 2:  # the offer, then the timer that was requested before the error
             await asyncio.sleep(0.001)
         task.cancel()
         assert not dispatcher.calls and not dispatcher.by_id and dispatcher.open_calls == 0
@@ -142,7 +146,7 @@
     assert not dispatcher.calls
 
 
-def test_an_id_that_another_caller_used_is_refused_while_it_is_open_and_free_later() -> None:
+def test_id_of_another_callers_call_is_refused_while_open_and_accepted_later() -> None:
     """A caller that uses an id of another caller's call must not be left without a response."""
     other = RecordingPeer()
 
@@ -155,7 +159,7 @@
     assert other.notifications == [("refuse", CALL), ("answer", CALL, b"good")]
 
 
-def test_a_call_given_up_may_come_again_and_is_answered() -> None:
+def test_call_offered_again_after_a_give_up_is_answered() -> None:
     """A caller that repeats a set-up after its connection broke must get an answer."""
 
     def script(dispatcher: Dispatcher, peer: RecordingPeer) -> None:
@@ -169,17 +173,17 @@
 def test_the_clock_of_the_decisions_never_runs_backwards() -> None:
     times: list[float] = []
 
-    class Timed(Controller):
+    class TimeRecordingController(Controller):
         def handle(self, now: float, event: Event) -> list[Action]:
             times.append(now)
             return super().handle(now, event)
 
-    run_script(lambda dispatcher, peer: dispatcher.post(offer(peer, left=1e16)), Timed)
+    run_script(lambda dispatcher, peer: dispatcher.post(offer(peer, left=1e16)), TimeRecordingController)
     assert times == sorted(times) and times[-1] >= FUTURE
 
 
 def test_a_withdrawal_requested_by_the_decisions_does_not_end_a_standing_call() -> None:
-    class Withdrawing(Controller):
+    class WithdrawingController(Controller):
         def handle(self, now: float, event: Event) -> list[Action]:
             actions = super().handle(now, event)
             if isinstance(event, Stands):
@@ -190,4 +194,4 @@
         dispatcher.post(offer(peer))
         dispatcher.post(stood())
 
-    assert run_script(script, Withdrawing)[1].items[-1] == Withdraw(1, 0, CALL, hang_up=False)
+    assert run_script(script, WithdrawingController)[1].items[-1] == Withdraw(1, 0, CALL, hang_up=False)
