--- a/martentide/extproc/ledger.py
+++ b/martentide/extproc/ledger.py
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Carry:
-    """The module orders attempt ``attempt`` of the call at ``server``; ``patience`` is in ms."""
+    """The decision module orders attempt ``attempt`` of the call at ``server``; ``patience`` is in ms."""
 
     key: int
     ref: int
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeBack:
-    """The module withdraws an attempt; ``hang_up``: even if the call stands."""
+    """The decision module withdraws an attempt; ``hang_up``: even if the call stands."""
 
     key: int
     ref: int
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decided:
-    """The module's final verdict: refused with a hold-off in ms, or failed (None)."""
+    """The decision module's final verdict: refused with a hold-off in ms, or failed (None)."""
 
     key: int
     hold_off: float | None
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewCall:
-    """Offer a new call to the module; ``time_left`` (ms) counts from ``at``."""
+    """Offer a new call to the decision module; ``time_left`` (ms) counts from ``at``."""
 
     key: int
     call_class: str
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClosed:
-    """The request is closed; no further verdict of the module is needed for it."""
+    """The request is closed; the decision module need not decide on it any more."""
 
     key: int
 
@@ -210,14 +210,14 @@
     cutoff: float  # time at which the final verdict is sent at the latest
     asked_at: float
     state: State = State.PENDING
-    ref: int = -1
-    attempt: int = -1  # the last one ordered
+    ref: int = -1  # the decision module's reference of the call
+    attempt: int = -1  # the last one routed
     attempts: int = 0
     server: str = ""
     routed_at: float = 0.0
-    lease: float = 0.0
-    not_before: float = 0.0
-    may_have_run: bool = False
+    patience_ends_at: float = 0.0  # of the routed attempt
+    not_before: float = 0.0  # end of the release wait: earliest time of the next route
+    may_have_run: bool = False  # an ended attempt may have been executed
     deferred_order: Carry | None = None  # an order held until the release wait is over
     timers: set[str] = field(default_factory=set)
 
@@ -343,14 +343,16 @@
             now,
         )
         request.attempts += 1
-        request.lease = now + patience
+        request.patience_ends_at = now + patience
         self._record_verdict(request, now)
-        self._set_timer(request, "lease", min(request.lease + self.settings.lease_grace, request.cutoff))
+        self._set_timer(
+            request, "lease", min(request.patience_ends_at + self.settings.lease_grace, request.cutoff)
+        )
         self.counts["routed"] += 1
         self._send(self._build_route(request, listed, now, order.held))
 
     def _build_route(self, request: Request, listed: ListedServer, now: float, held: bool = False) -> Route:
-        patience = request.lease - now
+        patience = request.patience_ends_at - now
         valid = min(self.settings.valid_for, patience, request.routed_at + self.settings.valid_for - now)
         return Route(
             request=request.request_id,
@@ -498,21 +500,21 @@
 
     # ---- withdrawals, timeouts, the server list -----------------------------------------------------------
 
-    def _on_take_back(self, now: float, item: TakeBack) -> None:
-        request = self.requests.get(item.key)
-        if request is None or request.attempt != item.attempt:
+    def _on_take_back(self, now: float, withdrawal: TakeBack) -> None:
+        request = self.requests.get(withdrawal.key)
+        if request is None or request.attempt != withdrawal.attempt:
             if (
                 request is not None
                 and request.deferred_order is not None
-                and request.deferred_order.attempt == item.attempt
+                and request.deferred_order.attempt == withdrawal.attempt
             ):
                 order, request.deferred_order = request.deferred_order, None
                 self._end_not_sent(order)
             return
-        if request.state is State.STANDS and item.hang_up:
+        if request.state is State.STANDS and withdrawal.hang_up:
             self._send(Release(request.request_id, Why.DECIDED))
             self._end_standing(request, Ending.CANCELLED, None)
-        elif request.state is State.ROUTED and (item.hang_up or not self.settings.single_attempt):
+        elif request.state is State.ROUTED and (withdrawal.hang_up or not self.settings.single_attempt):
             # A front limited to one attempt could not make another, so there the attempt runs to its end.
             self._send(Withdrawn(request.request_id, request.attempt, False, Why.DECIDED))
             self._end_attempt(request, now, Ending.CANCELLED)
@@ -592,8 +594,8 @@
                 self._send(Withdrawn(request.request_id, request.attempt, False, Why.SERVER_GONE))
                 self._end_attempt(request, now, Ending.CUT)
             elif request.state is State.ROUTED and request.server in drains:
-                # Only the front knows whether the route was used: it reports "not sent" if it was not;
-                # attempts that have begun continue.
+                # Only the front knows whether the route was used: it reports "not sent" if it was not.
+                # An attempt that has begun continues.
                 self.counts["withdrawn_drain"] += 1
                 self._send(Withdrawn(request.request_id, request.attempt, True, Why.DRAINING))
 
@@ -613,10 +615,10 @@
                 routed = sorted(
                     request.request_id for request in self.requests.values() if request.state is State.ROUTED
                 )
-                stand = sorted(
+                standing = sorted(
                     request.request_id for request in self.requests.values() if request.state is State.STANDS
                 )
-                self._send(Welcomed(tuple(routed), tuple(stand)))
+                self._send(Welcomed(tuple(routed), tuple(standing)))
                 for request in self.requests.values():
                     listed = self.servers.get(request.server)
                     if request.state is not State.ROUTED or listed is None:
--- a/martentide/extproc/limits.py
+++ b/martentide/extproc/limits.py
@@ -48,12 +48,12 @@
     rate: float
     depth: float
     tokens: float
-    filled: float
+    refilled_at: float
 
     def level(self, now: float) -> float:
         """Refill the bucket up to ``now`` (ms) and return its tokens."""
-        self.tokens = min(self.depth, self.tokens + self.rate * max(0.0, now - self.filled) / 1000.0)
-        self.filled = max(self.filled, now)
+        self.tokens = min(self.depth, self.tokens + self.rate * max(0.0, now - self.refilled_at) / 1000.0)
+        self.refilled_at = max(self.refilled_at, now)
         return self.tokens
 
 
@@ -76,7 +76,7 @@
         self.random = random.Random(seed)
         self.fronts: dict[str, FrontUsage] = {}
         self.pending = self.open = 0
-        self.mean_decision = 5.0  # moving average, ms
+        self.mean_decision_ms = 5.0  # moving average
 
     def set_limits(self, limits: Limits) -> None:
         """Apply new limits from the next question on; open requests are kept."""
@@ -84,7 +84,7 @@
         for front in self.fronts.values():
             depth = self._depth()
             front.bucket = TokenBucket(
-                limits.rate_each, depth, min(depth, front.bucket.tokens), front.bucket.filled
+                limits.rate_each, depth, min(depth, front.bucket.tokens), front.bucket.refilled_at
             )
 
     def _depth(self) -> float:
@@ -122,7 +122,7 @@
         limits = self.limits
         worth_deficit = 1.0 - min(1.0, max(0.0, worth / self.top_worth))
         usable_share = 1.0 - limits.reserve * worth_deficit  # of each limit that this worth may use
-        wait = self.mean_decision * max(1.0, front.pending)
+        wait = self.mean_decision_ms * max(1.0, front.pending)
         if front.pending >= max(1.0, limits.pending_each * usable_share) or front.open >= max(
             1.0, limits.open_each * usable_share
         ):
@@ -130,13 +130,13 @@
         if self.pending >= max(1.0, limits.pending_all * usable_share) or self.open >= max(
             1.0, limits.open_all * usable_share
         ):
-            return self._reject(Why.BUSY, self.mean_decision * max(1.0, self.pending))
+            return self._reject(Why.BUSY, self.mean_decision_ms * max(1.0, self.pending))
         if self._exceeds_fair_share(front):
             return self._reject(Why.BUSY, wait)
-        need = 1.0 + max(0.0, front.bucket.depth - 1.0) * limits.reserve * worth_deficit
-        missing = need - front.bucket.level(now)
-        if missing > 0:
-            return self._reject(Why.FRONT_RATE, missing * 1000.0 / max(1e-9, limits.rate_each))
+        required_tokens = 1.0 + max(0.0, front.bucket.depth - 1.0) * limits.reserve * worth_deficit
+        missing_tokens = required_tokens - front.bucket.level(now)
+        if missing_tokens > 0:
+            return self._reject(Why.FRONT_RATE, missing_tokens * 1000.0 / max(1e-9, limits.rate_each))
         return None
 
     def _exceeds_fair_share(self, front: FrontUsage) -> bool:
@@ -145,9 +145,9 @@
         Prevents one front from exhausting the limit that all fronts share. A front may use what the others
         leave free, up to FAIR_SHARE_THRESHOLD of the total; above it, a front over an equal share is refused.
         """
-        asking = sum(1 for usage in self.fronts.values() if usage.open) + (front.open == 0)
-        crowded = self.pending >= FAIR_SHARE_THRESHOLD * self.limits.pending_all
-        return asking > 1 and crowded and front.pending >= self.limits.pending_all / asking
+        active_fronts = sum(1 for usage in self.fronts.values() if usage.open) + (front.open == 0)
+        nearly_full = self.pending >= FAIR_SHARE_THRESHOLD * self.limits.pending_all
+        return active_fronts > 1 and nearly_full and front.pending >= self.limits.pending_all / active_fronts
 
     def _reject(self, why: Why, wait: float) -> Rejection:
         wait = max(MIN_RETRY_AFTER_MS, wait) * (1.0 + RETRY_JITTER * self.random.random())
@@ -159,7 +159,7 @@
         front.pending -= 1
         self.pending -= 1
         if waited is not None:
-            self.mean_decision += DECISION_TIME_WEIGHT * (waited - self.mean_decision)
+            self.mean_decision_ms += DECISION_TIME_WEIGHT * (waited - self.mean_decision_ms)
 
     def reopened(self, name: str) -> None:
         """Count an admitted request as pending again after an attempt ended; it is not refused here."""
--- a/martentide/extproc/sessions.py
+++ b/martentide/extproc/sessions.py
@@ -70,8 +70,8 @@
         live = [
             live_session for live_session in self.by_token.values() if live_session.phase is not Phase.EXPIRED
         ]
-        same = [live_session for live_session in live if live_session.front == front]
-        if len(live) >= self.settings.max_sessions or len(same) >= self.settings.max_sessions_per_front:
+        of_front = [live_session for live_session in live if live_session.front == front]
+        if len(live) >= self.settings.max_sessions or len(of_front) >= self.settings.max_sessions_per_front:
             return Refusal.TOO_MANY
         self.opened += 1
         session = Session(self.opened, front, self.tokens(TOKEN_BYTES))
--- a/martentide/extproc/wire.py
+++ b/martentide/extproc/wire.py
@@ -62,7 +62,7 @@
     if kind == "outcome":
         outcome = message.outcome
         if outcome.ending not in ENDINGS:
-            raise CodecError(f"outcome of request {outcome.request}: ending {outcome.ending}")
+            raise CodecError(f"outcome of request {outcome.request}: unknown ending {outcome.ending}")
         return Outcome(
             request=outcome.request,
             attempt=outcome.attempt,
@@ -75,7 +75,7 @@
         return Cancel(message.cancel.request)
     if kind == "over":
         return Over(message.over.request, message.over.cut, report_or_none(message.over.report))
-    raise CodecError(f"a message of kind {kind}")
+    raise CodecError(f"unexpected message of kind {kind}")
 
 
 def _sent_at(ask: pb.Ask, received_at: float) -> float:
@@ -87,7 +87,7 @@
 
 def _bounded_text(text: str, what: str) -> str:
     if len(text) > MAX_TEXT_CHARS:
-        raise CodecError(f"{what}: {len(text)} characters")
+        raise CodecError(f"{what} too long: {len(text)} characters")
     return text
 
 
--- a/martentide/learned/__init__.py
+++ b/martentide/learned/__init__.py
@@ -1,4 +1,4 @@
-"""Learned state across restarts: persistence of what the decisions learned about session servers.
+"""Learned state across restarts: persistence of what the decision module learned about session servers.
 
 ``schema`` defines which fields are saved and why, ``ageing`` how they lose weight, ``codec`` the file format,
 ``snapshot`` reads them from a Controller and ``restore`` loads them into a new one. Everything here is pure:
--- a/martentide/learned/ageing.py
+++ b/martentide/learned/ageing.py
@@ -51,13 +51,13 @@
 
 def aged_image(image: ImageState | None, age: float, now: float) -> ImageState | None:
     """Return the aged gap image, None once expired. It expires by the time of its report; the share held back
-    decays as in the decisions."""
+    decays as in the decision module."""
     if image is None or now >= image.expires:
         return None
     remaining = weight(age, "image")
     if remaining < MIN_WEIGHT:
         return None
-    # u is the offered rate times one minus the share held back: a smaller share means a higher rate.
+    # The bound rate is the offered rate times one minus the share held back, so a smaller share raises it.
     share = image.hold_back * remaining
     rate = image.rate * (1.0 - share) / max(1e-6, 1.0 - image.hold_back)
     return ImageState(share, rate, image.expires, image.reported)
@@ -71,7 +71,7 @@
     return ServerState(
         name=server.name,
         started=server.started,
-        # Waits and lags decay by their own timestamps in the decisions; a future one would make them grow.
+        # The decision module ages waits and lags by their timestamps; a future one would make them grow.
         wait=server.wait,
         wait_at=min(server.wait_at, now),
         lag=server.lag,
--- a/martentide/learned/codec.py
+++ b/martentide/learned/codec.py
@@ -57,10 +57,13 @@
 
 
 def fingerprint(settings: Settings) -> bytes:
-    """Return a hash of the settings on which the learned values depend; under others they are meaningless."""
+    """Return a hash of the settings on which the learned values depend; they mean nothing under others."""
     relevant_settings = [
         repr(
-            sorted((kind.name, kind.worth, kind.aim, kind.deadline, kind.pools) for kind in settings.classes)
+            sorted(
+                (call_class.name, call_class.worth, call_class.aim, call_class.deadline, call_class.pools)
+                for call_class in settings.classes
+            )
         ),
         repr((settings.proxies, settings.own_place, settings.report_by.value, settings.repeat_interval)),
         repr((settings.cold_share, settings.cold_time, settings.fall_multiple, settings.fall_time)),
@@ -68,7 +71,7 @@
     return hashlib.sha256("\n".join(relevant_settings).encode()).digest()[:16]
 
 
-def write_state(learned: Learned, settings_print: bytes) -> bytes:
+def write_state(learned: Learned, settings_fingerprint: bytes) -> bytes:
     """Return the contents of a whole file. Raises StateError if it would be too large to be read back."""
     payload = _encoder.encode(learned)
     if len(payload) > MAX_PAYLOAD_BYTES:
@@ -77,7 +80,7 @@
         MAGIC,
         FORMAT_VERSION,
         SCHEMA_VERSION,
-        settings_print,
+        settings_fingerprint,
         learned.sequence,
         learned.saved_at,
         len(payload),
@@ -87,15 +90,18 @@
     )
 
 
-def read_state(raw: bytes, settings_print: bytes | None) -> Learned:
-    """Return the state in a file; ``settings_print`` None accepts any settings. Raises only StateError."""
+def read_state(raw: bytes, settings_fingerprint: bytes | None) -> Learned:
+    """Return the state in a file; a ``settings_fingerprint`` of None accepts any.
+
+    Raises only StateError.
+    """
     if not raw:
         raise StateError(Fault.EMPTY, "no bytes")
     if raw[: len(MAGIC)] != MAGIC[: len(raw)]:
         raise StateError(Fault.NOT_STATE, f"begins with {raw[:8]!r}, expected {MAGIC!r}")
     if len(raw) < HEADER_BYTES:
         raise StateError(Fault.CUT, f"{len(raw)} bytes, expected a header of {HEADER_BYTES}")
-    _, format_version, schema, found_print, sequence, saved_at, length = HEADER.unpack_from(raw)
+    _, format_version, schema, found_fingerprint, sequence, saved_at, length = HEADER.unpack_from(raw)
     if format_version != FORMAT_VERSION:  # before the checksum: another format may place it elsewhere
         raise StateError(Fault.OTHER_FORMAT, f"format {format_version}, expected {FORMAT_VERSION}")
     (head_sum,) = CRC_FIELD.unpack_from(raw, HEADER.size)
@@ -114,9 +120,9 @@
     (payload_sum,) = CRC_FIELD.unpack_from(raw, HEADER_BYTES + length)
     if crc32c.crc32c(payload) != payload_sum:
         raise StateError(Fault.CHECKSUM, "payload checksum mismatch")
-    if settings_print is not None and found_print != settings_print:
+    if settings_fingerprint is not None and found_fingerprint != settings_fingerprint:
         raise StateError(
-            Fault.OTHER_SETTINGS, f"settings {found_print.hex()}, expected {settings_print.hex()}"
+            Fault.OTHER_SETTINGS, f"settings {found_fingerprint.hex()}, expected {settings_fingerprint.hex()}"
         )
     return _payload(payload, sequence, saved_at)
 
--- a/martentide/learned/files.py
+++ b/martentide/learned/files.py
@@ -1,4 +1,4 @@
-"""Crash-safe replacement of the state file: the order of steps that never leaves only a partial state.
+"""Crash-safe replacement of the state file: the steps are ordered so that a complete state always remains.
 
     write state.new, fsync it, rename state -> state.old, rename state.new -> state, fsync the directory
 
@@ -20,8 +20,8 @@
 class Folder(Protocol):
     """A directory. Every method raises OSError as the system does."""
 
-    def read(self, name: str, most: int) -> bytes | None:
-        """Return the contents, None if there is no file. Raises OSError (EFBIG) above ``most`` bytes."""
+    def read(self, name: str, max_bytes: int) -> bytes | None:
+        """Return the contents, None if there is no file. Raises OSError (EFBIG) above ``max_bytes`` bytes."""
 
     def write(self, name: str, data: bytes) -> None:
         """Create or truncate the file and write all of ``data``."""
--- a/martentide/learned/recovery.py
+++ b/martentide/learned/recovery.py
@@ -3,7 +3,7 @@
 nothing        no file exists: start without state
 last-good      the newest file is valid
 earlier-good   the newest is missing or invalid, the previous one is valid
-aged-out       a file is valid, but so old that practically nothing of it counts
+aged-out       a file is valid, but so old that practically nothing of it remains
 refused        files exist but none is usable: start without state and report a reason for each
 """
 
@@ -48,7 +48,7 @@
     sequence: int  # highest of all valid files; later saves continue from it
 
 
-def choose_state(files: Sequence[StateFile], settings_print: bytes, now: float) -> StartDecision:
+def choose_state(files: Sequence[StateFile], settings_fingerprint: bytes, now: float) -> StartDecision:
     """Choose the state to start from. ``files``: newest generation first. Of the valid files, the one with
     the highest sequence is used."""
     valid: list[tuple[Learned, StateFile]] = []
@@ -59,7 +59,7 @@
                 refused.append((file.name, file.error))
             continue
         try:
-            valid.append((read_state(file.raw, settings_print), file))
+            valid.append((read_state(file.raw, settings_fingerprint), file))
         except StateError as error:
             refused.append((file.name, str(error)))
     sequence = max((learned.sequence for learned, _ in valid), default=0)
--- a/martentide/learned/restore.py
+++ b/martentide/learned/restore.py
@@ -1,8 +1,8 @@
 """Loads aged state into a new Controller and drops it as soon as new evidence contradicts it.
 
 Restored state is a hint only: it never gives a cold server more calls than a new proxy would, and it makes no
-server preferred. ``RestoredHints`` observes the events of the decisions and drops a server's restored state
-at its first quick answer instead of waiting for it to age.
+server preferred. ``RestoredHints`` observes the events of the decision module and drops a server's restored
+state at its first quick answer instead of waiting for it to age.
 """
 
 from __future__ import annotations
@@ -54,9 +54,9 @@
         images += server.image is not None
         suspects += server.suspect
         cold += server.cold_from is not None
-    longest = max((kind.deadline for kind in controller.settings.classes), default=0.0)
-    redials = {number: at for number, at in aged.learned.redials.items() if now - at <= longest}
-    # Ordered by first attempt: the decisions drop entries from the front.
+    longest_deadline = max((call_class.deadline for call_class in controller.settings.classes), default=0.0)
+    redials = {number: at for number, at in aged.learned.redials.items() if now - at <= longest_deadline}
+    # Ordered by first attempt, because the decision module removes the oldest entries from the start.
     controller.first_tries.update(sorted(redials.items(), key=lambda item: item[1]))
     counts = Restored(known, unknown, restarted, len(redials), images, suspects, cold)
     return counts, RestoredHints(hints, now)
@@ -84,9 +84,9 @@
             server.cold_from, server.cold_tokens = saved.cold_from, rng.random()
             server.cold_spread = rng.random()
     if server.cold_from is not None:
-        # A debt is kept, and the downtime refills nothing. The unspent amount is unknown, because calls sent
-        # after the save are not in it. So the new process starts like any other, at a random point between
-        # two tokens, which causes no initial burst however often it restarts.
+        # A negative balance is kept, and the downtime adds no tokens. A positive one is not restored, because
+        # calls sent after the save are missing from it. The new process starts like any other, at a random
+        # point between two tokens, so that repeated restarts cause no burst.
         server.cold_tokens, server.cold_filled = server.cold_tokens + min(0.0, saved.cold_tokens), now
     if saved.image is not None:
         image = saved.image
@@ -106,7 +106,7 @@
         return not self.servers
 
     def observe_event(self, now: float, event: Event, controller: Controller) -> None:
-        """Process an event after the decisions have processed it."""
+        """Process an event after the decision module has processed it."""
         if now >= self.expires_at:
             self.servers.clear()
             return
@@ -120,7 +120,7 @@
         elif isinstance(event, AttemptEnded):
             has_report = event.report is not None and event.ending is not Ending.NOT_SENT
             if has_report or event.ending in (Ending.FULL, Ending.TIMED_OUT):
-                self.servers.pop(event.server, None)  # new evidence, which the decisions already use
+                self.servers.pop(event.server, None)  # new evidence, which the decision module already uses
 
     def _drop(self, server: Server, saved: ServerState) -> None:
         """Drop the restored state that restricts calls to a server, because the server answers quickly.
--- a/martentide/learned/schema.py
+++ b/martentide/learned/schema.py
@@ -1,4 +1,4 @@
-"""Schema of the saved learned state. Times are Unix milliseconds, as the decisions use them in service.
+"""Schema of the saved learned state. Times are Unix milliseconds, as in the decision module.
 
 ``SERVER_FIELDS`` and ``CONTROLLER_FIELDS`` list every learned field: whether it is saved, why, and its
 half-life. A test fails for a field of the Controller missing here, so that each new one gets a policy.
@@ -67,7 +67,7 @@
     half_life: float | None = None
 
 
-DELAY_HALF_LIFE_MS = 3_000.0  # equal to the half-life that the decisions apply to waits and lags
+DELAY_HALF_LIFE_MS = 3_000.0  # equal to the half-life that the decision module applies to waits and lags
 SERVER_FIELDS: dict[str, FieldPolicy] = {
     "entry": FieldPolicy(False, "comes from the server list; its name and start are the key"),
     "image": FieldPolicy(True, "set by a report: expires 6 s after it, regardless of restarts", 1_500.0),
--- a/martentide/learned/snapshot.py
+++ b/martentide/learned/snapshot.py
@@ -87,9 +87,9 @@
                 if server is None:
                     self.records.pop(name, None)
                     continue
-                known, marker = self.records.get(name), change_key(server)
-                if known is None or known[0] != marker:
-                    self.records[name] = (marker, take_server(server))
+                cached, key = self.records.get(name), change_key(server)
+                if cached is None or cached[0] != key:
+                    self.records[name] = (key, take_server(server))
             yield None
         if len(self.records) > len(controller.servers):
             for name in [name for name in self.records if name not in controller.servers]:
--- a/martentide/net/extproc/decisions.py
+++ b/martentide/net/extproc/decisions.py
@@ -18,7 +18,7 @@
 from martentide.extproc.wire import decode_front_message, encode_proxy_message, encode_server_change
 from martentide.net.close_reason import CloseReason, log_connection_closed, log_event
 from martentide.net.extproc.front import FrontActor
-from martentide.net.extproc.host import Host
+from martentide.net.extproc.host import SharedState
 from martentide.net.links import unix_ms
 
 HELLO_TIMEOUT_S = 2.0  # for a new stream to send Hello
@@ -55,7 +55,7 @@
         if self.closed.is_set():
             return
         if len(self.unsent) + len(messages) > self.max_unsent:
-            self.close(CloseReason.BLOCKED, f"{len(self.unsent)} messages wait")
+            self.close(CloseReason.BLOCKED, f"{len(self.unsent)} messages waiting to be sent")
             return
         self.unsent.extend(messages)
         self.wake.set()
@@ -66,8 +66,9 @@
             self.reason, self.detail = reason, detail
             self.closed.set()
 
-    async def pump(self, context: Any, limit: float) -> None:
-        """Write queued messages until the stream ends; a write that takes longer than ``limit`` s closes it.
+    async def pump(self, context: Any, write_timeout_s: float) -> None:
+        """Write queued messages until the stream ends; a write that takes longer than
+        ``write_timeout_s`` closes it.
 
         That write is still awaited, because gRPC can neither cancel it nor end the stream in the meantime.
         """
@@ -79,26 +80,28 @@
                 encoded = [
                     self.unsent.popleft() for _ in range(min(MAX_MESSAGES_PER_FRAME, len(self.unsent)))
                 ]
-                watch = loop.call_later(limit, self.close, CloseReason.BLOCKED, "a write timed out")
+                write_timer = loop.call_later(
+                    write_timeout_s, self.close, CloseReason.BLOCKED, "a write timed out"
+                )
                 self.writing = True
                 try:
                     await context.write(pb.ProxyFrame(messages=encoded))
                 finally:
                     self.writing = False
-                    watch.cancel()
+                    write_timer.cancel()
 
 
 class FrontSession:
     """A session with its actor and, while connected, its stream."""
 
-    def __init__(self, session: Session, host: Host) -> None:
-        self.session, self.host = session, host
+    def __init__(self, session: Session, shared: SharedState) -> None:
+        self.session, self.shared = session, shared
         self.writer: StreamWriter | None = None
-        self.next_writer: StreamWriter | None = None  # stream for the next welcome
-        settings = host.lifecycle_settings(single_attempt=False)
-        ledger = Ledger(session.front, settings, host.classes, host.admission, host.keys)
-        self.front = FrontActor(ledger, host.dispatcher, self._deliver, self._on_protocol_error)
-        self.protocol_broken = self.left = False  # front violated the protocol; front sent Leave
+        self.next_writer: StreamWriter | None = None  # the stream on which the next welcome is sent
+        settings = shared.lifecycle_settings(single_attempt=False)
+        ledger = Ledger(session.front, settings, shared.classes, shared.admission, shared.keys)
+        self.front = FrontActor(ledger, shared.dispatcher, self._deliver, self._on_protocol_error)
+        self.protocol_violated = self.leave_received = False
 
     def _deliver(self, messages: list[ToFront]) -> None:
         encoded: list[pb.ProxyMessage] = []
@@ -113,17 +116,17 @@
             self.writer.put(encoded)
 
     def _welcome(self, message: Welcomed) -> list[pb.ProxyMessage]:
-        lease = int(self.host.sessions.settings.lease)
+        lease = int(self.shared.sessions.settings.lease)
         welcome = pb.Welcome(
             session=self.session.token, lease_ms=lease, routed=message.routed, standing=message.standing
         )
-        listed = self.host.dispatcher.listed.values()
+        listed = self.shared.dispatcher.listed.values()
         servers = [encode_server_change(server.entry, f"{server.host}:{server.port}") for server in listed]
         return [pb.ProxyMessage(welcome=welcome), *servers]
 
     def _on_protocol_error(self, detail: str) -> None:
         """Close the stream of a front that violated the protocol; the session ends with it."""
-        self.protocol_broken = True
+        self.protocol_violated = True
         for writer in (self.writer, self.next_writer):
             if writer is not None:
                 writer.close(CloseReason.MALFORMED, detail)
@@ -132,8 +135,8 @@
 class Decisions:
     """The gRPC service; ``sessions`` holds the sessions whose calls are counted, by session number."""
 
-    def __init__(self, host: Host) -> None:
-        self.host = host
+    def __init__(self, shared: SharedState) -> None:
+        self.shared = shared
         self.sessions: dict[int, FrontSession] = {}
         self.blocked_streams = 0  # streams waiting for a last write, which gRPC can't cancel
 
@@ -142,7 +145,7 @@
     async def decide(self, _: Any, context: Any) -> None:
         """Handle one stream of the RPC ``Decide``."""
         peer = str(context.peer())
-        writer = StreamWriter(self.host.streams.most_unsent)
+        writer = StreamWriter(self.shared.streams.most_unsent)
         front_session: FrontSession | None = None
         stream = 0
         tasks: list[asyncio.Task[Any]] = []
@@ -157,9 +160,9 @@
                 else:
                     front_session = found
                     peer = f"{front_session.session.front}/{front_session.session.number}"
-                    limit = self.host.streams.blocked_ms / 1000.0
+                    write_timeout_s = self.shared.streams.blocked_ms / 1000.0
                     tasks = [
-                        asyncio.create_task(writer.pump(context, limit)),
+                        asyncio.create_task(writer.pump(context, write_timeout_s)),
                         asyncio.create_task(self._read(context, writer, front_session)),
                         asyncio.create_task(writer.closed.wait()),
                     ]
@@ -212,7 +215,7 @@
             at = unix_ms()
             try:
                 messages = [received for received in frame.messages if received.WhichOneof("kind") != "leave"]
-                front_session.left = len(messages) < len(frame.messages)
+                front_session.leave_received = len(messages) < len(frame.messages)
                 events: list[FromFront] = [decode_front_message(message, at) for message in messages]
             except CodecError as error:
                 writer.close(CloseReason.MALFORMED, str(error))
@@ -220,14 +223,14 @@
             if events:
                 await front_session.front.unread_credit.acquire()
                 front_session.front.enqueue(events)
-            if front_session.left:
+            if front_session.leave_received:
                 return
 
     # ---- sessions -----------------------------------------------------------------------------------------
 
     def _open_session(self, hello: pb.Hello, writer: StreamWriter) -> FrontSession | Refusal:
-        sessions = self.host.sessions
-        if self.host.closing:
+        sessions = self.shared.sessions
+        if self.shared.closing:
             return Refusal.CLOSING
         if self.blocked_streams >= sessions.settings.max_sessions:
             return Refusal.TOO_MANY
@@ -235,7 +238,7 @@
             opened = sessions.open(hello.front)
             if isinstance(opened, Refusal):
                 return opened
-            front_session = self.sessions[opened.number] = FrontSession(opened, self.host)
+            front_session = self.sessions[opened.number] = FrontSession(opened, self.shared)
             front_session.next_writer = writer
             front_session.front.stream_changed(Stream.RESUMED)
             return front_session
@@ -254,18 +257,18 @@
         return front_session
 
     def _stream_ended(self, front_session: FrontSession, stream: int) -> None:
-        lease = self.host.sessions.stream_ended(front_session.session, stream, unix_ms())
+        lease = self.shared.sessions.stream_ended(front_session.session, stream, unix_ms())
         if lease is None:
             return  # another stream has replaced this one
         front_session.front.stream_changed(Stream.BROKEN)
-        if front_session.protocol_broken or front_session.left or self.host.closing:
+        if front_session.protocol_violated or front_session.leave_received or self.shared.closing:
             self._expire(front_session, stream)
         else:
             delay = max(0.0, lease - unix_ms()) / 1000.0
-            self.host.loop.call_later(delay, self._expire, front_session, stream)
+            self.shared.loop.call_later(delay, self._expire, front_session, stream)
 
     def _expire(self, front_session: FrontSession, stream: int) -> None:
-        if not self.host.sessions.expire(front_session.session, stream):
+        if not self.shared.sessions.expire(front_session.session, stream):
             return
         front_session.front.stream_changed(Stream.EXPIRED)
         front_session.front.stop_when_idle()
@@ -280,7 +283,7 @@
             **dict(sorted(counts.items())),
         )
         self.sessions.pop(front_session.session.number, None)
-        self.host.sessions.forget(front_session.session)
+        self.shared.sessions.forget(front_session.session)
 
     # ---- the whole service --------------------------------------------------------------------------------
 
--- a/martentide/net/extproc/envoy.py
+++ b/martentide/net/extproc/envoy.py
@@ -32,7 +32,7 @@
 )
 from martentide.net.close_reason import LOG, CloseReason, log_connection_closed
 from martentide.net.extproc.front import FrontActor
-from martentide.net.extproc.host import Host
+from martentide.net.extproc.host import SharedState
 from martentide.net.links import unix_ms
 
 REQUEST_HEADERS_TIMEOUT_S = 2.0  # for a new stream to send its request headers
@@ -43,13 +43,17 @@
 class Peer:
     """One host that Envoy's streams come from: its actor and the inboxes of its streams."""
 
-    def __init__(self, name: str, host: Host) -> None:
+    def __init__(self, name: str, shared: SharedState) -> None:
         self.numbers = itertools.count(1)
         self.inboxes: dict[int, asyncio.Queue[ToFront]] = {}
         ledger = Ledger(
-            name, host.lifecycle_settings(single_attempt=True), host.classes, host.admission, host.keys
+            name,
+            shared.lifecycle_settings(single_attempt=True),
+            shared.classes,
+            shared.admission,
+            shared.keys,
         )
-        self.front = FrontActor(ledger, host.dispatcher, self._deliver, self._on_protocol_error)
+        self.front = FrontActor(ledger, shared.dispatcher, self._deliver, self._on_protocol_error)
 
     def _on_protocol_error(self, detail: str) -> None:
         """Log a protocol violation; request numbers are assigned here, so it is an internal error."""
@@ -74,15 +78,15 @@
 class RequestStream:
     """One stream and its request, from the request headers to the end of the stream."""
 
-    def __init__(self, peer: Peer, host: Host, context: Any) -> None:
-        self.peer, self.host, self.context = peer, host, context
+    def __init__(self, peer: Peer, shared: SharedState, context: Any) -> None:
+        self.peer, self.shared, self.context = peer, shared, context
         self.request = 0
         self.inbox: asyncio.Queue[ToFront] = asyncio.Queue()
         self.asked = self.stands = self.over = self.settled = False
         self.route: Route | None = None
         self.sent_at = 0.0
-        self.reading: asyncio.Task[Any] | None = None
-        self.receiving: asyncio.Task[ToFront] | None = None
+        self.read_task: asyncio.Task[Any] | None = None
+        self.inbox_task: asyncio.Task[ToFront] | None = None
         self.passthrough_count = 0
 
     def notify(self, event: Ask | Outcome | Cancel | Over) -> None:
@@ -94,7 +98,7 @@
         async with asyncio.timeout(REQUEST_HEADERS_TIMEOUT_S):
             first = await self._read()
         if first.WhichOneof("request") != "request_headers":
-            raise headers.HeaderError("the first message must bring the request headers")
+            raise headers.HeaderError("the first message must contain the request headers")
         await self._ask(first.request_headers)
         while True:
             message = await self._next()
@@ -108,7 +112,7 @@
                 raise AttemptRevoked(message.why.value)
 
     async def _ask(self, request_headers: Any) -> None:
-        config = self.host.config
+        config = self.shared.config
         try:
             question = headers.parse_question(request_headers.headers, config.headers)
         except headers.HeaderError as error:
@@ -130,7 +134,7 @@
         while True:
             message = await self._next()
             if isinstance(message, Route):
-                self.route, self.sent_at = message, self.host.loop.time()
+                self.route, self.sent_at = message, self.shared.loop.time()
                 await self._write(headers.route_response(message, config.headers))
                 return
             if isinstance(message, Refused | Failed):
@@ -142,14 +146,14 @@
 
     async def _outcome(self, response: Any) -> None:
         assert self.route is not None
-        config = self.host.config
+        config = self.shared.config
         ending, report = headers.parse_outcome(response.headers, config.headers, config.statuses)
-        lag = (self.host.loop.time() - self.sent_at) * 1000.0
+        lag = (self.shared.loop.time() - self.sent_at) * 1000.0
         self.notify(Outcome(self.request, self.route.attempt, ending, lag, report=report))
         final: Refused | Failed | None = None
         async with asyncio.timeout(OUTCOME_TIMEOUT_S):
             while True:
-                message = await self.inbox.get() if self.receiving is None else await self._received()
+                message = await self.inbox.get() if self.inbox_task is None else await self._received()
                 if isinstance(message, Standing):
                     self.stands = True
                     break
@@ -175,12 +179,12 @@
 
         gRPC can't cancel a write, so this stream waits until the write ends; no other stream is delayed.
         """
-        limit = self.host.streams.blocked_ms / 1000.0
-        watch = self.host.loop.call_later(limit, self.settle)
+        write_timeout_s = self.shared.streams.blocked_ms / 1000.0
+        write_timer = self.shared.loop.call_later(write_timeout_s, self.settle)
         try:
             await self.context.write(answer)
         finally:
-            watch.cancel()
+            write_timer.cancel()
         if self.settled:
             raise StreamClosed
 
@@ -191,23 +195,23 @@
         return message
 
     async def _received(self) -> ToFront:
-        assert self.receiving is not None
-        message = await self.receiving
-        self.receiving = None
+        assert self.inbox_task is not None
+        message = await self.inbox_task
+        self.inbox_task = None
         return message
 
     async def _next(self) -> ep.ProcessingRequest | ToFront:
         """Next message of the stream or of the front's actor; the actor's message is returned first."""
-        if self.receiving is None and not self.inbox.empty():
+        if self.inbox_task is None and not self.inbox.empty():
             return self.inbox.get_nowait()
-        if self.reading is None:
-            self.reading = asyncio.create_task(self._read())
-        if self.receiving is None:
-            self.receiving = asyncio.create_task(self.inbox.get())
-        await asyncio.wait((self.reading, self.receiving), return_when=asyncio.FIRST_COMPLETED)
-        if self.receiving.done():
+        if self.read_task is None:
+            self.read_task = asyncio.create_task(self._read())
+        if self.inbox_task is None:
+            self.inbox_task = asyncio.create_task(self.inbox.get())
+        await asyncio.wait((self.read_task, self.inbox_task), return_when=asyncio.FIRST_COMPLETED)
+        if self.inbox_task.done():
             return await self._received()
-        read, self.reading = self.reading, None
+        read, self.read_task = self.read_task, None
         return read.result()
 
     def settle(self) -> None:
@@ -215,7 +219,7 @@
         if self.settled:
             return
         self.settled = True
-        for task in (self.reading, self.receiving):
+        for task in (self.read_task, self.inbox_task):
             if task is not None:
                 task.cancel()
         self.peer.inboxes.pop(self.request, None)
@@ -231,8 +235,8 @@
 class ExternalProcessor:
     """The gRPC service; a peer's actor runs as long as the peer has streams or open calls."""
 
-    def __init__(self, host: Host) -> None:
-        self.host = host
+    def __init__(self, shared: SharedState) -> None:
+        self.shared = shared
         self.peers: dict[str, Peer] = {}
         self.streams: dict[str, int] = {}
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -245,7 +249,7 @@
         if task is not None:
             self.tasks.add(task)
         peer = self._acquire_peer(name)
-        stream = RequestStream(peer, self.host, context)
+        stream = RequestStream(peer, self.shared, context)
         reason, detail = CloseReason.PEER_CLOSED, ""
         abort: grpc.StatusCode | None = None
         try:
@@ -275,8 +279,8 @@
     def _acquire_peer(self, name: str) -> Peer:
         peer = self.peers.get(name)
         if peer is None:
-            peer = self.peers[name] = Peer(name, self.host)
-            if self.host.closing:
+            peer = self.peers[name] = Peer(name, self.shared)
+            if self.shared.closing:
                 peer.front.stream_changed(Stream.CLOSING)
         self.streams[name] = self.streams.get(name, 0) + 1
         return peer
--- a/martentide/net/extproc/front.py
+++ b/martentide/net/extproc/front.py
@@ -79,7 +79,7 @@
         self.timers: dict[tuple[int, str], asyncio.TimerHandle] = {}
         self.unread_credit = asyncio.Semaphore(MAX_UNREAD_FRAMES)
         self.now = 0.0
-        self.ended = False
+        self.stopping = False
         self.idle = asyncio.Event()
         self.idle.set()
         self.enqueue(list_changed_event(dispatcher.listed.values()))
@@ -91,11 +91,11 @@
 
     def stop_when_idle(self) -> None:
         """End the actor as soon as its ledger has no open request."""
-        self.ended = True
+        self.stopping = True
         self.enqueue(())
 
     async def _run(self) -> None:
-        while not (self.ended and self.mailbox.empty() and not self.ledger.requests):
+        while not (self.stopping and self.mailbox.empty() and not self.ledger.requests):
             outgoing: list[ToFront] = []
             item = await self.mailbox.get()
             for _ in range(MAX_EVENTS_PER_TURN):
--- a/martentide/net/extproc/host.py
+++ b/martentide/net/extproc/host.py
@@ -14,8 +14,8 @@
 from martentide.extras import ExternalProcessor, StreamsNode
 
 
-class Host:
-    """Shared state of the external processor's services; one per process."""
+class SharedState:
+    """Dispatcher, admission limits, sessions and configuration of the services; one per process."""
 
     def __init__(
         self, config: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
@@ -26,7 +26,7 @@
         top_worth = max((call_class.worth for call_class in settings.classes), default=1.0)
         self.admission = Admission(config.admission_limits(), top_worth, seed)
         self.sessions = Sessions(config.session_settings(), os.urandom)
-        self.keys = itertools.count(1)
+        self.keys = itertools.count(1)  # of requests, unique across all fronts
         self.closing = False
 
     @property
--- a/martentide/net/extproc/server.py
+++ b/martentide/net/extproc/server.py
@@ -20,7 +20,7 @@
 from martentide.net.extproc.decisions import Decisions
 from martentide.net.extproc.envoy import ExternalProcessor as Envoy
 from martentide.net.extproc.front import FrontActor, list_changed_event
-from martentide.net.extproc.host import Host
+from martentide.net.extproc.host import SharedState
 from martentide.extras import ExternalProcessor
 
 DECISIONS = "martentide.decisions.v1.Decisions"
@@ -39,8 +39,8 @@
         self, config: ExternalProcessor, settings: Settings, dispatcher: Dispatcher, seed: int
     ) -> None:
         self.config = config
-        self.host = Host(config, settings, dispatcher, seed)
-        self.decisions, self.envoy = Decisions(self.host), Envoy(self.host)
+        self.shared = SharedState(config, settings, dispatcher, seed)
+        self.decisions, self.envoy = Decisions(self.shared), Envoy(self.shared)
         self.port = 0
         dispatcher.list_observers.append(self._list_changed)
         options = (
@@ -99,7 +99,7 @@
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply new settings to requests asked from now on; open ones keep their class and attempts."""
-        self.host.apply_settings(settings)
+        self.shared.apply_settings(settings)
         self._update_lifecycle_settings()
 
     def apply_config(self, config: ExternalProcessor) -> list[str]:
@@ -107,19 +107,19 @@
         restart_needed = [
             name for name in RESTART_ONLY if getattr(config, name) != getattr(self.config, name)
         ]
-        self.host.apply_config(config)
+        self.shared.apply_config(config)
         self._update_lifecycle_settings()
         return restart_needed
 
     def _update_lifecycle_settings(self) -> None:
         for session in self.decisions.sessions.values():
-            session.front.ledger.settings = self.host.lifecycle_settings(single_attempt=False)
+            session.front.ledger.settings = self.shared.lifecycle_settings(single_attempt=False)
         for peer in self.envoy.peers.values():
-            peer.front.ledger.settings = self.host.lifecycle_settings(single_attempt=True)
+            peer.front.ledger.settings = self.shared.lifecycle_settings(single_attempt=True)
 
     def begin_shutdown(self) -> None:
         """Refuse new questions from now on; open ones still get their verdicts."""
-        self.host.closing = True
+        self.shared.closing = True
         self.decisions.go_away()
         for front in self.fronts():
             front.stream_changed(Stream.CLOSING)
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -31,8 +31,8 @@
 from martentide.net.links import unix_ms
 
 LOCK_FILE = "lock"
-OPEN_TIMEOUT = 2.0  # s to open, lock and read a folder
-FINAL_SAVE_TIMEOUT = 1.0  # s for the save at shutdown; after a timeout the previous state remains on disk
+OPEN_TIMEOUT_S = 2.0  # to open, lock and read a folder
+FINAL_SAVE_TIMEOUT_S = 1.0  # for the save at shutdown; after a timeout the previous state remains on disk
 
 
 class DiskFolder:
@@ -65,13 +65,13 @@
         A replacement, above all by a symlink, must not redirect writes, and nothing may be written to a
         folder that the next start would not read.
         """
-        here = os.stat(self.path, follow_symlinks=False)
+        current = os.stat(self.path, follow_symlinks=False)
         opened = os.fstat(self.fd)
-        if (here.st_dev, here.st_ino) != (opened.st_dev, opened.st_ino):
+        if (current.st_dev, current.st_ino) != (opened.st_dev, opened.st_ino):
             raise OSError(errno.ESTALE, "the folder was replaced by another")
 
     def read(self, name: str, max_bytes: int) -> bytes | None:
-        """Return the content of a file of at most ``most`` bytes, or None if it doesn't exist.
+        """Return the content of a file of at most ``max_bytes`` bytes, or None if it doesn't exist.
 
         Raises OSError, with EFBIG for a larger file.
         """
@@ -193,8 +193,8 @@
     async def start(self) -> StartDecision | None:
         """Open the folder and restore the saved state into the controller.
 
-        Returns None if the folder can't be opened within OPEN_TIMEOUT; the proxy then runs without the store.
-        Never raises.
+        Returns None if the folder can't be opened within OPEN_TIMEOUT_S; the proxy then runs without the
+        store. Never raises.
         """
         opened = await self._open_folder(self.path)
         if isinstance(opened, str):
@@ -251,17 +251,17 @@
                 folder = DiskFolder(path)
                 found: tuple[DiskFolder, list[StateFile]] | str = (folder, load(folder))
             except OSError as error:
-                busy = error.errno == errno.EAGAIN
-                found = "locked by another proxy" if busy else error.strerror or str(error)
+                locked = error.errno == errno.EAGAIN
+                found = "locked by another proxy" if locked else error.strerror or str(error)
             with contextlib.suppress(RuntimeError):  # the event loop is closed
                 self.loop.call_soon_threadsafe(deliver, found)
 
         threading.Thread(target=open_and_load, name="learned-state-open", daemon=True).start()
         try:
-            async with asyncio.timeout(OPEN_TIMEOUT):
+            async with asyncio.timeout(OPEN_TIMEOUT_S):
                 return await answer
         except TimeoutError:
-            return f"no answer within {OPEN_TIMEOUT:.0f} s"
+            return f"no answer within {OPEN_TIMEOUT_S:.0f} s"
 
     def _on_event(self, now: float, event: Event) -> None:
         assert self.hints is not None
@@ -371,13 +371,13 @@
         log_event("state-moved", folder=self.path)
 
     async def stop(self) -> None:
-        """Save once more within FINAL_SAVE_TIMEOUT and stop the worker; call after ``run`` was cancelled."""
+        """Save once more within FINAL_SAVE_TIMEOUT_S and stop the worker, after ``run`` was cancelled."""
         if self.timer is not None:
             self.timer.cancel()
         if self.folder is None:
             return
         try:
-            async with asyncio.timeout(FINAL_SAVE_TIMEOUT):
+            async with asyncio.timeout(FINAL_SAVE_TIMEOUT_S):
                 await self._wait_for_save()
                 await self._begin_save(unix_ms())
                 await self._wait_for_save()
--- a/tests/learned/test_store.py
+++ b/tests/learned/test_store.py
@@ -126,10 +126,10 @@
         with monkeypatch.context() as patch:
             patch.setattr(f"martentide.net.learned.os.{call}", fail)
             await fixture.until(lambda: fixture.store.pacing.failures >= 2)
-        good = [name for name in (STATE, OLD) if (tmp_path / name).exists()]
-        assert good and read_state((tmp_path / good[0]).read_bytes(), None)
-        done = fixture.store.save_count
-        await fixture.until(lambda: fixture.store.save_count > done)
+        existing = [name for name in (STATE, OLD) if (tmp_path / name).exists()]
+        assert existing and read_state((tmp_path / existing[0]).read_bytes(), None)
+        saves_before = fixture.store.save_count
+        await fixture.until(lambda: fixture.store.save_count > saves_before)
         assert fixture.store.pacing.failures == 0
 
     run_scenario(tmp_path, scenario)
@@ -138,12 +138,12 @@
 def test_hanging_fsync_blocks_nothing_and_is_logged_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    free = threading.Event()
-    real = os.fsync
+    disk_responds = threading.Event()
+    real_fsync = os.fsync
 
     def hang(fd: int) -> None:
-        free.wait(TIMEOUT_S)
-        real(fd)
+        disk_responds.wait(TIMEOUT_S)
+        real_fsync(fd)
 
     async def scenario(fixture: StoreFixture) -> None:
         await fixture.until(lambda: fixture.store.save_count >= 1)
@@ -151,28 +151,28 @@
         await fixture.until(lambda: fixture.store.pacing.hang_reported)
         before = fixture.last_wait
         await fixture.until(lambda: fixture.last_wait > before + 20)  # the event loop still runs
-        free.set()
-        monkeypatch.setattr("martentide.net.learned.os.fsync", real)
-        done = fixture.store.save_count
-        await fixture.until(lambda: fixture.store.save_count > done + 1)
+        disk_responds.set()
+        monkeypatch.setattr("martentide.net.learned.os.fsync", real_fsync)
+        saves_before = fixture.store.save_count
+        await fixture.until(lambda: fixture.store.save_count > saves_before + 1)
 
     run_scenario(tmp_path, scenario)
 
 
 def test_start_continues_without_a_hanging_disk(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    free = threading.Event()
-    real = os.makedirs
+    disk_responds = threading.Event()
+    real_makedirs = os.makedirs
 
     def hang(path: str, mode: int = 0o777, exist_ok: bool = False) -> None:
-        free.wait(TIMEOUT_S)
-        real(path, mode, exist_ok)
+        disk_responds.wait(TIMEOUT_S)
+        real_makedirs(path, mode, exist_ok)
 
     monkeypatch.setattr("martentide.net.learned.os.makedirs", hang)
-    monkeypatch.setattr("martentide.net.learned.OPEN_TIMEOUT", 0.05)
+    monkeypatch.setattr("martentide.net.learned.OPEN_TIMEOUT_S", 0.05)
 
     async def scenario(fixture: StoreFixture) -> None:
         assert fixture.store.folder is None
-        free.set()
+        disk_responds.set()
 
     run_scenario(tmp_path, scenario)
 
