--- a/martentide/agreement/core.py
+++ b/martentide/agreement/core.py
@@ -247,7 +247,8 @@
         self.now = now
         self.raft: Raft | None = None
         self.known_voters: set[NodeId] = set()  # from which a message of the log was received
-        self.prior_state_answers: dict[NodeId, bool] = {}  # by voter: whether this node ever had state
+        # By voter: whether it ever received a message of the log from this one; "": own state was lost.
+        self.prior_state_answers: dict[NodeId, bool] = {}
         self.state = EMPTY_STATE
         self.leases: OrderedDict[NodeId, MemberLease] = OrderedDict()
         self.joint_since = -raft.FOREVER
@@ -261,7 +262,7 @@
         self.decoded_rules: dict[int, RuleSet] = {}
         self.lease_expiry = -raft.FOREVER
         self.last_granted_at = -raft.FOREVER  # send time of the newest lease request that was granted
-        self.prepared = self.refused = self.checking = 0
+        self.prepared = self.refused = self.checking = 0  # version numbers; 0: none
         self.check_sent_at = -raft.FOREVER
         self.objection = ""
         self.leader: NodeId = ""
@@ -574,8 +575,8 @@
         self._step_raft(raft.Received(message))
 
     def _start_under_new_id(self, message: raft.Message) -> bool:
-        """A leader addresses a new id of this member: vote under that id, for which no vote was ever
-        counted."""
+        """Become a voter under a new id of this member that a leader addresses, since no vote was ever
+        counted for that id; returns whether it did."""
         from_leader = message.message_type in (
             raft.MessageType.APPEND_ENTRIES,
             raft.MessageType.INSTALL_SNAPSHOT,
@@ -624,8 +625,8 @@
         if entry.kind == raft.EntryKind.COMMAND:
             match decode_command(entry.body):
                 case BeginJointPhase(version):
-                    free = state.joint is None and version.base == state.in_force.number
-                    if free and version.number == state.last_number + 1:
+                    applicable = state.joint is None and version.base == state.in_force.number
+                    if applicable and version.number == state.last_number + 1:
                         state = msgspec.structs.replace(state, joint=version, last_number=version.number)
                         self.joint_since = self.now
                     else:
@@ -680,11 +681,15 @@
         if held is None and len(self.leases) >= MAX_LEASES:
             return
         expires_at = self.now + self.timings.lease * (1.0 + self.timings.clock_drift)
-        # Two processes with one name (an upgrade or a restart): the one that has prepared less counts until
-        # its lease expires.
-        behind = held is not None and held.process_id != request.process_id and self.now < held.expires_at
-        prepared = min(request.prepared, held.prepared) if held is not None and behind else request.prepared
-        if behind and held is not None:
+        # Two processes with one name (an upgrade or a restart): until the lease of the earlier one expires,
+        # the lower of the two versions that they have prepared counts.
+        earlier_valid = (
+            held is not None and held.process_id != request.process_id and self.now < held.expires_at
+        )
+        prepared = (
+            min(request.prepared, held.prepared) if held is not None and earlier_valid else request.prepared
+        )
+        if earlier_valid and held is not None:
             expires_at = max(expires_at, held.expires_at)
         self.leases[sender] = MemberLease(request.process_id, expires_at, prepared)
         self.leases.move_to_end(sender)
@@ -721,11 +726,13 @@
         if self._is_compatible(joint):
             self._append_command(EndJointPhase(joint.number))
             return
-        waited = self.now - self.leading_since >= self.timings.lease * (1.0 + 2.0 * self.timings.clock_drift)
-        ready = all(
+        earlier_leases_expired = self.now - self.leading_since >= self.timings.lease * (
+            1.0 + 2.0 * self.timings.clock_drift
+        )
+        all_prepared = all(
             one.prepared == joint.number or one.expires_at <= self.now for one in self.leases.values()
         )
-        if waited and ready:
+        if earlier_leases_expired and all_prepared:
             self._append_command(EndJointPhase(joint.number))
         elif self.now - max(self.joint_since, self.leading_since) >= PREPARE_TIMEOUT:
             late = ", ".join(name for name, one in self.leases.items() if one.prepared != joint.number)
--- a/martentide/agreement/lists.py
+++ b/martentide/agreement/lists.py
@@ -90,8 +90,8 @@
         for name in own_names:
             held = self.servers.get(name)
             if name not in names and held is not None:
-                last = self.merge(msgspec.structs.replace(held, state=STATES.index("gone")))
-                new += [last] if last is not None else []
+                removed = self.merge(msgspec.structs.replace(held, state=STATES.index("gone")))
+                new += [removed] if removed is not None else []
         return new
 
     def digest(self) -> int:
@@ -106,5 +106,5 @@
     def all_records(self) -> list[ServerRecord]:
         """All records for a member with another digest, including recently gone servers that it may still
         hold as open."""
-        last = [one for one in self.changes.values() if one.name not in self.servers]
-        return [*self.servers.values(), *last]
+        recently_gone = [one for one in self.changes.values() if one.name not in self.servers]
+        return [*self.servers.values(), *recently_gone]
--- a/martentide/agreement/overlay.py
+++ b/martentide/agreement/overlay.py
@@ -92,9 +92,9 @@
     )
 
 
-def check(rules: RuleSet, own: Settings) -> str:
-    """Whether a process with these settings can act on the rule set: "" or an objection with the key, what
-    was expected and what was found."""
+def find_objection(rules: RuleSet, own: Settings) -> str:
+    """The reason why a process with these settings cannot act on the rule set, with the key, what was
+    expected and what was found; "" if it can."""
     for kind in own.classes:
         if kind.name not in rules.classes:
             found = ", ".join(sorted(rules.classes)) or "none"
--- a/martentide/agreement/raft.py
+++ b/martentide/agreement/raft.py
@@ -407,8 +407,12 @@
             and self.timings.pre_vote
             and not message.accepted
         )
-        is_leader = self.role is Role.LEADER and self.timings.pre_vote and not message.accepted
-        return (message.index_term, message.index) >= own_position and not leader_recent and not is_leader
+        refuses_as_leader = self.role is Role.LEADER and self.timings.pre_vote and not message.accepted
+        return (
+            (message.index_term, message.index) >= own_position
+            and not leader_recent
+            and not refuses_as_leader
+        )
 
     # ---- messages ---------------------------------------------------------------------------------------
 
--- a/martentide/agreement/ruleset.py
+++ b/martentide/agreement/ruleset.py
@@ -75,7 +75,7 @@
     places: Places
 
     def meet(self, other: ClassRule) -> ClassRule:
-        """Field by field."""
+        """Meet of both, field by field."""
         return ClassRule(*(_meet(getattr(self, name), getattr(other, name)) for name in _FIELDS))
 
 
@@ -163,10 +163,10 @@
                 "one uses a pool that the other must not"
             )
     for name in sorted({*one.tenants, *other.tenants}):
-        a_, b_ = one.tenants.get(name, UNLIMITED), other.tenants.get(name, UNLIMITED)
-        if a_.contradicts(b_):
+        limit, other_limit = one.tenants.get(name, UNLIMITED), other.tenants.get(name, UNLIMITED)
+        if limit.contradicts(other_limit):
             found.append(
-                f"tenant {name}: {_format_range(a_)}/s against {_format_range(b_)}/s: "
+                f"tenant {name}: {_format_range(limit)}/s against {_format_range(other_limit)}/s: "
                 "limits of both add up to more"
             )
     if one.cold.contradicts(other.cold):
--- a/martentide/control/client.py
+++ b/martentide/control/client.py
@@ -262,8 +262,8 @@
                 self.actions.append(SendToNode(message.node, Leave(self.info.name, message.epoch)))
             return
         match message:
-            case LeaseGranted(_, _, same):
-                self._granted(frozenset(same), now)
+            case LeaseGranted(_, _, matching_services):
+                self._granted(frozenset(matching_services), now)
             case LeaseRefused():
                 self._refused(message, now)
             case Update() if self.attached:
--- a/martentide/control/node.py
+++ b/martentide/control/node.py
@@ -34,7 +34,7 @@
 SUMMARY_MAX_BYTES = 1_100  # bytes of entries in one message between nodes: it is carried inside a datagram
 MAX_OUT_OF_ORDER = 512  # buffered summaries of one node that wait for an earlier one
 GAP_TIMEOUT_MS = 500.0  # wait for a missing summary before a snapshot is requested
-SUMMARY_KEEPALIVE_MS = 1_000.0  # without a change, after which an empty summary is sent as a sign of life
+SUMMARY_KEEPALIVE_MS = 1_000.0  # without a change, after which an empty summary is sent as a keepalive
 MAX_SHED_PER_PASS = 4  # leases that an overloaded node sheds in one pass
 JOIN_RETRY_TOKENS = 3  # tokens that must be available when a refused proxy retries
 
@@ -296,7 +296,8 @@
             self.pending.pop(subscriber.name, None)
 
     def _region_ages(self, now: float) -> dict[str, int]:
-        """Return per region the ms since the last summary of its most silent node that is still counted."""
+        """Return per region the ms since the last summary of a node, the highest over all nodes whose entries
+        are held."""
         ages = {self.region: 0.0}
         for peer in self.peers.values():
             if peer.last_received_at > -math.inf and peer.applied_number:
--- a/martentide/control/service_table.py
+++ b/martentide/control/service_table.py
@@ -155,17 +155,17 @@
 
     def own_sum(self, key: SumKey) -> StateEntry:
         """Return the entry sent to other regions: the sum of this node's own members."""
-        shares = [self.own_entry((*key, zone)) for zone in self.zones.get(key, ())]
-        return sum_entries(*key, shares)
+        zone_entries = [self.own_entry((*key, zone)) for zone in self.zones.get(key, ())]
+        return sum_entries(*key, zone_entries)
 
     def own_keys(self) -> list[DetailKey]:
         """Return the keys for which this node holds leases."""
         return [key for key, sources in self.members.items() if self.own in sources]
 
-    def entry(self, key: DetailKey, reader: str) -> SizedEntry:
-        """Return the entry of the key for a reader in that region: zones of its own region, sums of others.
+    def entry(self, key: DetailKey, reader_region: str) -> SizedEntry:
+        """Return the entry of the key for a reader: zones of the reader's own region, sums of other regions.
         The sum of the reader's own region covers the members whose leases are at nodes of other regions."""
-        same_region = key[1] == reader
+        same_region = key[1] == reader_region
         cached = self.sized_entries.get((key, same_region))
         if cached is None:
             entry = self._zone_entry(key) if key[2] else self._region_entry(key, same_region)
@@ -181,13 +181,13 @@
             ]
         return sum_entries(service, region, parts)
 
-    def keys(self, service: str, reader: str) -> list[DetailKey]:
-        """Return all keys of a service that a reader in that region subscribes to."""
+    def keys(self, service: str, reader_region: str) -> list[DetailKey]:
+        """Return all keys of a service that a subscriber in ``reader_region`` receives."""
         found: list[DetailKey] = []
         for region in sorted(self.regions.get(service, ())):
-            if region == reader:
+            if region == reader_region:
                 found += [(service, region, zone) for zone in sorted(self.zones.get((service, region), ()))]
-            if region != reader or self.sums.get((service, region)):
+            if region != reader_region or self.sums.get((service, region)):
                 found.append((service, region, ""))
         return found
 
--- a/martentide/fleet/core.py
+++ b/martentide/fleet/core.py
@@ -113,7 +113,7 @@
         spread = self.rng.random()
         self.probe_due = now + spread * terms.period
         self.gossip_due: float | None = None
-        self.short_lived_handled_at = -1e18  # a short-lived entry came up for sending; reserves tokens
+        self.short_lived_handled_at = -1e18  # last short-lived entry considered for sending; reserves tokens
         self.sync_due = now + spread * terms.sync_interval
         self.rejoin_due = now + spread * 50.0
         self.tokens, self.tokens_updated_at = terms.burst_bytes, now
@@ -387,7 +387,7 @@
     def _rejoin(self, running_now: float) -> None:
         """Ping one seed that no live member uses, one dead member, or one former address, chosen at random.
 
-        By this a new member finds the fleet, and the two sides of a healed network partition find each other.
+        This is how a new member finds the fleet, and how the two sides of a healed partition find each other.
         """
         alone = len(self.dead_or_left) == len(self.members)
         interval = JOIN_RETRY_MS if alone else self.terms.rejoin_interval
@@ -402,11 +402,11 @@
         ]
         if not candidates:
             return
-        one: Address | KnownMember = self.rng.choice(self.rng.choice(candidates))
-        if isinstance(one, KnownMember):
-            self._send_to_member(Kind.PING, one, first=[one.record])
+        target: Address | KnownMember = self.rng.choice(self.rng.choice(candidates))
+        if isinstance(target, KnownMember):
+            self._send_to_member(Kind.PING, target, leading_records=[target.record])
         else:
-            self._send_datagram(one, Kind.PING, 0)
+            self._send_datagram(target, Kind.PING, 0)
 
     def _is_in_use(self, address: Address) -> bool:
         """Whether a live member has the address."""
@@ -475,10 +475,10 @@
         *,
         probe: int = 0,
         target: Name = "",
-        first: list[MemberRecord] | None = None,
+        leading_records: list[MemberRecord] | None = None,
         room: int = 600,
     ) -> None:
-        records = list(first or ())
+        records = list(leading_records or ())
         if member.state is State.SUSPECT and not records:
             records.append(member.record)  # so that the suspect can refute it
         self._send_datagram(
@@ -843,7 +843,7 @@
         self._queue_member_update(None)
 
     def _apply_own_record(self, record: MemberRecord) -> None:
-        """Handle what others gossip under this member's own name: refute it or start a new generation."""
+        """Handle a gossiped record under this member's own name: refute it or start a new generation."""
         if record.generation < self.me.generation:
             return
         if record.process_id == self.me.process_id:
@@ -861,7 +861,7 @@
         if not same_address and record.state < State.DEAD:
             self._send_datagram(
                 (record.host, record.port), Kind.PING, 0
-            )  # does another process use this name there?
+            )  # a reply would show that another process uses this name there
 
     def _resolve_name_conflict(self, record: MemberRecord) -> None:
         """Handle a datagram that another process sent under this name: the newer one keeps the name."""
@@ -1073,15 +1073,15 @@
         self._send_missing(member, records, entries)
 
     @staticmethod
-    def _is_behind(here: HeldVersions, there: HeldVersions) -> bool:
-        """Whether ``there`` is newer than ``here`` in any part."""
-        if there.generation != here.generation:
-            return there.generation > here.generation
-        if there.process_id != here.process_id:
+    def _is_behind(held: HeldVersions, other: HeldVersions) -> bool:
+        """Whether ``other`` is newer than ``held`` in any part."""
+        if other.generation != held.generation:
+            return other.generation > held.generation
+        if other.process_id != held.process_id:
             return False
-        if (there.incarnation, there.state) > (here.incarnation, here.state):
+        if (other.incarnation, other.state) > (held.incarnation, held.state):
             return True
-        return any(counter > here.counters.get(kind, 0) for kind, counter in there.counters.items())
+        return any(counter > held.counters.get(kind, 0) for kind, counter in other.counters.items())
 
     def _collect_missing(
         self, theirs: HeldVersions, records: list[MemberRecord], entries: list[StateEntry]
--- a/martentide/fleet/health_check_assignment.py
+++ b/martentide/fleet/health_check_assignment.py
@@ -34,7 +34,7 @@
 INTERVAL_PER_PUBLISHER_MS = 60.0  # the least interval per publishing peer, for members not assigned
 SUSPICION_REPORTERS = 3  # members that report one suspicion; without a limit, traffic grows with the fleet
 PROMPT_WAIT_MS = 100.0  # wait up to which a call counts as served without a queue
-RECENT_MS = 1_000.0  # an own observation that follows a peer's equal one by less is redundant
+REDUNDANCY_WINDOW_MS = 1_000.0  # an own observation that follows a peer's equal one by less is redundant
 MAX_SERVERS = 24  # in one state entry
 MAX_SCORES = 32_768  # cached hashes
 LINK_DELAY_MS = 50.0  # part of a call's delay that is attributed to the network, not to the server
@@ -295,19 +295,21 @@
         """Own observations of a server that are worth publishing.
 
         An assignee publishes all; another member only one newer than all peers' observations, unless a peer
-        observed the same less than ``RECENT_MS`` before.
+        observed the same less than ``REDUNDANCY_WINDOW_MS`` before.
         """
         selected = []
         for from_call in (False, True):
             own = self.own_observations.get((server, from_call))
             if own is None or now - own.observed_at > OBSERVATIONS_MAX_AGE_MS:
                 continue
-            best = peer_latest.get((server, from_call))
-            newest = best is None or own.observed_at > best.observed_at
-            recent = (
-                best is not None and own.observed_at - best.observed_at < RECENT_MS and best.good == own.good
+            latest = peer_latest.get((server, from_call))
+            newest = latest is None or own.observed_at > latest.observed_at
+            redundant = (
+                latest is not None
+                and own.observed_at - latest.observed_at < REDUNDANCY_WINDOW_MS
+                and latest.good == own.good
             )
-            if rank < ASSIGNEES or (newest and not recent):
+            if rank < ASSIGNEES or (newest and not redundant):
                 selected.append(
                     Observation(server, from_call, own.good, int(now - own.observed_at), own.wait)
                 )
@@ -325,7 +327,8 @@
                 and observed.observed_at > self.delivered_at.get(key, -1e9) + 50.0
             ):
                 self.delivered_at[key] = observed.observed_at
-                # A wait measured elsewhere is no basis for a gap image: only its absence is passed on.
+                # A queueing time measured by a peer is no basis for a gap image here; only the absence of a
+                # queue is passed on.
                 wait = 0.0 if 0 <= observed.wait < PROMPT_WAIT_MS else None
                 events.append(PeerNews(key[0], now - observed.observed_at, wait))
         return events
--- a/martentide/fleet/table.py
+++ b/martentide/fleet/table.py
@@ -46,7 +46,7 @@
     stamp_received_at: float = 0.0
     stamp_process_id: int = 0
     entries: dict[int, StoredEntry] = field(default_factory=dict)
-    checksum: int = 0  # its part of its bucket's checksum
+    checksum: int = 0  # its contribution to the checksum of its bucket
 
     @property
     def state(self) -> State:
--- a/martentide/net/fleet/agreement_actor.py
+++ b/martentide/net/fleet/agreement_actor.py
@@ -51,7 +51,7 @@
     encode,
     encode_status,
 )
-from martentide.agreement.overlay import ANSWER_MAX_AGE, AgreedRules, check
+from martentide.agreement.overlay import ANSWER_MAX_AGE, AgreedRules, find_objection
 from martentide.agreement.ruleset import (
     RuleError,
     RuleSet,
@@ -83,9 +83,9 @@
     from martentide.extras import AgreementPart
 
 MAX_QUEUED_ACTIONS = 1_024  # actions waiting for the disk; while it does not respond, a voter sends nothing
-MAX_VERDICTS = 64
+MAX_VERDICTS = 64  # kept for queries by operators
 OPEN_TIMEOUT = 4.0  # s to open, lock and read the folder; after that the member does not vote
-LOCK_ATTEMPTS, LOCK_RETRY_INTERVAL = 60, 0.05  # s; the predecessor may still hold the lock
+LOCK_ATTEMPTS, LOCK_RETRY_INTERVAL = 60, 0.05  # interval in s; the predecessor may still hold the lock
 LIST_REQUEST_INTERVAL = 500.0  # ms between two requests for another member's list
 SAFE_RULES_INTERVAL = 0.25  # s between two updates of which servers answered, under safe rules
 PROBE_AGE_SHARE = 0.7  # of ANSWER_MAX_AGE; under safe rules a server without an answer for so long is probed
@@ -289,7 +289,7 @@
             case Send(to, message):
                 self._send(to, message)
             case Check(version):
-                self.loop.call_soon(self.handle, Checked(version.number, self._check(version.rules)))
+                self.loop.call_soon(self.handle, Checked(version.number, self._find_objection(version.rules)))
             case ApplyRules(rules, number, joint, until):
                 safe = self._now() >= until
                 self.last_rules = rules or self.last_rules
@@ -300,9 +300,9 @@
             case LogEvent(event, detail):
                 log_event(f"fleet-{event}", detail=repr(detail))
 
-    def _check(self, rules: bytes) -> str:
+    def _find_objection(self, rules: bytes) -> str:
         try:
-            return check(decode_rules(rules), self.dispatcher.local_settings)
+            return find_objection(decode_rules(rules), self.dispatcher.local_settings)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             return f"it can't be read here: {error}"
 
@@ -454,7 +454,7 @@
             return 400, f"expected JSON with rules, base, by, why: {error}"
         except RuleError as error:
             return 400, str(error)
-        if (objection := check(rules, self.dispatcher.local_settings)) != "":
+        if (objection := find_objection(rules, self.dispatcher.local_settings)) != "":
             return 400, f"{request.get('file') or 'rules'}: {objection}"
         return 202, self.propose(rules, base, by, why)
 
@@ -484,7 +484,7 @@
         try:
             with open(self.part.rules, "rb") as file:
                 rules = rules_from(json.load(file), self.part.rules)
-            objection = check(rules, self.dispatcher.local_settings)
+            objection = find_objection(rules, self.dispatcher.local_settings)
         except (OSError, ValueError, RuleError) as error:
             objection = str(error)
         if objection:
--- a/martentide/net/fleet/member.py
+++ b/martentide/net/fleet/member.py
@@ -48,7 +48,7 @@
 MAX_MAILBOX_ITEMS = 512  # more are dropped, as by a full socket buffer
 ITEMS_PER_TURN = 32  # handled before yielding to other tasks
 EVALUATION_INTERVAL_MS = 250.0  # of the health-check assignment
-OPEN_ATTEMPTS, OPEN_RETRY_S = 60, 0.05  # to open the endpoint
+OPEN_ATTEMPTS, OPEN_RETRY_S = 60, 0.05  # attempts to open the endpoint and time between them
 FINAL_RETRY_BUDGET, FINAL_RETRY_BUDGET_MS = 3.0, 10_000.0  # retries after leaving the fleet, and their expiry
 REJECTED_LOG_INTERVAL_S = 1.0  # between two log lines about rejected datagrams
 
@@ -367,26 +367,27 @@
         priorities = {kind.name: kind.worth for kind in settings.classes}
         return priorities, settings.max_hold_off, self.dispatcher.controller.tolerable_wait
 
-    def _handle_overload(self, core: Membership, part: overload.Overload, now: float) -> None:
+    def _handle_overload(self, core: Membership, overload_core: overload.Overload, now: float) -> None:
         controller = self.dispatcher.controller
         if controller.settings is not self.settings:
             self.settings = controller.settings
-            part.apply_settings(*self._overload_terms(self.settings))
+            overload_core.apply_settings(*self._overload_terms(self.settings))
         limited = self.dispatcher.now < controller.retry_tokens_expire_at < math.inf
         token_allotment = controller.retry_tokens if limited else 0.0
-        outcome, undecodable = overload.poll(core, part, now, controller.servers, token_allotment)
+        outcome, undecodable = overload.poll(core, overload_core, now, controller.servers, token_allotment)
         if undecodable:
             self._count_rejected("malformed")
         for event in outcome.events:
             self.dispatcher.post(event)
         if outcome.message is not None and not core.displaced:
             self._feed(Publish(overload.LOAD_KIND, overload.SCHEMA, overload.LOAD_EXPIRY, outcome.message))
-        if part.level.phase is not self.phase:
-            self.phase = part.level.phase
+        if overload_core.level.phase is not self.phase:
+            self.phase = overload_core.level.phase
             log_event(
-                "fleet-overload", phase=self.phase.name.lower(), admitted=round(part.level.admitted, 3),
-                pressure=round(part.level.pressure, 3), storms=part.level.storms,
-                alone=part.is_isolated(now),
+                "fleet-overload", phase=self.phase.name.lower(),
+                admitted=round(overload_core.level.admitted, 3),
+                pressure=round(overload_core.level.pressure, 3),
+                storms=overload_core.level.storms, alone=overload_core.is_isolated(now),
             )  # fmt: skip
 
     # ---- status -----------------------------------------------------------------------------------------
--- a/martentide/net/fleet/show.py
+++ b/martentide/net/fleet/show.py
@@ -87,8 +87,8 @@
     return flattened
 
 
-def acting(status: str) -> str:
-    """Format a table of the version each member acts by, since when, and which list it has."""
+def members_table(status: str) -> str:
+    """Format a table of the version each member acts on, since when, and the digest of its server list."""
     data: dict[str, Any] = json.loads(status)
     lines = [f"{'member':<16} {'version':>7} {'acts by':<13} {'since':>9}  {'list':<9} prepared, refused"]
     for member in data["members"]:
@@ -100,8 +100,8 @@
     return "\n".join(lines)
 
 
-def versions(status: str) -> str:
-    """Format the response to ``VERSIONS``."""
+def versions_table(status: str) -> str:
+    """Format the response to ``VERSIONS``: the versions in force, being brought into force, and earlier."""
     data: dict[str, Any] = json.loads(status)
     role = "leads" if data["leads"] else "votes" if data["votes"] else "learns"
     lines = [
--- a/martentide/net/tier/node.py
+++ b/martentide/net/tier/node.py
@@ -86,7 +86,7 @@
         return self.loop.time() * 1_000.0
 
     def stop(self) -> None:
-        """Announce the departure to the other nodes and stop; proxies move when their node falls silent."""
+        """Announce the departure to the other nodes and stop; proxies move once this node stops answering."""
         self.stopping.set()
 
     async def run(self) -> None:
@@ -189,8 +189,8 @@
                     if self.proxy_transport is not None:
                         self.proxy_transport.sendto(data, address)
                 case SendToPeer(to, between):
-                    carry = fleet.SendPayload(to, encode_control(between))
-                    self._run_membership_actions(self.membership.handle(self._now(), carry))
+                    payload = fleet.SendPayload(to, encode_control(between))
+                    self._run_membership_actions(self.membership.handle(self._now(), payload))
 
     def _run_membership_actions(self, actions: list[fleet.Action]) -> None:
         for action in actions:
--- a/martentide/net/tier/proxy.py
+++ b/martentide/net/tier/proxy.py
@@ -1,7 +1,8 @@
 """The actor of a proxy's lease: owns the client core and exchanges datagrams with control nodes.
 
-Its state is meant for the consumers of the flat fleet's state; until they use it, the operator's call
-``/control/fleet`` shows it. The proxy's own pressure is taken from the load reports of its session server.
+The received state is meant for the consumers of the state that a fleet without a control tier gossips. Until
+they use it, only the operator's call ``/control/fleet`` shows it. The proxy's own pressure is taken from the
+load reports of its session server.
 """
 
 from __future__ import annotations
--- a/martentide/versions.py
+++ b/martentide/versions.py
@@ -10,7 +10,8 @@
 
 import click
 
-BAD_FILE, CANNOT_ASK, REFUSED = 2, 1, 3  # exit codes
+# Exit codes: the file cannot be used; the proxy cannot be queried; the request was rejected.
+BAD_FILE, CANNOT_ASK, REFUSED = 2, 1, 3
 OPERATOR_OPTION = click.option(
     "--operator", metavar="HOST:PORT", envvar="PROXY_OPERATOR", required=True,
     help="where the proxy's operator's calls come in; default: $PROXY_OPERATOR",
@@ -94,7 +95,7 @@
 @JSON_OPTION
 def versions(operator: str, as_json: bool) -> None:
     """Print the versions."""
-    from martentide.net.fleet.show import versions as table
+    from martentide.net.fleet.show import versions_table as table
 
     status = query_status(operator)
     click.echo(status if as_json else table(status))
@@ -105,10 +106,10 @@
 @JSON_OPTION
 def status(operator: str, as_json: bool) -> None:
     """Print what each member acts on."""
-    from martentide.net.fleet.show import acting
+    from martentide.net.fleet.show import members_table
 
     text = query_status(operator)
-    click.echo(json.dumps(json.loads(text)["members"]) if as_json else acting(text))
+    click.echo(json.dumps(json.loads(text)["members"]) if as_json else members_table(text))
 
 
 @click.command("rules", help="The rules of version NUMBER as a file that can be proposed; default: in force.")
--- a/tests/agreement/test_lists.py
+++ b/tests/agreement/test_lists.py
@@ -34,10 +34,10 @@
     records: list[ServerRecord],
     rng: st.Random,  # type: ignore[name-defined]
 ) -> None:
-    mixed = [*records, *records]
-    rng.shuffle(mixed)
-    assert list_of(records).servers == list_of(mixed).servers
-    assert list_of(records).digest() == list_of(mixed).digest()
+    shuffled = [*records, *records]
+    rng.shuffle(shuffled)
+    assert list_of(records).servers == list_of(shuffled).servers
+    assert list_of(records).digest() == list_of(shuffled).digest()
 
 
 @settings(max_examples=200, deadline=None)
--- a/tests/agreement/test_overlay.py
+++ b/tests/agreement/test_overlay.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from martentide.agreement.overlay import AgreedRules, check
+from martentide.agreement.overlay import AgreedRules, find_objection
 from martentide.agreement.ruleset import RuleSet, meet, rules_from
 from martentide.interface import Repeat, ServerEntry, ServerState, Settings, Tenant
 from martentide.settings import settings_from
@@ -53,13 +53,13 @@
 
 
 def test_a_class_that_only_one_version_names_is_not_used_in_the_joint_phase() -> None:
-    lacking = rules()
-    del lacking.classes[CLASSES[0][0]]
-    both = AgreedRules(meet(rules(), lacking)).restrict_settings(OWN)
+    without_class = rules()
+    del without_class.classes[CLASSES[0][0]]
+    both = AgreedRules(meet(rules(), without_class)).restrict_settings(OWN)
     assert [c.pools == () for c in both.classes] == [True, False, False]
 
 
-def test_safe_rules() -> None:
+def test_safe_rules_allow_one_attempt_no_repeats_and_a_share_of_the_tenant_allowance() -> None:
     safe = AgreedRules(safe=True).restrict_settings(OWN)
     assert (safe.max_attempts, safe.cold_share, safe.tenants[0].allowance) == (1, 0.0, 10.0)
     assert {c.repeat for c in safe.classes} == {Repeat.ONCE_ONLY}
@@ -78,7 +78,7 @@
         (ServerState.OPEN, "gone", True, True, ServerState.DRAINING),  # a withdrawn server stays withdrawn
     ],
 )
-def test_the_state_of_a_listed_server(
+def test_a_listed_server_is_used_only_if_list_version_and_safe_rules_allow_it(
     state: ServerState, version: str, safe: bool, answered: bool, expected: ServerState
 ) -> None:
     one = rules(servers={"s-1@7": version})
@@ -103,4 +103,4 @@
         one.classes.clear()
     if "extra" in change:
         one.classes["other"] = one.classes[CLASSES[0][0]]
-    assert (reason in check(one, OWN)) if reason else check(one, OWN) == ""
+    assert (reason in find_objection(one, OWN)) if reason else find_objection(one, OWN) == ""
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -15,7 +15,7 @@
 
 from martentide.cli import top
 from martentide.lifecycle.calls import VERSIONS
-from martentide.net.fleet.show import QueryError, propose, query, versions
+from martentide.net.fleet.show import QueryError, propose, query, versions_table
 from martentide.net.links import unix_ms
 from martentide_lab.fleet.invariants import check_attempts, check_withdrawn
 from martentide_lab.fleet.rig import Rig
@@ -76,7 +76,7 @@
     """Run the scenario once version 1 is in force; no invariant may be violated, and no two members may ever
     act on contradicting versions."""
 
-    async def full_scenario(rig: Rig) -> None:
+    async def scenario_with_version_1(rig: Rig) -> None:
         async with asyncio.timeout(WAIT_LIMIT_S):
             while (await query_versions(rig, "n0"))["acts"] != "own settings":
                 await asyncio.sleep(0.1)
@@ -87,7 +87,7 @@
     extra = {
         f"n{at}": f'agreement {{ voters "n0" "n1" "n2"; folder "{folder}/n{at}" }}' for at in range(PROXIES)
     }
-    run_scenario(full_scenario, PROXIES, SERVERS, extra_settings=extra, **more)
+    run_scenario(scenario_with_version_1, PROXIES, SERVERS, extra_settings=extra, **more)
 
 
 async def withdraw(rig: Rig, by: str, server: SessionServer) -> float:
@@ -133,7 +133,9 @@
 
 
 @pytest.mark.parametrize("after", [0.0, 0.15, 0.4])
-def test_the_leader_is_killed_while_a_version_comes_into_force(tmp_path: Path, after: float) -> None:
+def test_a_version_comes_into_force_although_the_leader_is_killed_meanwhile(
+    tmp_path: Path, after: float
+) -> None:
     async def scenario(rig: Rig) -> None:
         leader = (await query_versions(rig, "n4"))["leader"]
         other = next(name for name in ("n3", "n4") if name != leader)
@@ -148,7 +150,7 @@
     run_with_version_1(tmp_path, scenario)
 
 
-def test_the_version_in_force_survives_a_restart_of_all(tmp_path: Path) -> None:
+def test_the_version_in_force_survives_a_restart_of_all_members(tmp_path: Path) -> None:
     async def scenario(rig: Rig) -> None:
         names = ",".join(rig.scenario.names())
         await run_step(rig, "kill", names)
@@ -255,7 +257,7 @@
         await asyncio.sleep(1.5)  # until every status has been gossiped
         found = await asyncio.to_thread(run_command, "status")
         assert found.stdout.count("agreed") == PROXIES and found.stdout.startswith("member")
-        assert "learns" in versions(json.dumps(await query_versions(rig, "n3")))
+        assert "learns" in versions_table(json.dumps(await query_versions(rig, "n3")))
 
     run_with_version_1(tmp_path, scenario)
 
@@ -343,7 +345,7 @@
     run_with_version_1(tmp_path, scenario, mutant=FAULTY_DISK_CODE, clock_offsets={"n4": 0.0}, rate=80.0)
 
 
-def test_many_versions_one_in_ten_invalid(tmp_path: Path) -> None:
+def test_of_many_proposed_versions_only_the_invalid_ones_are_rejected(tmp_path: Path) -> None:
     async def scenario(rig: Rig) -> None:
         done = 0
         for at in range(50):
@@ -440,7 +442,7 @@
 
 
 @pytest.mark.parametrize(("attempts", "broken"), [(1, False), (2, True)])
-def test_the_checker_of_attempts_can_fail(attempts: int, broken: bool) -> None:
+def test_check_attempts_reports_a_call_with_more_attempts_than_allowed(attempts: int, broken: bool) -> None:
     server = SessionServer(0)
     server.received_set_ups += [ReceivedSetUp(b"1", b"", 7_000.0 + at) for at in range(attempts)]
     server.received_set_ups += [
@@ -450,7 +452,7 @@
 
 
 @pytest.mark.parametrize(("late", "broken"), [(100.0, False), (WITHDRAWAL_BOUND_MS + 100.0, True)])
-def test_the_checker_of_withdrawn_servers_can_fail(late: float, broken: bool) -> None:
+def test_check_withdrawn_reports_a_call_received_after_the_bound(late: float, broken: bool) -> None:
     server = SessionServer(0)
     server.received_set_ups.append(ReceivedSetUp(b"", b"", 5_000.0 + late))
     assert bool(check_withdrawn(server, 5_000.0, WITHDRAWAL_BOUND_MS)) is broken
--- a/tests/agreement/test_raft.py
+++ b/tests/agreement/test_raft.py
@@ -38,7 +38,7 @@
 )
 
 VOTERS = ("a", "b", "c")
-TERMS = raft.RaftTimings(pre_vote=False)
+TIMINGS = raft.RaftTimings(pre_vote=False)
 
 
 class ConstantRandom:
@@ -89,7 +89,7 @@
 
 def start_node(kind: type[Raft], disk: PersistentState) -> Raft:
     """Start a process from what its disk holds."""
-    node = kind(disk, TERMS, 1, 0.0)
+    node = kind(disk, TIMINGS, 1, 0.0)
     node.rng = ConstantRandom()  # type: ignore[assignment]
     return node
 
@@ -101,15 +101,15 @@
     return World(nodes, disks, frozenset(), frozenset(), frozenset())
 
 
-def step(world: World, name: str, event: Event, forgets: bool = False) -> World:
+def step(world: World, name: str, event: Event, omits_fsync: bool = False) -> World:
     """One process handles one event; its messages are sent and its state is written to disk, unless
-    ``forgets`` (a missing fsync)."""
+    ``omits_fsync``."""
     node = clone(world.nodes[name])
     sent, applied, leaders, disks = set(world.sent), set(world.applied), set(world.leaders), dict(world.disks)
     violation = world.violation
     for action in node.handle(0.0, event):
         match action:
-            case Persist() if not forgets:
+            case Persist() if not omits_fsync:
                 disks[name] = node.persistent_state()
             case Send(message):
                 sent.add(encode_message(message))
@@ -138,14 +138,14 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """Limits of a search; ``forgets``: state is never written to disk."""
+    """Limits of a search; ``omits_fsync``: state is never written to disk."""
 
     depth: int
     states: int = 60_000
     term: int = 3
     proposals: int = 2
     crashes: int = 1
-    forgets: bool = False
+    omits_fsync: bool = False
 
 
 def successors(world: World, bounds: Bounds) -> Iterator[World]:
@@ -153,13 +153,13 @@
     for body in world.sent:
         message = decode_message(body)
         if message.to in world.nodes:
-            yield step(world, message.to, Received(message), bounds.forgets)
+            yield step(world, message.to, Received(message), bounds.omits_fsync)
     for name, node in world.nodes.items():
         if node.role is Role.LEADER and world.proposals < bounds.proposals:
-            after = step(world, name, Propose(b"%d" % world.proposals), bounds.forgets)
+            after = step(world, name, Propose(b"%d" % world.proposals), bounds.omits_fsync)
             yield replace(after, proposals=world.proposals + 1)
         if node.role is not Role.LEADER and node.term < bounds.term:
-            yield step(world, name, StartElection(), bounds.forgets)
+            yield step(world, name, StartElection(), bounds.omits_fsync)
         if world.crashes < bounds.crashes:
             yield crash(world, name)
 
@@ -245,7 +245,7 @@
     return replace(deliver(world, "a", MessageType.APPEND_REPLY), proposals=1)
 
 
-STARTS = {
+INITIAL_WORLDS = {
     "nothing": initial_world,
     "led": with_leader,
     "an older term": with_older_term,
@@ -254,15 +254,15 @@
 
 
 @pytest.fixture(autouse=True)
-def one_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def one_entry_per_message(monkeypatch: pytest.MonkeyPatch) -> None:
     """Send one entry per message, so that one of an earlier term arrives without the newer one."""
     monkeypatch.setattr(raft, "MAX_MESSAGE_ENTRIES", 1)
 
 
-@pytest.mark.parametrize("name", STARTS)
+@pytest.mark.parametrize("name", INITIAL_WORLDS)
 def test_every_order_of_events_keeps_logs_consistent(name: str) -> None:
     depth = {"nothing": 6, "led": 5, "an older term": 6, "a snapshot": 5}[name]
-    violation, states = search(STARTS[name](), Bounds(depth, states=12_000, term=6))
+    violation, states = search(INITIAL_WORLDS[name](), Bounds(depth, states=12_000, term=6))
     assert not violation and states > 2_000, (violation, states)
 
 
@@ -275,7 +275,7 @@
         super()._on_vote_request(message)
 
 
-class CountsOlder(Raft):
+class CommitsOlderTermByCount(Raft):
     """Fault: a leader commits entries of an older term by their count."""
 
     def _advance_commit(self) -> None:
@@ -299,7 +299,7 @@
             self._become_leader()
 
 
-class TakesAnySnapshot(Raft):
+class InstallsAnySnapshot(Raft):
     """Fault: a process installs any snapshot, also one older than its committed entries."""
 
     def _install_snapshot(self, snapshot: Snapshot) -> None:
@@ -311,15 +311,16 @@
 FAULTS: dict[str, tuple[Callable[[], World], Bounds]] = {
     "vote twice in a term": (lambda: initial_world(VotesTwice), Bounds(7, term=1, proposals=0, crashes=0)),
     "commit by count of an older term": (
-        lambda: with_older_term(CountsOlder), Bounds(8, term=4, proposals=0, crashes=0)),
-    "forgotten fsync": (lambda: initial_world(), Bounds(8, term=1, proposals=0, forgets=True)),
+        lambda: with_older_term(CommitsOlderTermByCount), Bounds(8, term=4, proposals=0, crashes=0)),
+    "forgotten fsync": (lambda: initial_world(), Bounds(8, term=1, proposals=0, omits_fsync=True)),
     "a learner that votes": (
         lambda: initial_world(CountsLearners, (*VOTERS, "l")), Bounds(7, term=1, proposals=0, crashes=0)),
-    "snapshot over a longer log": (lambda: with_snapshot(TakesAnySnapshot), Bounds(7, term=3, proposals=2)),
+    "snapshot over a longer log": (
+        lambda: with_snapshot(InstallsAnySnapshot), Bounds(7, term=3, proposals=2)),
 }  # fmt: skip
 
 
-START_OF: dict[str, Callable[..., World]] = dict.fromkeys(FAULTS, initial_world) | {
+FAULTLESS_WORLDS: dict[str, Callable[..., World]] = dict.fromkeys(FAULTS, initial_world) | {
     "commit by count of an older term": with_older_term,
     "snapshot over a longer log": with_snapshot,
 }  # fmt: skip
@@ -331,7 +332,7 @@
     violation, states = search(world(), bounds)
     assert violation, f"not found in {states} states"
     # Without the fault nothing is found.
-    assert search(START_OF[fault](), replace(bounds, states=4 * states, forgets=False))[0] == ""
+    assert search(FAULTLESS_WORLDS[fault](), replace(bounds, states=4 * states, omits_fsync=False))[0] == ""
 
 
 def test_voters_change_one_at_a_time_and_after_an_entry_of_the_term() -> None:
--- a/tests/agreement/test_ruleset.py
+++ b/tests/agreement/test_ruleset.py
@@ -61,7 +61,9 @@
         ("servers/s-1@77", "gone", "gone or draining"),
     ],
 )
-def test_what_contradicts_what(path: str, value: Any, text: str) -> None:
+def test_contradictions_are_found_with_their_reason_and_the_meet_has_none(
+    path: str, value: Any, text: str
+) -> None:
     one, other = rules_from(BASE, "a"), rules_from(changed(path, value), "b")
     found = contradictions(one, other)
     assert bool(found) == bool(text) and all(text in reason for reason in found), found
@@ -110,7 +112,9 @@
 
 @settings(max_examples=300, deadline=None)
 @given(RULE_SETS, RULE_SETS, RULE_SETS)
-def test_meet_is_a_meet(one: RuleSet, other: RuleSet, third: RuleSet) -> None:
+def test_the_meet_is_commutative_associative_idempotent_and_contradicts_neither(
+    one: RuleSet, other: RuleSet, third: RuleSet
+) -> None:
     both = meet(one, other)
     assert both == meet(other, one)
     assert meet(both, third) == meet(one, meet(other, third))
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -63,7 +63,7 @@
 
 
 class NewLeaderDoesNotWait(Agreement):
-    """A new leader does not wait for leases that an earlier leader may have granted."""
+    """Fault: a new leader does not wait for leases that an earlier leader may have granted."""
 
     def _advance_joint_phase(self) -> None:
         if self.leading_since is not None:
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("after", [20.0, 60.0, 120.0, 200.0, 300.0, 400.0])
-def test_the_leader_is_killed_in_each_phase(after: float) -> None:
+def test_a_version_comes_into_force_although_the_leader_is_killed_in_any_phase(after: float) -> None:
     fleet = running_fleet()
     assert propose_and_wait(fleet, "n4", rule_set(3))[0]
     fleet.propose("n4", rule_set(1))
@@ -185,7 +185,7 @@
     assert len(fleet.acting_rules()) == 4 and not fleet.finish()
 
 
-def test_all_voters_restart_with_their_disks() -> None:
+def test_the_version_in_force_survives_a_restart_of_all_voters() -> None:
     fleet = running_fleet()
     assert propose_and_wait(fleet, "n4", rule_set(3))[0]
     run_step(fleet, "kill", "n0,n1,n2", lasts=3_000.0)
@@ -254,11 +254,11 @@
     kept = VoterState(initial_state("n0", ("n0",)), ("n1",))
     data = encode_voter_state(kept)
     assert decode_voter_state(data) == kept
-    spoilt = data[:-1] + bytes((data[-1] ^ 1,))
+    damaged = data[:-1] + bytes((data[-1] ^ 1,))
     none = StateFile("state", None)
     assert recover([StateFile("state", data), StateFile("state.old", None)], "n0") == (kept, "")
     assert recover([none, StateFile("state.old", data)], "n0") == (kept, "")  # killed between the two renames
-    assert recover([StateFile("state", spoilt), StateFile("state.old", data)], "n0")[0] is None
+    assert recover([StateFile("state", damaged), StateFile("state.old", data)], "n0")[0] is None
     assert (
         "expected the state of n1"
         in recover([StateFile("state", data), StateFile("state.old", None)], "n1")[1]
--- a/tests/control/test_cores.py
+++ b/tests/control/test_cores.py
@@ -82,11 +82,11 @@
     for at in range(50):
         order = preference(f"p{at}", "r1", nodes)
         assert {int(name[1:]) % 2 for name in order[:3]} == {1}
-        less = preference(f"p{at}", "r1", [one for one in nodes if one.name != order[0]])
-        assert less == order[1:]
+        remaining = preference(f"p{at}", "r1", [one for one in nodes if one.name != order[0]])
+        assert remaining == order[1:]
 
 
-def test_weights_distribute_proxies() -> None:
+def test_proxies_are_distributed_by_the_weights_of_nodes() -> None:
     nodes = [NodeInfo("light", "r0", 1.0), NodeInfo("heavy", "r0", 3.0)]
     first = [preference(f"p{at}", "r0", nodes)[0] for at in range(2_000)]
     assert 0.7 < first.count("heavy") / len(first) < 0.8
@@ -96,125 +96,136 @@
 
 
 def test_a_lease_is_granted_renewed_and_ends() -> None:
-    one = SimulatedNode()
-    (granted,) = one.receive(join("p0"))
+    control_node = SimulatedNode()
+    (granted,) = control_node.receive(join("p0"))
     assert isinstance(granted, SendToProxy) and granted.message == LeaseGranted("n0", 1, [])
-    one.advance(TERMS.lease - 200)
-    one.receive(Heartbeat("p0", 1, 1, 100, 0, 0, []))
-    one.advance(TERMS.lease - 200)
-    assert "p0" in one.core.leases
-    one.advance(800)
-    assert not one.core.leases and not one.core.by_service and not one.core.service_table.members
-    (answer,) = one.receive(Heartbeat("p0", 1, 1, 100, 0, 0, []))
+    control_node.advance(TERMS.lease - 200)
+    control_node.receive(Heartbeat("p0", 1, 1, 100, 0, 0, []))
+    control_node.advance(TERMS.lease - 200)
+    assert "p0" in control_node.core.leases
+    control_node.advance(800)
+    assert (
+        not control_node.core.leases
+        and not control_node.core.by_service
+        and not control_node.core.service_table.members
+    )
+    (answer,) = control_node.receive(Heartbeat("p0", 1, 1, 100, 0, 0, []))
     assert isinstance(answer, SendToProxy) and answer.message == LeaseRefused("n0", 1, False, 0, True)
 
 
 def test_joins_are_rate_limited_with_a_retry_time() -> None:
-    one = SimulatedNode()
-    answers = [one.receive(join(f"p{at}"))[0] for at in range(int(TERMS.joins_burst) + 5)]
+    control_node = SimulatedNode()
+    answers = [control_node.receive(join(f"p{at}"))[0] for at in range(int(TERMS.joins_burst) + 5)]
     messages = [answer.message for answer in answers if isinstance(answer, SendToProxy)]
     granted = [message for message in messages if isinstance(message, LeaseGranted)]
-    hurried = [message for message in messages if isinstance(message, LeaseRefused)]
-    assert len(granted) == TERMS.joins_burst and all(not m.full and m.retry_after > 0 for m in hurried)
+    rate_limited = [message for message in messages if isinstance(message, LeaseRefused)]
+    assert len(granted) == TERMS.joins_burst and all(not m.full and m.retry_after > 0 for m in rate_limited)
 
 
 def test_a_node_over_its_limit_refuses_joins_and_sheds_leases() -> None:
     terms = ControlTerms(min_bound=4, joins_burst=100.0)
-    one = SimulatedNode(terms)
+    control_node = SimulatedNode(terms)
     for name in ("n1", "n2"):
-        one.core.handle(0.0, PeerUp(name))
-    one.core.handle(0.0, FromPeer(Summary("n1", "r0", 10, 1, 1, [])))
+        control_node.core.handle(0.0, PeerUp(name))
+    control_node.core.handle(0.0, FromPeer(Summary("n1", "r0", 10, 1, 1, [])))
     granted = 0
     for at in range(30):
-        (answer,) = one.receive(join(f"p{at}"))
+        (answer,) = control_node.receive(join(f"p{at}"))
         assert isinstance(answer, SendToProxy)
         granted += isinstance(answer.message, LeaseGranted)
-    assert granted == one.core.lease_limit(0.0) == len(one.core.leases) < 30
-    one.core.handle(
+    assert granted == control_node.core.lease_limit(0.0) == len(control_node.core.leases) < 30
+    control_node.core.handle(
         0.0, FromPeer(Summary("n1", "r0", 0, 1, 2, []))
     )  # the other node has restarted without leases
-    shed = [a for a in one.advance(200) if isinstance(a, SendToProxy) and isinstance(a.message, LeaseRefused)]
+    shed = [
+        a
+        for a in control_node.advance(200)
+        if isinstance(a, SendToProxy) and isinstance(a.message, LeaseRefused)
+    ]
     assert shed and all(a.message.full for a in shed if isinstance(a.message, LeaseRefused))
 
 
 def test_a_delayed_old_join_is_ignored() -> None:
-    one = SimulatedNode()
-    one.receive(join("p0", epoch=2))
-    assert one.receive(join("p0", epoch=1)) == []
-    one.receive(Leave("p0", 1))
-    assert one.core.leases["p0"].epoch == 2
+    control_node = SimulatedNode()
+    control_node.receive(join("p0", epoch=2))
+    assert control_node.receive(join("p0", epoch=1)) == []
+    control_node.receive(Leave("p0", 1))
+    assert control_node.core.leases["p0"].epoch == 2
 
 
 # ---- state ----------------------------------------------------------------------------------------------
 
 
 def test_a_subscriber_receives_only_its_services_and_their_changes() -> None:
-    one = SimulatedNode()
-    one.receive(join("p0", s0=0, s1=0))
-    one.receive(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s9": 0}))
-    received = updates(one.advance(1_000), "p0")
+    control_node = SimulatedNode()
+    control_node.receive(join("p0", s0=0, s1=0))
+    control_node.receive(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s9": 0}))
+    received = updates(control_node.advance(1_000), "p0")
     assert {entry.service for update in received for entry in update.entries} == {"s0"}
-    answer = one.receive(Heartbeat("p0", 1, 1, 100, 400, received[-1].number, []))
-    later = updates(answer + one.advance(600), "p0")
+    answer = control_node.receive(Heartbeat("p0", 1, 1, 100, 400, received[-1].number, []))
+    later = updates(answer + control_node.advance(600), "p0")
     assert [entry.pressure for update in later for entry in update.entries] == [400]
 
 
 def test_small_pressure_changes_are_not_published() -> None:
-    one = SimulatedNode()
-    one.receive(join("p0"))
-    one.advance(1_000)
-    answer = one.receive(Heartbeat("p0", 1, 1, 100, TERMS.pressure_step - 1, 1, []))
-    assert not any(update.entries for update in updates(answer + one.advance(600), "p0"))
+    control_node = SimulatedNode()
+    control_node.receive(join("p0"))
+    control_node.advance(1_000)
+    answer = control_node.receive(Heartbeat("p0", 1, 1, 100, TERMS.pressure_step - 1, 1, []))
+    assert not any(update.entries for update in updates(answer + control_node.advance(600), "p0"))
 
 
 def test_a_lost_update_is_sent_again() -> None:
-    one = SimulatedNode()
-    one.receive(join("p0"))
-    first = updates(one.advance(1_000), "p0")
+    control_node = SimulatedNode()
+    control_node.receive(join("p0"))
+    first = updates(control_node.advance(1_000), "p0")
     assert any(update.entries for update in first)
-    again = updates(one.receive(Heartbeat("p0", 1, 1, 100, 0, first[-1].number, [first[0].number])), "p0")
+    again = updates(
+        control_node.receive(Heartbeat("p0", 1, 1, 100, 0, first[-1].number, [first[0].number])), "p0"
+    )
     assert any(update.entries for update in again)
 
 
 def test_the_queue_of_an_unresponsive_subscriber_is_bounded() -> None:
-    one = SimulatedNode()
-    one.receive(join("p0"))
+    control_node = SimulatedNode()
+    control_node.receive(join("p0"))
     for at in range(200):
-        one.receive(Join("p1", 8, at + 1, "r0", "z1", "s0", 100, at * 5 % 1_000, {"s0": 0}))
-        one.advance(200)
-        one.core.leases["p0"].last_received_at = one.now  # alive, but its heartbeats acknowledge nothing
-    subscriber = one.core.leases["p0"]
+        control_node.receive(Join("p1", 8, at + 1, "r0", "z1", "s0", 100, at * 5 % 1_000, {"s0": 0}))
+        control_node.advance(200)
+        # Alive, but its heartbeats acknowledge nothing.
+        control_node.core.leases["p0"].last_received_at = control_node.now
+    subscriber = control_node.core.leases["p0"]
     assert len(subscriber.unacknowledged) <= TERMS.window and len(subscriber.pending) <= 3
 
 
 def test_a_matching_digest_avoids_the_resync() -> None:
-    one = SimulatedNode()
-    one.receive(join("p0"))
-    keys = one.core.service_table.keys("s0", "r0")
-    held = digest(one.core.service_table.entry(key, "r0").entry for key in keys)
-    one.advance(1_000)
-    (granted,) = one.receive(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s0": held}))
+    control_node = SimulatedNode()
+    control_node.receive(join("p0"))
+    keys = control_node.core.service_table.keys("s0", "r0")
+    held = digest(control_node.core.service_table.entry(key, "r0").entry for key in keys)
+    control_node.advance(1_000)
+    (granted,) = control_node.receive(Join("p1", 8, 1, "r0", "z1", "s9", 100, 0, {"s0": held}))
     assert isinstance(granted, SendToProxy) and granted.message == LeaseGranted("n0", 1, ["s0"])
-    assert not any(update.entries for update in updates(one.advance(1_000), "p1"))
+    assert not any(update.entries for update in updates(control_node.advance(1_000), "p1"))
 
 
 def test_a_member_with_leases_at_two_nodes_counts_once_by_the_later_lease() -> None:
-    shares = ServiceTable("n0")
+    table = ServiceTable("n0")
     key = ("s0", "r0", "z0")
-    shares.set_member(key, MemberState("p0", 1, 100, 700))
-    shares.set_entry("n1", StateEntry(*key, 1, 100, 0, [MemberState("p0", 2, 100, 0)]))
-    entry = shares.entry(key, "r0").entry
+    table.set_member(key, MemberState("p0", 1, 100, 700))
+    table.set_entry("n1", StateEntry(*key, 1, 100, 0, [MemberState("p0", 2, 100, 0)]))
+    entry = table.entry(key, "r0").entry
     assert (entry.up, entry.capacity, entry.pressure) == (1, 100, 0)
-    assert shares.drop_source("n1") == [key]
-    assert shares.entry(key, "r0").entry.pressure == 700
+    assert table.drop_source("n1") == [key]
+    assert table.entry(key, "r0").entry.pressure == 700
 
 
 def test_other_regions_receive_sums_and_a_missed_summary_causes_a_snapshot_request() -> None:
-    one = SimulatedNode()
+    control_node = SimulatedNode()
     for name in ("n1", "n2"):
-        one.core.handle(0.0, PeerUp(name))
-    one.receive(join("p0"))
-    sent = [action for action in one.advance(200) if isinstance(action, SendToPeer)]
+        control_node.core.handle(0.0, PeerUp(name))
+    control_node.receive(join("p0"))
+    sent = [action for action in control_node.advance(200) if isinstance(action, SendToPeer)]
     by_peer = {one.to: one.message for one in sent if isinstance(one.message, Summary)}
     assert by_peer["n1"].entries[0].members and by_peer["n1"].entries[0].zone == "z0"
     assert by_peer["n2"].entries[0] == StateEntry("s0", "r0", "", 1, 100, 0)
@@ -222,25 +233,27 @@
     late = Summary("n2", "r1", 3, 1, 2, [StateEntry("s0", "r1", "", 3, 300, 0)])
     early = Summary("n2", "r1", 3, 1, 3, [StateEntry("s0", "r1", "", 4, 400, 0)])
     for summary in (first, early, late):  # reordered: both are applied, in their order
-        assert one.core.handle(one.now, FromPeer(summary)) == []
-    assert one.core.service_table.entry(("s0", "r1", ""), "r0").entry.up == 4
+        assert control_node.core.handle(control_node.now, FromPeer(summary)) == []
+    assert control_node.core.service_table.entry(("s0", "r1", ""), "r0").entry.up == 4
     for number in (5, 6):
-        one.now += GAP_TIMEOUT_MS
-        asked = one.core.handle(one.now + number, FromPeer(Summary("n2", "r1", 3, 1, number, [])))
+        control_node.now += GAP_TIMEOUT_MS
+        asked = control_node.core.handle(
+            control_node.now + number, FromPeer(Summary("n2", "r1", 3, 1, number, []))
+        )
     assert asked == [SendToPeer("n2", SnapshotRequest("n0"))]
 
 
 def test_entries_of_a_silent_region_stay_while_those_of_a_silent_node_are_dropped() -> None:
-    one = SimulatedNode()
+    control_node = SimulatedNode()
     for name, region in (("n1", "r0"), ("n2", "r1")):
-        one.core.handle(0.0, PeerUp(name))
+        control_node.core.handle(0.0, PeerUp(name))
         key = ("s0", region, "z5" if region == "r0" else "")
         members = [MemberState("p9", 1, 100, 0)] if region == "r0" else []
         entry = StateEntry(*key, 1, 100, 0, members)
-        one.core.handle(0.0, FromPeer(Summary(name, region, 1, 1, 1, [entry])))
-    one.advance(TERMS.peer_timeout + 400)
-    keys = one.core.service_table.keys("s0", "r0")
-    assert keys == [("s0", "r1", "")] and one.core.region_ages["r1"] > TERMS.peer_timeout
+        control_node.core.handle(0.0, FromPeer(Summary(name, region, 1, 1, 1, [entry])))
+    control_node.advance(TERMS.peer_timeout + 400)
+    keys = control_node.core.service_table.keys("s0", "r0")
+    assert keys == [("s0", "r1", "")] and control_node.core.region_ages["r1"] > TERMS.peer_timeout
 
 
 # ---- client ---------------------------------------------------------------------------------------------
@@ -382,7 +395,7 @@
         assert decode_control(encode_control(message)) == message
 
 
-def test_rate_and_burst_limit_any_second() -> None:
+def test_a_token_bucket_grants_at_most_rate_plus_burst_in_any_second() -> None:
     bucket = TokenBucket(800.0, 700.0, 0.0)
     spent = [at for at in range(0, 5_000, 10) if bucket.take(float(at), 100.0)]
     assert max(sum(at < other <= at + 1_000 for other in spent) for at in spent) <= 15
--- a/tests/control/test_processes.py
+++ b/tests/control/test_processes.py
@@ -34,7 +34,7 @@
 
 
 async def run_scenario() -> None:
-    """Run three nodes and three proxies, and let nodes and a proxy end."""
+    """Run three nodes and three proxies; kill nodes, terminate a proxy and start a node again."""
     server, discovery = SessionServer(0), DiscoveryServer()
     await server.start()
     await discovery.start()
@@ -80,7 +80,7 @@
         await discovery.stop()
 
 
-def test_leases_state_and_the_loss_of_nodes() -> None:
+def test_proxies_obtain_leases_and_state_again_after_nodes_are_lost() -> None:
     asyncio.run(run_scenario())
 
 
@@ -140,7 +140,7 @@
         read_extras(TIER.format(NODES), "f", settings)
 
 
-def test_the_command_needs_its_node(tmp_path: Path) -> None:
+def test_the_control_command_requires_a_control_node_in_its_file(tmp_path: Path) -> None:
     path = tmp_path / "extras.kdl"
     path.write_text("// nothing")
     command: list[Any] = [sys.executable, "-B", "-m", "martentide", "control", "--extras", str(path)]
--- a/tests/control/test_simulated.py
+++ b/tests/control/test_simulated.py
@@ -31,8 +31,8 @@
     assert result["rules_broken"] == 0, result["broken"]
 
 
-def broken_rules(terms: ControlTerms | None = None, seconds: int = 30, **limits: float) -> set[str]:
-    """Return the rules broken in a run without network faults in which one proxy is killed halfway."""
+def violated_invariants(terms: ControlTerms | None = None, seconds: int = 30, **limits: float) -> set[str]:
+    """Return the invariants violated in a run without network faults in which one proxy is killed halfway."""
     tier = SimulatedTier(SMALL, 5, terms, Link(delay=2.0, jitter=2.0))
     checker = TierChecker(tier, TierBounds(**limits))  # type: ignore[arg-type]
     tier.start()
@@ -46,7 +46,7 @@
 
 
 def test_a_run_without_faults_breaks_no_invariant() -> None:
-    assert broken_rules() == set()
+    assert violated_invariants() == set()
 
 
 def drop_a_member(patch: pytest.MonkeyPatch) -> None:
@@ -76,11 +76,11 @@
 
 
 @pytest.mark.parametrize(("inject", "rule"), [(drop_a_member, "held-dead"), (disable_expiry, "held-alive")])
-def test_a_planted_fault_is_found(
+def test_an_injected_fault_is_found(
     monkeypatch: pytest.MonkeyPatch, inject: Callable[[pytest.MonkeyPatch], None], rule: str
 ) -> None:
     inject(monkeypatch)
-    assert rule in broken_rules()
+    assert rule in violated_invariants()
 
 
 def test_use_of_expired_state_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -96,16 +96,16 @@
     assert {one.invariant for one in checker.violations} == {"past-end"}
 
 
-def test_too_many_bytes_are_found() -> None:
+def test_more_update_bytes_than_allowed_are_found() -> None:
     terms = ControlTerms(update_bytes_per_s=80_000.0, update_burst=80_000.0, pressure_step=1, heartbeat=20.0)
-    assert "bytes" in broken_rules(terms, seconds=8)
+    assert "bytes" in violated_invariants(terms, seconds=8)
 
 
 def test_a_node_with_too_many_leases_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ControlNode, "_exceeds_limit", lambda self, more, now: False)
     monkeypatch.setattr(ControlNode, "_shed", lambda self, now: None)
     monkeypatch.setattr("martentide.control.placement.draw", lambda proxy, node: 0.9 if node == "n0" else 0.1)
-    assert "load" in broken_rules(ControlTerms(min_bound=2))
+    assert "load" in violated_invariants(ControlTerms(min_bound=2))
 
 
 def test_a_proxy_that_stays_in_another_region_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -238,31 +238,31 @@
             received.name, State.ALIVE, 99, process_id=received.process_id, port=received.port
         )
         self.members[received.name].since = -1e9
-        PENDING.append((self, resurrected))
+        PENDING_RESURRECTIONS.append((self, resurrected))
     return result
 
 
-PENDING: list[tuple[Membership, MemberRecord]] = []
+PENDING_RESURRECTIONS: list[tuple[Membership, MemberRecord]] = []
 
 
 @pytest.mark.parametrize("fault", INJECTED_FAULTS)
 def test_the_checker_finds_an_injected_fault(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    rule, inject, steps, loss = INJECTED_FAULTS[fault]
+    invariant, inject, steps, loss = INJECTED_FAULTS[fault]
     end = 40_000.0
 
-    def rules() -> set[str]:
+    def violated_invariants() -> set[str]:
         fleet = SimulatedFleet(4, 5)
         fleet.network.set_all_links(loss=loss)
-        PENDING.clear()
+        PENDING_RESURRECTIONS.clear()
 
         def resurrect_all() -> None:
-            for core, resurrected in PENDING:
+            for core, resurrected in PENDING_RESURRECTIONS:
                 fleet.handle_event(core.me.name, DatagramReceived(Datagram(Kind.GOSSIP, resurrected, 0, 0)))
 
         fleet.schedule(20_000.0, resurrect_all)
         log = fleet.play(steps, end)
         return {one.invariant for one in FleetChecker(list(fleet.members)).check(log, end)}
 
-    assert rules() == set()
+    assert violated_invariants() == set()
     inject(monkeypatch)
-    assert rule in rules()
+    assert invariant in violated_invariants()
--- a/tests/fleet/test_health_check_assignment.py
+++ b/tests/fleet/test_health_check_assignment.py
@@ -114,15 +114,15 @@
 def test_successes_of_peers_are_passed_on_and_failures_suppress_own_checks() -> None:
     fleet = fleet_of(LIVE_MEMBERS)
     ranked = HealthCheckAssignment("x", "").rank_members("s0", LIVE_MEMBERS)
-    holder, other = fleet[ranked[0]], fleet[ranked[9]]
+    assignee, other = fleet[ranked[0]], fleet[ranked[9]]
     entries: dict[str, tuple[float, bytes]] = {}
     suspected = {name: ["s0"] for name in LIVE_MEMBERS}
     evaluate_all(fleet, 0.0, suspected, entries)
-    holder.observe(100.0, ProbeEnded("s0", Ending.UNREACHABLE, False, 5.0, None))
+    assignee.observe(100.0, ProbeEnded("s0", Ending.UNREACHABLE, False, 5.0, None))
     evaluate_all(fleet, 500.0, suspected, entries)
     results = evaluate_all(fleet, 750.0, suspected, entries)
     assert TestDuty(frozenset({"s0"}), frozenset()) in results[other.name].events
-    holder.observe(900.0, Stands(1, 0, "s0", 80.0))
+    assignee.observe(900.0, Stands(1, 0, "s0", 80.0))
     evaluate_all(fleet, 1_250.0, suspected, entries)
     results = evaluate_all(fleet, 1_500.0, suspected, entries)
     [news] = [event for event in results[other.name].events if isinstance(event, PeerNews)]
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -37,7 +37,7 @@
             await asyncio.sleep(0.1)
 
 
-def test_killed_restarted_and_terminated() -> None:
+def test_killed_restarted_and_terminated_members_are_recognized_by_all() -> None:
     async def scenario(rig: Rig) -> None:
         await run_step(rig, "kill", "n3")
         await rig.wait_until(lambda: rig.are_known_dead("n3"), WAIT_LIMIT_S)
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("duration", [0.5, 2.0, 20.0])
-def test_stopped_and_continued(duration: float) -> None:
+def test_a_member_stopped_and_continued_rejoins_and_marks_no_other_dead(duration: float) -> None:
     async def scenario(rig: Rig) -> None:
         await run_step(rig, "stop", "n1")
         await asyncio.sleep(duration)
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize(
     ("one_side", "other_side"), [("n5", "n0,n1,n2,n3,n4"), ("n0,n1,n2", "n3,n4,n5"), ("n0,n1,n2,n3", "n4,n5")]
 )
-def test_split_and_healed(one_side: str, other_side: str) -> None:
+def test_both_sides_of_a_partition_find_each_other_once_it_is_healed(one_side: str, other_side: str) -> None:
     async def scenario(rig: Rig) -> None:
         one_names, other_names = one_side.split(","), other_side.split(",")
         await run_step(rig, "split", one_side, other_side)
@@ -120,7 +120,7 @@
     run_scenario(scenario)
 
 
-def test_start_while_the_only_seed_is_dead() -> None:
+def test_members_started_while_the_only_seed_is_dead_find_the_fleet_later() -> None:
     async def scenario(rig: Rig) -> None:
         await run_step(rig, "kill", "n0,n3")
         await rig.wait_until(lambda: rig.are_known_dead("n0", "n3"), WAIT_LIMIT_S)
@@ -135,7 +135,7 @@
     run_scenario(scenario, seed_count=1)
 
 
-def test_all_members_killed_and_restarted_at_once() -> None:
+def test_all_members_killed_and_restarted_at_once_find_each_other() -> None:
     async def scenario(rig: Rig) -> None:
         names = ",".join(rig.proxies)
         await run_step(rig, "kill", names)
@@ -145,7 +145,7 @@
     run_scenario(scenario, proxies=6)
 
 
-def test_seven_of_ten_members_killed_at_once() -> None:
+def test_seven_of_ten_members_killed_at_once_are_detected() -> None:
     async def scenario(rig: Rig) -> None:
         dead = [f"n{at}" for at in range(3, 10)]
         await run_step(rig, "kill", ",".join(dead))
@@ -155,7 +155,7 @@
     run_scenario(scenario, proxies=10)
 
 
-def test_restarted_five_times_in_ten_seconds() -> None:
+def test_a_member_restarted_five_times_in_ten_seconds_is_known_as_its_last_process() -> None:
     async def scenario(rig: Rig) -> None:
         for _ in range(5):
             await run_step(rig, "kill", "n3")
@@ -197,7 +197,7 @@
     run_scenario(scenario)
 
 
-def test_an_address_taken_over_by_another_name_or_fleet() -> None:
+def test_a_member_whose_address_another_name_or_fleet_took_over_is_marked_dead() -> None:
     async def scenario(rig: Rig) -> None:
         await run_step(rig, "kill", "n3")
         await rig.start_member("n3", member_name="n9")
@@ -226,7 +226,7 @@
     run_scenario(scenario)
 
 
-def test_clocks_an_hour_apart_and_one_that_jumps_back() -> None:
+def test_wall_clocks_that_differ_jump_or_run_fast_affect_no_member() -> None:
     async def scenario(rig: Rig) -> None:
         await run_step(rig, "stop", "n3")
         rig.set_clock("n1", -3600.0)
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -38,9 +38,9 @@
     return data + FRAME._check(data)
 
 
-def changed(**figures: object) -> bytes:
+def changed(**fields: object) -> bytes:
     """Return a sealed datagram that differs from DATAGRAM in these fields."""
-    return seal(msgspec.structs.replace(DATAGRAM, **figures))
+    return seal(msgspec.structs.replace(DATAGRAM, **fields))
 
 
 VALID = FRAME.write(DATAGRAM)
