--- a/martentide/agreement/fragments.py
+++ b/martentide/agreement/fragments.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.message_number = self.turn = 0
 
-    def next_of(self, names: Sequence[str]) -> str:
+    def choose_in_turn(self, names: Sequence[str]) -> str:
         """Choose one of ``names`` in round-robin order."""
         self.turn += 1
         return names[self.turn % len(names)]
--- a/martentide/fleet/core.py
+++ b/martentide/fleet/core.py
@@ -109,7 +109,7 @@
         self.suspects: set[Name] = set()
         self.last_received_at = now  # running clock; any datagram
         self.isolated = False
-        self.suppress_updates_until = 0.0  # running clock
+        self.suppress_updates_until = 0.0  # running clock; until then others aren't reported as alive
         spread = self.rng.random()
         self.probe_due = now + spread * terms.period
         self.gossip_due: float | None = None
@@ -789,7 +789,7 @@
             case State.DEAD:
                 # One member's verdict counts as an accusation only, so that a live member can refute it.
                 if old is State.DEAD:
-                    known.record = record  # of a later incarnation that never arrived here
+                    known.record = record  # died in a later incarnation, of which no record arrived here
                 elif old is State.ALIVE or record.incarnation > known.record.incarnation:
                     self._accept_suspicion(known, record)
                 elif old is State.SUSPECT:
@@ -857,7 +857,7 @@
             return
         same_address = (record.host, record.port) == (self.me.host, self.me.port)
         if self.joining or same_address or record.state >= State.DEAD:
-            self._start_generation(record.generation + 1)  # of an earlier process of this name
+            self._start_generation(record.generation + 1)  # the record is of an earlier process of this name
         if not same_address and record.state < State.DEAD:
             self._send_datagram(
                 (record.host, record.port), Kind.PING, 0
--- a/martentide/fleet/health_check_assignment.py
+++ b/martentide/fleet/health_check_assignment.py
@@ -216,6 +216,7 @@
             if key not in latest or observed.observed_at > latest[key].observed_at:
                 latest[key] = observed
         to_check: list[str] = []
+        # Servers whose health checks and whose half-open probes are left to other members:
         no_tests, no_trials = set(), set()
         to_publish: list[Observation] = []
         to_report: list[str] = []
--- a/martentide/fleet/wire.py
+++ b/martentide/fleet/wire.py
@@ -128,7 +128,9 @@
 
     ``stamp`` is opaque to the receiver, which returns it as ``echo`` with the time it held it
     (``echo_delay``, ms). From these the sender of the stamp computes an upper bound of this datagram's
-    transit time by its own clock alone.
+    transit time by its own clock alone. ``probe`` is the number of the probe that a PING,
+    ACK, PING_REQUEST or NACK belongs to, ``target`` the member that an indirect probe is for. In VERSIONS a
+    non-empty ``target`` marks a request that must not be answered by another request.
     """
 
     kind: int
--- a/martentide/net/fleet/agreement_actor.py
+++ b/martentide/net/fleet/agreement_actor.py
@@ -111,7 +111,7 @@
         self.folder: DiskFolder | None = None
         self.disk_executor: ThreadPoolExecutor | None = None
         self.queued_actions: deque[Action] = deque()
-        self.writing = False
+        self.writing = False  # whether the state is being written; queued actions wait
         self.timer: asyncio.TimerHandle | None = None
         self.safe_rules_timer: asyncio.TimerHandle | None = None
         self.in_force = AgreedRules(safe=True)
@@ -119,10 +119,10 @@
         self.verdicts: OrderedDict[str, dict[str, Any]] = OrderedDict()
         self.stopped = False
         self.request_count = 0
-        self.handling = False
+        self.handling = False  # whether the core is handling an event: no lease check meanwhile
         # ``own_servers``: names that the own discovery service reported
         self.server_list, self.own_servers = ServerList(), set[str]()
-        self.applying_list = False
+        self.applying_list = False  # whether the dispatcher is applying changes that other members reported
         self.in_force_since = self._now()  # ms
         self.published_status: MemberStatus | None = None
         self.published_at = self.list_requested_at = -1e9
@@ -409,7 +409,7 @@
         digest = self.server_list.digest()
         if differing and now - self.list_requested_at >= LIST_REQUEST_INTERVAL:
             self.list_requested_at = now  # one member at a time; any of them may have what is missing
-            self._send(self.fragmenter.next_of(differing), ListRequest(digest))
+            self._send(self.fragmenter.choose_in_turn(differing), ListRequest(digest))
         acting_by = SAFE if self.in_force.safe else OWN if self.in_force.rules is None else AGREED
         known_state = self.core.known_state
         status = MemberStatus(
--- a/martentide/net/fleet/member.py
+++ b/martentide/net/fleet/member.py
@@ -108,7 +108,7 @@
         self.evaluation_timer: asyncio.TimerHandle | None = None
         self.agreement: AgreementActor | None = None
         self.join_count = 0
-        self.wanted = False
+        self.wanted = False  # whether to be a member: after ``join`` and before ``retire``
         dispatcher.event_observers.append(self._observe_event)
 
     # ---- joining and leaving ----------------------------------------------------------------------------
--- a/martentide/versions.py
+++ b/martentide/versions.py
@@ -77,7 +77,10 @@
 @click.option("--why", default="", help="what for")
 @PATIENCE_OPTION
 def propose(file: str, operator: str, base: int, by: str, why: str, patience: float) -> None:
-    """Exit codes: 0: in force; 2: the file cannot be used; 3: rejected, or the outcome is unknown."""
+    """Propose the rules in a file and wait for the verdict.
+
+    Exit codes: 0: in force; 2: the file cannot be used; 3: rejected, or the outcome is unknown.
+    """
     from martentide.agreement.ruleset import RuleError, rules_from
 
     rules: Any = None
