--- a/benchmarks/fleet_membership.py
+++ b/benchmarks/fleet_membership.py
@@ -134,15 +134,15 @@
     fleet = SimulatedFleet(members, seed, base=Link(delay=1.0, jitter=2.0, loss=LOSS_SHARE))
     fleet.start_converged()
     fleet.run(5_000.0)
-    sent_before = {name: node.sent_bytes for name, node in fleet.members.items()}
+    sent_before = {name: member.sent_bytes for name, member in fleet.members.items()}
     fleet.run(15_000.0)
     bytes_rate = (
-        sum(node.sent_bytes - sent_before[name] for name, node in fleet.members.items()) / members / 10.0
+        sum(member.sent_bytes - sent_before[name] for name, member in fleet.members.items()) / members / 10.0
     )
     detection_ms: list[float] = []
     spread_ms: list[float] = []
     for index in range(2 if members > 500 else 4):
-        running = [member for member, node in fleet.members.items() if node.core is not None]
+        running = [name for name, member in fleet.members.items() if member.core is not None]
         name, since = running[len(running) // 2], fleet.now
         fleet.kill(name)
         fleet.run(since + 8_000.0)
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -22,16 +22,16 @@
     for name in fleet.members:
         fleet.schedule(fleet.rng.uniform(0.0, 1_000.0), lambda name=name: publish(name))  # type: ignore[misc]
     fleet.run(WARM_UP_S * 1_000.0)
-    sent_before = sum(node.sent_bytes for node in fleet.members.values())
+    sent_before = sum(member.sent_bytes for member in fleet.members.values())
     missing = expected = 0
     for _ in range(MEASURED_S):
         fleet.run(fleet.now + 1_000.0)
-        for node in fleet.members.values():
-            assert node.core is not None
-            held = sum(1 for _ in node.core.state_entries_of(ENTRY_KIND, node.local_time(fleet.now)))
+        for member in fleet.members.values():
+            assert member.core is not None
+            held = sum(1 for _ in member.core.state_entries_of(ENTRY_KIND, member.local_time(fleet.now)))
             expected += members - 1
             missing += members - 1 - held
-    sent = sum(node.sent_bytes for node in fleet.members.values()) - sent_before
+    sent = sum(member.sent_bytes for member in fleet.members.values()) - sent_before
     return {
         "members": members,
         "missing_share": round(missing / expected, 4),
--- a/martentide_lab/fleet/simulated.py
+++ b/martentide_lab/fleet/simulated.py
@@ -65,7 +65,10 @@
 
 
 class SimulatedFleet(Simulation):
-    """A fleet with its members spread over ``zones`` zones; the first ``seeds`` members are seeds of all."""
+    """A fleet with its members spread over ``zones`` zones.
+
+    The first ``seed_count`` members are the seeds of all. ``seed`` is that of the random numbers.
+    """
 
     def __init__(
         self,
@@ -74,7 +77,7 @@
         terms: Terms | None = None,
         base: Link | None = None,
         zones: int = 3,
-        seeds: int = 3,
+        seed_count: int = 3,
         name: str = "f",
         encode_datagrams: bool = True,  # False: passed unencoded (faster); corrupted ones are lost
     ) -> None:
@@ -88,7 +91,7 @@
         self.observers: list[Callable[[str, Action], None]] = []
         self.members: dict[str, SimulatedMember] = {}
         self.names_by_address: dict[Address, str] = {}
-        self.seeds = tuple(("127.0.0.1", 20_000 + number) for number in range(seeds))
+        self.seeds = tuple(("127.0.0.1", 20_000 + number) for number in range(seed_count))
         for number in range(members):
             address = ("127.0.0.1", 20_000 + number)
             offset = self.rng.uniform(0, 1e7)
@@ -113,160 +116,162 @@
         """Start all members with full knowledge of each other, for tests that aren't about the cold start."""
         for name in self.members:
             self.start(name)
-        records = [node.core.me for node in self.members.values() if node.core is not None]
-        for name, node in self.members.items():
-            assert node.core is not None
+        records = [member.core.me for member in self.members.values() if member.core is not None]
+        for name, member in self.members.items():
+            assert member.core is not None
             sender = records[0] if records[0].name != name else records[1]
             others = [record for record in records if record.name != name]
             self.handle_event(
                 name,
-                DatagramReceived(Datagram(Kind.MISSING, sender, node.core.me.process_id, 0, members=others)),
+                DatagramReceived(
+                    Datagram(Kind.MISSING, sender, member.core.me.process_id, 0, members=others)
+                ),
             )
 
     # ---- processes --------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
         """Start the member's process unless it runs."""
-        node = self.members[name]
-        if node.core is not None:
+        member = self.members[name]
+        if member.core is not None:
             return
-        node.incarnations += 1
-        node.stopped, node.starved_incarnation = False, 0
-        node.queued_datagrams.clear()
-        now = node.local_time(self.now)
-        node.core = Membership(
-            name, node.zone, node.address, self.seeds, self.terms, self.rng.getrandbits(48), now
+        member.incarnations += 1
+        member.stopped, member.starved_incarnation = False, 0
+        member.queued_datagrams.clear()
+        now = member.local_time(self.now)
+        member.core = Membership(
+            name, member.zone, member.address, self.seeds, self.terms, self.rng.getrandbits(48), now
         )
-        self._log("started", name, name, life=node.core.me.process_id)
-        self._schedule_timer(node)
+        self._log("started", name, name, life=member.core.me.process_id)
+        self._schedule_timer(member)
 
     def kill(self, name: str) -> None:
         """End the process without notice, as SIGKILL."""
-        node = self.members[name]
-        if node.core is not None:
-            node.core = None
+        member = self.members[name]
+        if member.core is not None:
+            member.core = None
             self._log("killed", name, name)
 
     def term(self, name: str) -> None:
         """End the process after it has left the fleet, as SIGTERM."""
-        node = self.members[name]
-        if node.core is not None:
+        member = self.members[name]
+        if member.core is not None:
             self.handle_event(name, Depart())
-            node.core = None
+            member.core = None
             self._log("left", name, name)
 
     def stop(self, name: str) -> None:
         """Suspend the process, as SIGSTOP."""
-        node = self.members[name]
-        self.unstarve(name)
-        if node.core is not None and not node.stopped:
-            node.stopped = True
+        member = self.members[name]
+        self.end_starvation(name)
+        if member.core is not None and not member.stopped:
+            member.stopped = True
             self._log("stopped", name, name)
 
     def resume(self, name: str) -> None:
         """Continue a suspended process, as SIGCONT; no effect on a starved one."""
-        node = self.members[name]
-        if node.core is None or not node.stopped or node.starved_incarnation:
+        member = self.members[name]
+        if member.core is None or not member.stopped or member.starved_incarnation:
             return
         self._log("continued", name, name)
-        self._resume_process(node)
+        self._resume_process(member)
 
-    def _resume_process(self, node: SimulatedMember) -> None:
+    def _resume_process(self, member: SimulatedMember) -> None:
         """Let the process run again; it receives the datagrams that were queued in its socket."""
-        node.stopped = False
-        queued, node.queued_datagrams = node.queued_datagrams, []
+        member.stopped = False
+        queued, member.queued_datagrams = member.queued_datagrams, []
         if self.rng.random() < 0.5:  # the event loop may run timers or read sockets first
-            self.handle_event(node.name, Due())
+            self.handle_event(member.name, Due())
         for data in queued:
-            self._deliver_datagram(node.name, data)
-        self.handle_event(node.name, Due())
+            self._deliver_datagram(member.name, data)
+        self.handle_event(member.name, Due())
 
     def starve(self, name: str) -> None:
-        """Suspend the process nine tenths of the time, until ``unstarve``."""
-        node = self.members[name]
-        if node.core is None or node.stopped or node.starved_incarnation:
+        """Suspend the process nine tenths of the time, until ``end_starvation``."""
+        member = self.members[name]
+        if member.core is None or member.stopped or member.starved_incarnation:
             return
-        node.starved_incarnation = node.incarnations
+        member.starved_incarnation = member.incarnations
         self._log("starved", name, name)
-        self._suspend_starved(node, node.incarnations)
-
-    def unstarve(self, name: str) -> None:
-        """End what ``starve`` began."""
-        node = self.members[name]
-        if node.starved_incarnation:
-            node.starved_incarnation = 0
-            if node.core is not None:
-                self._resume_process(node)
+        self._suspend_starved(member, member.incarnations)
+
+    def end_starvation(self, name: str) -> None:
+        """Let a starved process run without interruption again."""
+        member = self.members[name]
+        if member.starved_incarnation:
+            member.starved_incarnation = 0
+            if member.core is not None:
+                self._resume_process(member)
                 self._log("fed", name, name)
 
-    def _suspend_starved(self, node: SimulatedMember, incarnation: int) -> None:
-        if node.starved_incarnation == incarnation and node.core is not None:
-            node.stopped = True
-            self.schedule(250.0, lambda: self._run_starved(node, incarnation))
+    def _suspend_starved(self, member: SimulatedMember, incarnation: int) -> None:
+        if member.starved_incarnation == incarnation and member.core is not None:
+            member.stopped = True
+            self.schedule(250.0, lambda: self._run_starved(member, incarnation))
 
-    def _run_starved(self, node: SimulatedMember, incarnation: int) -> None:
-        if node.starved_incarnation == incarnation and node.core is not None:
-            self._resume_process(node)
-            self.schedule(30.0, lambda: self._suspend_starved(node, incarnation))
+    def _run_starved(self, member: SimulatedMember, incarnation: int) -> None:
+        if member.starved_incarnation == incarnation and member.core is not None:
+            self._resume_process(member)
+            self.schedule(30.0, lambda: self._suspend_starved(member, incarnation))
 
     def handle_event(self, name: str, event: CoreEvent) -> None:
         """Pass an event to the member's core, if it runs, and carry out the core's actions."""
-        node = self.members[name]
-        if node.core is None:
+        member = self.members[name]
+        if member.core is None:
             return
-        if node.stopped:
+        if member.stopped:
             return
-        for action in node.core.handle(node.local_time(self.now), event):
-            self._perform(node, action)
-        self._schedule_timer(node)
+        for action in member.core.handle(member.local_time(self.now), event):
+            self._perform(member, action)
+        self._schedule_timer(member)
 
     def publish(self, name: str, kind: int, body: bytes, max_age: int = 10_000) -> None:
         """Publish a state entry of the member, valid for ``max_age`` ms."""
         self.handle_event(name, Publish(kind, 1, max_age, body))
 
-    def _schedule_timer(self, node: SimulatedMember) -> None:
-        core = node.core
+    def _schedule_timer(self, member: SimulatedMember) -> None:
+        core = member.core
         if core is None or core.displaced:
             return
         # The 0.01 ms keep rounding from making the timer run early.
-        due = max(self.now, node.simulated_time(core.due)) + 0.01
-        if node.scheduled_at <= self.now or due < node.scheduled_at:
-            node.scheduled_at = due
-            self.schedule(due - self.now, lambda: self._timer_expired(node, core, due))
+        due = max(self.now, member.simulated_time(core.due)) + 0.01
+        if member.scheduled_at <= self.now or due < member.scheduled_at:
+            member.scheduled_at = due
+            self.schedule(due - self.now, lambda: self._timer_expired(member, core, due))
 
-    def _timer_expired(self, node: SimulatedMember, core: Membership, due: float) -> None:
-        if node.core is not core or node.scheduled_at != due or node.stopped:
+    def _timer_expired(self, member: SimulatedMember, core: Membership, due: float) -> None:
+        if member.core is not core or member.scheduled_at != due or member.stopped:
             return
-        node.scheduled_at = 0.0
-        self.handle_event(node.name, Due())
+        member.scheduled_at = 0.0
+        self.handle_event(member.name, Due())
 
-    def _perform(self, node: SimulatedMember, action: Action) -> None:
+    def _perform(self, member: SimulatedMember, action: Action) -> None:
         match action:
             case Send(address, datagram):
                 if not self.encode_datagrams:
-                    node.sent_datagrams += 1
-                    self._transmit_datagram(node.name, address, datagram)
+                    member.sent_datagrams += 1
+                    self._transmit_datagram(member.name, address, datagram)
                     return
                 data = self.frame.write(datagram)
-                node.sent_bytes += len(data) + 28  # with the headers of IP and UDP
-                node.sent_datagrams += 1
-                node.counts["largest"] = max(node.counts["largest"], len(data))
-                self._transmit_datagram(node.name, address, data)
+                member.sent_bytes += len(data) + 28  # with the headers of IP and UDP
+                member.sent_datagrams += 1
+                member.counts["largest"] = max(member.counts["largest"], len(data))
+                self._transmit_datagram(member.name, address, data)
             case Changed(record, old, by, evidence):
                 self._log(
-                    "member", node.name, record.name, state=record.state,
+                    "member", member.name, record.name, state=record.state,
                     old=None if old is None else int(old), by=by, evidence=evidence, life=record.process_id,
                 )  # fmt: skip
             case Learned(entry):
                 self._log(
-                    "facet", node.name, entry.owner, facet=entry.kind, counter=entry.counter, age=entry.age
+                    "facet", member.name, entry.owner, facet=entry.kind, counter=entry.counter, age=entry.age
                 )
             case Displaced(by):
-                self._log("displaced", node.name, by.name, life=by.process_id)
+                self._log("displaced", member.name, by.name, life=by.process_id)
             case Stalled(span):
-                self._log("late", node.name, node.name, span=span)
+                self._log("late", member.name, member.name, span=span)
         for observe in self.observers:
-            observe(node.name, action)
+            observe(member.name, action)
 
     def _transmit_datagram(self, source: str, address: Address, data: bytes | Datagram) -> None:
         target = self.names_by_address.get(address)
@@ -279,12 +284,12 @@
             self.schedule(delivery.delay, lambda body=body: self._deliver_datagram(target, body))  # type: ignore[misc]
 
     def _deliver_datagram(self, name: str, data: bytes | Datagram) -> None:
-        node = self.members[name]
-        if node.core is None:
+        member = self.members[name]
+        if member.core is None:
             return
-        if node.stopped:
-            if len(node.queued_datagrams) < MAX_QUEUED_DATAGRAMS:
-                node.queued_datagrams.append(data)
+        if member.stopped:
+            if len(member.queued_datagrams) < MAX_QUEUED_DATAGRAMS:
+                member.queued_datagrams.append(data)
             return
         if isinstance(data, Datagram):
             self.handle_event(name, DatagramReceived(data))
@@ -292,7 +297,7 @@
         try:
             datagram = self.frame.read(data)
         except DatagramError as error:
-            node.counts[error.why.value] += 1
+            member.counts[error.why.value] += 1
             return
         self.handle_event(name, DatagramReceived(datagram))
 
@@ -305,7 +310,7 @@
         """Carry out one step of a scenario; steps without a meaning in simulated time are only logged."""
         handlers: dict[str, Callable[[str], None]] = {
             "kill": self.kill, "term": self.term, "start": self.start, "stop": self.stop,
-            "continue": self.resume, "starve": self.starve, "feed": self.unstarve,
+            "continue": self.resume, "starve": self.starve, "feed": self.end_starvation,
         }  # fmt: skip
         if step.verb in handlers:
             for name in split_names(step.arguments[0]):
--- a/martentide_lab/fleet/simulated_agreement.py
+++ b/martentide_lab/fleet/simulated_agreement.py
@@ -65,10 +65,10 @@
         voters: int = 3,
         timings: LeaseTimings | None = None,
         base: Link | None = None,
-        kind: type[Agreement] = Agreement,
+        core_type: type[Agreement] = Agreement,
     ) -> None:
         super().__init__(members, seed, base=base, encode_datagrams=False)
-        self.lease_timings, self.core_type = timings or LeaseTimings(), kind
+        self.lease_timings, self.core_type = timings or LeaseTimings(), core_type
         self.voters = [f"n{number}" for number in range(voters)]
         self.agreements: dict[str, Agreement] = {}
         self.disks: dict[str, VoterState] = {}
@@ -94,12 +94,12 @@
         super().start(name)
         if not starting:
             return
-        node = self.members[name]
-        assert node.core is not None
+        member = self.members[name]
+        assert member.core is not None
         self.queued_messages[name] = []
         self.agreements[name] = self.core_type(
-            name, node.core.me.process_id, self.voters, self.lease_timings, self.rng.getrandbits(48),
-            node.local_time(self.now), self.disks.get(name),
+            name, member.core.me.process_id, self.voters, self.lease_timings, self.rng.getrandbits(48),
+            member.local_time(self.now), self.disks.get(name),
         )  # fmt: skip
         self._schedule_agreement_timer(name)
 
@@ -118,21 +118,21 @@
         super().term(name)
         self.agreements.pop(name, None)
 
-    def _resume_process(self, node: SimulatedMember) -> None:
-        super()._resume_process(node)
-        messages, self.queued_messages[node.name] = self.queued_messages.get(node.name, []), []
+    def _resume_process(self, member: SimulatedMember) -> None:
+        super()._resume_process(member)
+        messages, self.queued_messages[member.name] = self.queued_messages.get(member.name, []), []
         for sender, body in messages:
-            self.handle_agreement_event(node.name, Received(sender, body))
-        self._schedule_agreement_timer(node.name)
+            self.handle_agreement_event(member.name, Received(sender, body))
+        self._schedule_agreement_timer(member.name)
 
     # ---- events -----------------------------------------------------------------------------------------
 
     def handle_agreement_event(self, name: str, event: AgreementEvent) -> None:
         """Pass an event to the member's agreement core if it runs; carry out its actions, check the rules."""
-        agreement, node = self.agreements.get(name), self.members[name]
-        if agreement is None or node.core is None or node.stopped:
+        agreement, member = self.agreements.get(name), self.members[name]
+        if agreement is None or member.core is None or member.stopped:
             return
-        for action in agreement.handle(node.local_time(self.now), event):
+        for action in agreement.handle(member.local_time(self.now), event):
             match action:
                 case Send(target, message):
                     body = encode(message)
@@ -171,10 +171,10 @@
         self.propose(name, rules)
 
     def _schedule_agreement_timer(self, name: str) -> None:
-        agreement, node = self.agreements.get(name), self.members[name]
+        agreement, member = self.agreements.get(name), self.members[name]
         if agreement is None:
             return
-        due = max(self.now, node.simulated_time(agreement.next_deadline)) + 0.01
+        due = max(self.now, member.simulated_time(agreement.next_deadline)) + 0.01
         if not self.now < self.timers.get(name, 0.0) <= due:
             self.timers[name] = due
             self.schedule(due - self.now, lambda: self._agreement_timer_expired(name, agreement, due))
@@ -192,8 +192,8 @@
                 self.schedule(delivery.delay, lambda: self._deliver_message(source, target, body))
 
     def _deliver_message(self, source: str, target: str, body: bytes) -> None:
-        node = self.members[target]
-        if node.core is not None and node.stopped:
+        member = self.members[target]
+        if member.core is not None and member.stopped:
             self.queued_messages.setdefault(target, []).append((source, body))
             del self.queued_messages[target][256:]
         else:
@@ -202,15 +202,17 @@
     # ---- invariants ---------------------------------------------------------------------------------------
 
     def acting_rules(self) -> dict[str, RuleSet]:
-        """The rules that running members with a valid lease act on; without members on the safe rules, which
-        contradict none."""
+        """The rules that running members with a valid lease act on, by member.
+
+        Members on the safe rules are left out, because the safe rules contradict no others.
+        """
         acting = {}
         for name, agreement in self.agreements.items():
-            node = self.members[name]
+            member = self.members[name]
             if (
-                node.core is not None
-                and not node.stopped
-                and agreement.lease_valid(node.local_time(self.now))
+                member.core is not None
+                and not member.stopped
+                and agreement.lease_valid(member.local_time(self.now))
             ):
                 rules = agreement.rules()
                 if rules is not None:
@@ -223,9 +225,9 @@
         for name in self.agreements:
             if name not in acting and not self.members[name].stopped:
                 self.safe_ms[name] += span
-        known = {encode_rules(rules): (name, rules) for name, rules in acting.items()}
+        distinct_rules = {encode_rules(rules): (name, rules) for name, rules in acting.items()}
         for (encoded, (name, rules)), (peer_encoded, (peer, peer_rules)) in itertools.combinations(
-            known.items(), 2
+            distinct_rules.items(), 2
         ):
             key = (encoded, peer_encoded)
             if key not in self.conflicts:
@@ -261,11 +263,13 @@
 
 
 def play_random(
-    seed: int, members: int = 5, kind: type[Agreement] = Agreement, steps: Sequence[Step] | None = None
+    seed: int, members: int = 5, core_type: type[Agreement] = Agreement, steps: Sequence[Step] | None = None
 ) -> SimulatedAgreementFleet:
     """Run random faults and random proposals; all faults end, then one more proposal must come into force."""
     rng = random.Random(seed)
-    fleet = SimulatedAgreementFleet(members, seed, base=Link(delay=2.0, jitter=8.0, loss=0.02), kind=kind)
+    fleet = SimulatedAgreementFleet(
+        members, seed, base=Link(delay=2.0, jitter=8.0, loss=0.02), core_type=core_type
+    )
     chosen = random_steps(seed, members, 24_000.0) if steps is None else steps
     for step in chosen:
         fleet.schedule(step.at, functools.partial(fleet.execute_step, step))
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_an_injected_fault_is_found(fault: type[Agreement]) -> None:
     for seed in range(1, 60):
-        broken = play_random(seed, kind=fault).violations
+        broken = play_random(seed, core_type=fault).violations
         if any(one.startswith("no-contradiction") for one in broken):
             return
     pytest.fail("not found")
