--- a/martentide/cli.py
+++ b/martentide/cli.py
@@ -31,7 +31,9 @@
 def config_options(command: Callable[..., Any]) -> Callable[..., Any]:
     """Add the options --config and --extras to a command."""
     command = click.option(
-        "--extras", metavar="FILE", help="what is on beside the platform (KDL); default: $MARTENTIDE_EXTRAS"
+        "--extras",
+        metavar="FILE",
+        help="file that enables optional subsystems (KDL); default: $MARTENTIDE_EXTRAS",
     )(command)
     return click.option("--config", metavar="FILE", help="configuration; default: $PROXY_CONFIG")(command)
 
@@ -48,7 +50,7 @@
     click.echo(f"martentide {__version__}")
 
 
-@top.command("check-config", help="Read the configuration, say what it holds and exit.")
+@top.command("check-config", help="Check the configuration, print a summary and exit.")
 @config_options
 def check_config(config: str | None, extras: str | None) -> None:
     """Validate the configuration and print a summary."""
@@ -79,8 +81,8 @@
         sys.exit(CANNOT_LISTEN)
 
 
-@top.command("control", help="Run a control node of a large fleet, as the extras file says.")
-@click.option("--extras", metavar="FILE", required=True, help="the file with a node control-node (KDL)")
+@top.command("control", help="Run a control node of a large fleet, as configured in the extras file.")
+@click.option("--extras", metavar="FILE", required=True, help="file with a node control-node (KDL)")
 @click.option("--log-level", type=click.Choice(list(log.LEVELS)), default="info", show_default=True)
 @click.option("--log-format", type=click.Choice(log.FORMATS), default="text", show_default=True)
 def control_command(extras: str, log_level: str, log_format: str) -> None:
@@ -113,7 +115,7 @@
         sys.exit(CANNOT_LISTEN)
 
 
-@top.group("state", help="Look at files of learned state.")
+@top.group("state", help="Inspect files of learned state.")
 def state() -> None:
     """Group of commands on learned-state files."""
     pass
@@ -136,7 +138,7 @@
         sys.exit(REFUSED)
 
 
-@state.command("check", help="Say whether the file is whole: 0 it is, 3 it is refused.")
+@state.command("check", help="Check whether a file is valid; exit code 0 if it is, 3 if it is refused.")
 @click.argument("file")
 def state_check(file: str) -> None:
     """Validate a learned-state file."""
@@ -144,7 +146,7 @@
     click.echo(f"{file}: whole, save {learned.sequence}, {len(learned.servers)} servers")
 
 
-@state.command("show", help="Print what the file holds.")
+@state.command("show", help="Print the contents of a file.")
 @click.argument("file")
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def state_show(file: str, as_json: bool) -> None:
@@ -168,7 +170,7 @@
         click.echo(f"{line}  {' '.join(flags) or 'open'}")
 
 
-@state.command("diff", help="Print what changed from one file to another: 0 nothing, 1 something.")
+@state.command("diff", help="Print the differences between two files; exit code 0 if there are none, else 1.")
 @click.argument("old")
 @click.argument("new")
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
@@ -183,13 +185,13 @@
     sys.exit(1 if lines else 0)
 
 
-@top.group("fleet", help="Look at the fleet that a running proxy is a member of.")
+@top.group("fleet", help="Inspect the fleet that a running proxy is a member of.")
 def fleet() -> None:
     """Group of commands on the fleet."""
     pass
 
 
-@fleet.command("show", help="Members, their states, ages and facets, as the proxy knows them.")
+@fleet.command("show", help="Print the members, their states, ages and facets, as the proxy knows them.")
 @OPERATOR_OPTION
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def fleet_show(operator: str, as_json: bool) -> None:
@@ -217,7 +219,7 @@
 
 
 def summary(config: Config) -> str:
-    """One line that describes the configuration."""
+    """Return one line that describes the configuration."""
     servers = sum(len(notice.servers) for notice in config.known)
     return (
         f"{config.name}: listens on {config.listen}, board {config.board}, "
--- a/martentide/codec/control.py
+++ b/martentide/codec/control.py
@@ -1,4 +1,4 @@
-"""Parser of the operator's calls (HTTP/1.1, by h11): bytes in, one request or one refusal out."""
+"""Parser of the operator's HTTP/1.1 requests, here named calls: bytes in, a request or a rejection out."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from martentide.lifecycle.calls import MAX_BODY_BYTES_BY_PATH, METHODS
 
 MAX_HEADER_BYTES = 8 * 1024  # bytes of request line and headers
-MAX_BODY_BYTES = 4 * 1024  # bytes of a body that is ignored
+MAX_BODY_BYTES = 4 * 1024  # bytes of a body on a path that does not use one
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,13 +56,13 @@
                         self.connection.they_are_waiting_for_100_continue
                         and self._max_body() == MAX_BODY_BYTES
                     ):
-                        return self._route(event)  # the final response makes the body unnecessary
+                        return self._check_request(event)  # the final response makes the body unnecessary
                 case h11.Data():
                     self.body += event.data
                     if len(self.body) > (most := self._max_body()):
                         return Refused(413, f"the body exceeds {most} bytes")
                 case h11.EndOfMessage() if self.request is not None:
-                    return self._route(self.request)
+                    return self._check_request(self.request)
                 case h11.ConnectionClosed():
                     return Refused(400, "connection closed without a call")
                 case _:
@@ -72,7 +72,7 @@
         target = b"" if self.request is None else self.request.target
         return MAX_BODY_BYTES_BY_PATH.get(target.decode("ascii", "replace"), MAX_BODY_BYTES)
 
-    def _route(self, request: h11.Request) -> Request | Refused:
+    def _check_request(self, request: h11.Request) -> Request | Refused:
         try:
             path = urlsplit(request.target.decode("ascii")).path
         except ValueError:
--- a/martentide/extras.py
+++ b/martentide/extras.py
@@ -1,4 +1,4 @@
-"""The extras file (KDL): enables and configures the subsystems beside the platform's protocol.
+"""The extras file (KDL): enables and configures the subsystems outside the platform's protocol.
 
 Each error names the file, the node and the property, the value found and the value expected. A subsystem that
 the file does not name is disabled. ``deploy/extras.example.kdl`` shows all nodes.
@@ -24,7 +24,7 @@
 from martentide.learned.pacing import Pace
 
 MAX_FILE_BYTES = 1024 * 1024
-MAX_SERVICES = 63  # services that a proxy calls, beside its own
+MAX_SERVICES = 63  # services that a proxy calls, in addition to its own
 
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000_000)]
 Millis = Annotated[float, msgspec.Meta(ge=0, le=600_000)]
@@ -35,7 +35,7 @@
 
 
 class ExtrasError(Exception):
-    """The extras file is invalid or can't be read; the text is one line."""
+    """Raised if the extras file is invalid or can't be read; the message is one line."""
 
 
 class Node(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
@@ -69,8 +69,8 @@
     """Lease and limits of sessions."""
 
     lease_ms: Annotated[float, msgspec.Meta(ge=0, le=60_000)] = 2_000.0
-    most: Count = 64
-    most_each: Count = 8
+    most: Count = 64  # sessions of all fronts together
+    most_each: Count = 8  # sessions of one front
 
 
 class StreamsNode(Node, frozen=True):
@@ -234,7 +234,7 @@
     gossip: tuple[str, int] = ("", 0)
 
     def info(self) -> NodeInfo:
-        """Name and region of the node."""
+        """Return the name and region of the node."""
         return NodeInfo(self.name, self.region)
 
 
@@ -251,7 +251,7 @@
     secret: str = ""
 
     def infos(self) -> tuple[NodeInfo, ...]:
-        """Names and regions of all control nodes."""
+        """Return the names and regions of all control nodes."""
         return tuple(node.info() for node in self.nodes)
 
 
@@ -264,11 +264,11 @@
     secret: str = ""
 
     def infos(self) -> tuple[NodeInfo, ...]:
-        """Names and regions of all control nodes."""
+        """Return the names and regions of all control nodes."""
         return tuple(node.info() for node in self.nodes)
 
     def own(self) -> ControlAddress:
-        """Addresses of this node."""
+        """Return the addresses of this node."""
         return next(node for node in self.nodes if node.name == self.name)
 
 
@@ -288,19 +288,19 @@
         return self.external_processor is None or self.external_processor.own_links
 
     def summary(self) -> str:
-        """One line that lists the enabled subsystems."""
-        on = []
-        if (front := self.external_processor) is not None:
-            on.append(f"external processor ({', '.join(front.services)}) on {front.listen}")
+        """Return one line that lists the enabled subsystems."""
+        enabled = []
+        if (processor := self.external_processor) is not None:
+            enabled.append(f"external processor ({', '.join(processor.services)}) on {processor.listen}")
         if (state := self.learned_state) is not None:
-            on.append(f"learned state in {state.folder}")
+            enabled.append(f"learned state in {state.folder}")
         if (fleet := self.fleet) is not None:
-            on.append(f"member of the fleet {fleet.name} at {fleet.listen[0]}:{fleet.listen[1]}")
+            enabled.append(f"member of the fleet {fleet.name} at {fleet.listen[0]}:{fleet.listen[1]}")
         if (tier := self.control_tier) is not None:
-            on.append(f"lease of {len(tier.nodes)} control nodes for {tier.service} in {tier.zone}")
+            enabled.append(f"lease of {len(tier.nodes)} control nodes for {tier.service} in {tier.zone}")
         if (control := self.control_node) is not None:
-            on.append(f"control node {control.name} of {len(control.nodes)}")
-        return f"{self.path}: {'; '.join(on) or 'nothing is turned on'}"
+            enabled.append(f"control node {control.name} of {len(control.nodes)}")
+        return f"{self.path}: {'; '.join(enabled) or 'nothing is turned on'}"
 
 
 SERVICES = ("decisions", "ext-proc")
@@ -356,7 +356,7 @@
 
 
 def _error_line(text: str) -> int:
-    """Number of the first line at which the text can no longer be the beginning of a document."""
+    """Return the number of the first line at which the text can no longer be the start of a document."""
     lines = text.splitlines()
     for count in range(1, len(lines) + 1):
         try:
@@ -560,7 +560,7 @@
 
 
 def _children(node: ckdl.Node, where: str) -> Iterator[tuple[ckdl.Node, str]]:
-    """Child nodes, each with its path for messages; raises ExtrasError for a repeated name."""
+    """Yield the child nodes, each with its path for messages; raises ExtrasError for a repeated name."""
     seen: set[str] = set()
     for child in node.children:
         here = f"{where}/{child.name}"
--- a/martentide/failover/evidence.py
+++ b/martentide/failover/evidence.py
@@ -1,4 +1,4 @@
-"""One member's assessment of each zone, from what it observes of single servers and members.
+"""One member's assessment of each zone, from its own observations of single servers and members.
 
     up         most of the zone answers
     suspect    most of it is silent, but not yet long enough to act on
@@ -65,10 +65,10 @@
 class Thresholds:
     """Thresholds as shares from 0 to 1, delays in ms."""
 
-    silent_threshold: float = 0.7  # of a zone's servers or members; from here on it is suspect
-    recovered_threshold: float = 0.4  # of a zone's servers; below this share the zone has recovered
-    lost_after: float = 1_500.0
-    back_after: float = 3_000.0  # doubles with each flap
+    silent_threshold: float = 0.7  # of a zone's servers or members; from this silent share on it is suspect
+    recovered_threshold: float = 0.4  # of a zone's servers; below this silent share it has recovered
+    lost_after: float = 1_500.0  # from suspect to lost
+    back_after: float = 3_000.0  # from returning to up; doubles with each flap
 
 
 @dataclass(slots=True)
@@ -120,14 +120,14 @@
         ]
         return len(others) > 1 and all(self._cause(one) is Cause.CUT_OFF for one in others)
 
-    def _cause(self, one: ZoneCensus) -> Cause:
-        servers = one.silent_server_share >= self.thresholds.silent_threshold
-        members = one.silent_member_share >= self.thresholds.silent_threshold
-        if servers and (members or not one.members):
+    def _cause(self, census: ZoneCensus) -> Cause:
+        servers_silent = census.silent_server_share >= self.thresholds.silent_threshold
+        members_silent = census.silent_member_share >= self.thresholds.silent_threshold
+        if servers_silent and (members_silent or not census.members):
             return Cause.CUT_OFF
-        if servers:
+        if servers_silent:
             return Cause.SERVERS
-        return Cause.MEMBERS if members else Cause.NONE
+        return Cause.MEMBERS if members_silent else Cause.NONE
 
     def _update_zone(self, now: float, health: ZoneHealth, zone_census: ZoneCensus, isolated: bool) -> None:
         cause = self._cause(zone_census)
--- a/martentide/failover/plan.py
+++ b/martentide/failover/plan.py
@@ -75,7 +75,7 @@
 
     ``shares`` gives, by zone and class, the shares of the arriving calls sent to each zone; the rest is
     refused. ``load`` is the planned rate of each zone in set-ups/s; ``served`` the served share of the
-    offered worth.
+    offered worth; ``objective`` the value of the linear program, to compare plans of the same problem.
     """
 
     shares: Mapping[tuple[str, str], tuple[tuple[str, float], ...]]
@@ -93,30 +93,30 @@
     demand_index: int
     slice_index: int
     to: str
-    weight: float
+    weight: float  # of a set-up in the objective
 
 
 @dataclass(frozen=True, slots=True)
 class _Slice:
     zone: str
-    size: float
-    cost: float
+    size: float  # set-ups/s
+    cost: float  # ms, in addition to the cost between the zones
     highest_worth_only: bool
 
 
 def capacity_slices(problem: Problem) -> list[_Slice]:
     """Split each zone's capacity into three slices: up to the near load, above it, and reserved."""
     parameters = problem.parameters
-    found = []
+    slices = []
     for zone in sorted(problem.zones, key=lambda one: one.name):
         beyond = max(0.0, parameters.max_load - parameters.reserved - parameters.near_load)
         near = min(parameters.near_load, parameters.max_load - parameters.reserved)
-        found += [
+        slices += [
             _Slice(zone.name, near * zone.capacity, 0.0, False),
             _Slice(zone.name, beyond * zone.capacity, parameters.overflow_cost, False),
             _Slice(zone.name, parameters.reserved * zone.capacity, 1.5 * parameters.overflow_cost, True),
         ]
-    return [one for one in found if one.size > 0.0]
+    return [one for one in slices if one.size > 0.0]
 
 
 def candidate_routes(
@@ -124,23 +124,23 @@
 ) -> list[_Route]:
     """Return all allowed routes with their weights: by worth, then by low cost, then by name order."""
     top = max(problem.worths.values(), default=1.0)
-    found: list[_Route] = []
-    for at, demand in enumerate(problem.demands):
+    routes: list[_Route] = []
+    for demand_index, demand in enumerate(problem.demands):
         worth = max(MIN_RELATIVE_WORTH, problem.worths.get(demand.call_class, 0.0) / top)
         highest_worth = problem.worths.get(demand.call_class, 0.0) >= top
-        for number, one in enumerate(slices):
-            cost = problem.cost.get((demand.zone, one.zone), 0.0 if demand.zone == one.zone else None)
-            excluded = (demand.call_class, one.zone) in problem.forbidden
-            if cost is None or excluded or (one.highest_worth_only and not highest_worth):
+        for slice_index, part in enumerate(slices):
+            cost = problem.cost.get((demand.zone, part.zone), 0.0 if demand.zone == part.zone else None)
+            excluded = (demand.call_class, part.zone) in problem.forbidden
+            if cost is None or excluded or (part.highest_worth_only and not highest_worth):
                 continue
             in_previous = (
-                previous is not None and previous.share(demand.zone, demand.call_class, one.zone) > 0.0
+                previous is not None and previous.share(demand.zone, demand.call_class, part.zone) > 0.0
             )
-            price = cost + one.cost - problem.parameters.stickiness * in_previous + TIE_BREAK * len(found)
-            found.append(_Route(at, number, one.zone, WORTH_WEIGHT * worth - price))
-    if len(found) > MAX_ROUTES:
-        raise ValueError(f"too many routes: {len(found)}, at most {MAX_ROUTES}")
-    return found
+            price = cost + part.cost - problem.parameters.stickiness * in_previous + TIE_BREAK * len(routes)
+            routes.append(_Route(demand_index, slice_index, part.zone, WORTH_WEIGHT * worth - price))
+    if len(routes) > MAX_ROUTES:
+        raise ValueError(f"too many routes: {len(routes)}, at most {MAX_ROUTES}")
+    return routes
 
 
 def solve(problem: Problem, previous: Plan | None = None) -> Plan:
@@ -162,10 +162,10 @@
         (0.0, part.size, [at for at, one in enumerate(routes) if one.slice_index == number])
         for number, part in enumerate(slices)
     ]
-    for name, floor in sorted(problem.min_shares.items()):
+    for name, min_share in sorted(problem.min_shares.items()):
         total = sum(one.rate for one in problem.demands if one.call_class == name)
         within = [at for at, one in enumerate(routes) if problem.demands[one.demand_index].call_class == name]
-        rows.append((floor * total, total, within))
+        rows.append((min_share * total, total, within))
     solver = highspy.Highs()
     solver.setOptionValue("output_flag", False)
     solver.setOptionValue("threads", 1)
@@ -195,7 +195,7 @@
 
 
 def _infeasible_text(problem: Problem) -> str:
-    min_shares = ", ".join(f"{name} {floor:.0%}" for name, floor in sorted(problem.min_shares.items()))
+    min_shares = ", ".join(f"{name} {share:.0%}" for name, share in sorted(problem.min_shares.items()))
     capacity = sum(zone.capacity for zone in problem.zones)
     return (
         f"no plan satisfies the minimum shares {min_shares}: all zones together handle {capacity:g} set-ups/s"
--- a/martentide/interface.py
+++ b/martentide/interface.py
@@ -11,47 +11,47 @@
 
 
 class Repeat(Enum):
-    """Whether repeating a set-up of the same call is safe."""
+    """Whether a set-up may be repeated if an earlier one of the same call may have taken effect."""
 
-    HARMLESS = "harmless"
-    KEYED = "keyed"
-    ONCE_ONLY = "once-only"
+    HARMLESS = "harmless"  # safe
+    KEYED = "keyed"  # carries an idempotency key
+    ONCE_ONLY = "once-only"  # not safe: may take effect twice
 
 
 class ReportBy(Enum):
     """How pressure reports reach this proxy."""
 
-    ANSWERS = "answers"
-    PROBES = "probes"
+    ANSWERS = "answers"  # with the ends of attempts
+    PROBES = "probes"  # with the results of probes
     NEVER = "never"
 
 
 class ServerState(Enum):
     """State of a server in the server list."""
 
-    OPEN = "open"
-    DRAINING = "draining"
-    GONE = "gone"
+    OPEN = "open"  # accepts set-ups
+    DRAINING = "draining"  # accepts no new set-ups
+    GONE = "gone"  # no longer in the list
 
 
 class ListKind(Enum):
-    """Kind of a server list: changes, a complete one, the one from before a restart, or a failed request."""
+    """Kind of a server list."""
 
-    CHANGES = "changes"
-    WHOLE = "whole"
-    REMEMBERED = "remembered"
-    FAILED = "failed"
+    CHANGES = "changes"  # only the entries that changed
+    WHOLE = "whole"  # the complete list
+    REMEMBERED = "remembered"  # the complete list from before a restart
+    FAILED = "failed"  # the request for a list failed
 
 
 class Ending(Enum):
     """How an attempt or a probe ended."""
 
     DELIVERED = "delivered"
-    ERROR = "error"
-    FULL = "full"
+    ERROR = "error"  # the server answered with an error
+    FULL = "full"  # the server refused it: no free line or an overloaded processor
     TIMED_OUT = "timed-out"
-    UNREACHABLE = "unreachable"
-    CUT = "cut"
+    UNREACHABLE = "unreachable"  # no connection to the server
+    CUT = "cut"  # lost connection, unusable answer or abnormal release
     CANCELLED = "cancelled"
     NOT_SENT = "not-sent"
 
@@ -61,7 +61,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """A class of calls: worth > 0; aim and deadline in ms from the first try; late_share of worth, 0 to 1."""
+    """A class of calls. A call set up within ``aim`` has its ``worth`` (> 0), a later one only ``late_share``
+    (0 to 1) of it. ``aim`` and ``deadline`` are in ms from the first try."""
 
     name: str
     worth: float
@@ -351,7 +352,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TellPeer:
-    """A message to one other proxy."""
+    """Send a message to one other proxy."""
 
     peer: int  # its slot number
     body: bytes
@@ -364,7 +365,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/martentide/overload/core.py
+++ b/martentide/overload/core.py
@@ -60,16 +60,17 @@
 URGENT_GAP = 200.0  # ms within which a member reports new pressure, unless another member has done so
 # ms in which the share requested by a server halves, in small and in large fleets
 PRESSURE_HALF_LIFE, PRESSURE_HALF_LIFE_LARGE = 1_500.0, 4_000.0
-MAX_CLAIM_AGE = 2_500.0  # ms after which a claim about a server is ignored
+# A claim is one member's observation of the share that a server requests to be held back.
+MAX_CLAIM_AGE = 2_500.0  # ms after which a claim is ignored
 MAX_CLAIM_DEVIATION = 0.25  # share by which the newest claim may differ from the next member's
 MAX_CLAIMS = 4  # claims kept per server, each from another member
 RATE_WINDOW = 4_000.0  # ms over which rates decay
-MIX_WEIGHT = 0.1  # weight of one message in the mix of classes
+MIX_WEIGHT = 0.1  # weight of one message in the average mix of classes
 TURN_LENGTH = 5_000.0  # ms; the verdict on a number holds for TURNS_PER_VERDICT turns
-MAX_TURN_OFFSET = 700.0  # ms by which the own epoch may differ from the median of those received
+MAX_TURN_OFFSET = 700.0  # ms by which the own turns may differ from the median of those received
 MIN_SHARE_CHANGE = 0.01  # smaller changes of a class's share are not passed to the decisions
 RETRY_RATIO = 0.15  # retry tokens earned per first try
-ALLOTMENT = 3  # tokens that the decision module holds
+ALLOTMENT = 3  # retry tokens up to which the decision module is supplied
 ALLOTMENT_LIFETIME = 1_500.0  # ms after which unspent tokens of the allotment expire
 MAX_BALANCE = 6.0  # tokens that an account holds
 TRANSFER_THRESHOLD = 3.0  # tokens; an account above it transfers to members short of tokens
@@ -82,15 +83,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class PollResult:
     """Result of one poll: events for the decisions and the encoded message to publish, if one is due."""
 
     events: tuple[Admission | RepeatBudget, ...]
     message: bytes | None
 
 
-MIN_ANSWERS = 8  # answers of a server after which the shortest one shows its lag without a queue
-# Mechanisms that a measurement can disable: "late" refuses late redials, "word" applies received messages.
+MIN_ANSWERS = 8  # answers of a server from which on the shortest one counts as its lag without a queue
+# Mechanisms that a benchmark can disable: "cut" sheds calls, "budget" shares the retry budget, "late" refuses
+# late redials, "word" applies received messages.
 ABLATION_PARTS = ("cut", "budget", "late", "word")
 
 
@@ -119,7 +121,7 @@
 class Overload:
     """Overload control of one member.
 
-    ``worths`` by class; ``max_hold_off`` in ms is the longest hold-off for a refused caller, 0 for none;
+    ``worths`` is by class; ``max_hold_off`` in ms is the longest hold-off for a refused caller, 0 for none;
     ``tolerable_wait`` in ms is the wait at a server that the level table refers to.
     """
 
@@ -139,7 +141,7 @@
             tolerable_wait,
         )
         self.disabled: frozenset[str] = frozenset()  # of ABLATION_PARTS, to measure their effect
-        self.own_claims: dict[str, tuple[float, float]] = {}  # as ``hold_backs``, observed by this proxy
+        self.own_claims: dict[str, tuple[float, float]] = {}  # as ``hold_backs``, by own observation only
         self.shortest_answers: dict[str, tuple[float, int]] = {}  # by server: shortest lag, number of answers
         self.rng = random.Random(seed)
         self.level = Level()
@@ -151,14 +153,14 @@
         self.hold_backs: dict[str, tuple[float, float]] = {}  # by server: requested share, local time
         self.claims: dict[str, dict[str, tuple[float, float]]] = {}  # by server and observing member
         self.last_messages: dict[str, tuple[int, int, float]] = {}  # by member: process id, counter, time
-        self.epoch_start: float | None = None  # local time at which turn 0 began
+        self.turn_0_at: float | None = None  # local time at which turn 0 began
         self.polled_at: float | None = None
         self.message_due = 0.0
         self.pressure_reported_at = -1e9  # when any member last reported pressure
         self.last_admission: Admission | None = None
         self.tokens_wanted = 0
         self.pressure, self.pressure_half_life = 0.0, PRESSURE_HALF_LIFE
-        self.active = False  # whether messages are sent at the rate used under pressure
+        self.active = False  # whether messages are sent at ACTIVE_MESSAGES_PER_S
         self.last_received_at: float | None = None
 
     def apply_settings(self, worths: Mapping[str, float], max_hold_off: float, tolerable_wait: float) -> None:
@@ -241,7 +243,7 @@
         received: Iterable[tuple[str, int, int, Load, float]],
         living: Mapping[str, int],
         allotment: float,
-    ) -> Outcome:
+    ) -> PollResult:
         """Update the admitted share and return events for the decisions and the message to publish.
 
         ``received`` holds owner, its process id, counter, message and age in ms; ``living`` the process id of
@@ -250,13 +252,13 @@
         """
         stalled = self.polled_at is not None and now - self.polled_at > MAX_POLL_GAP
         self.polled_at = now
-        if self.epoch_start is None:
-            self.epoch_start = now
+        if self.turn_0_at is None:
+            self.turn_0_at = now
         if stalled:
             self.escrow.tokens = 0.0
-        for table in (self.own_claims, self.shortest_answers):
-            for name in [name for name in table if name not in servers]:
-                del table[name]
+        for by_server in (self.own_claims, self.shortest_answers):
+            for name in [name for name in by_server if name not in servers]:
+                del by_server[name]
         for name, seen in self.own_claims.items():
             self.claims.setdefault(name, {})[self.name] = seen
         messages = list(received)
@@ -264,10 +266,10 @@
         turns = []
         for owner, process_id, counter, load, age in messages:
             turns.append(load.turn * TURN_LENGTH + load.turn_age + age)
-            mine = owner == self.name or "word" in self.disabled
-            if not mine and owner in living and self._is_new_message(owner, process_id, counter, now):
+            ignored = owner == self.name or "word" in self.disabled
+            if not ignored and owner in living and self._is_new_message(owner, process_id, counter, now):
                 self._apply_message(now, owner, load, age, servers)
-        self._synchronise_epoch(now, turns)
+        self._synchronise_turns(now, turns)
         self._update_hold_backs(now, servers)
         # In a large fleet messages arrive late and queues grow meanwhile: react more strongly and for longer.
         large = size_factor(len(living))
@@ -282,7 +284,7 @@
         admission = None if "cut" in self.disabled else self._next_admission(now)
         if admission is not None:
             events.append(admission)
-        return Outcome(tuple(events), self._next_message(now, living))
+        return PollResult(tuple(events), self._next_message(now, living))
 
     def _update_hold_backs(self, now: float, servers: Collection[str]) -> None:
         """Choose the requested share of each server: the newest claim, limited by the next member's claim.
@@ -342,16 +344,16 @@
         total = sum(offered.values())
         if total > 0.0:
             for kind in self.worths:
-                part, known = offered.get(kind, 0.0) / total, self.class_mix.get(kind)
-                self.class_mix[kind] = part if known is None else known + MIX_WEIGHT * (part - known)
+                share, known = offered.get(kind, 0.0) / total, self.class_mix.get(kind)
+                self.class_mix[kind] = share if known is None else known + MIX_WEIGHT * (share - known)
 
-    def _synchronise_epoch(self, now: float, turns: list[float]) -> None:
-        """Follow the median of the received epochs, so that a single faulty member cannot shift it."""
-        assert self.epoch_start is not None
+    def _synchronise_turns(self, now: float, turns: list[float]) -> None:
+        """Follow the median of the received turns, so that a single faulty member cannot shift it."""
+        assert self.turn_0_at is not None
         if turns:
-            median = sorted([*turns, now - self.epoch_start])[(len(turns) + 1) // 2]
-            if abs(median - (now - self.epoch_start)) > MAX_TURN_OFFSET:
-                self.epoch_start = now - median
+            median = sorted([*turns, now - self.turn_0_at])[(len(turns) + 1) // 2]
+            if abs(median - (now - self.turn_0_at)) > MAX_TURN_OFFSET:
+                self.turn_0_at = now - median
 
     def is_isolated(self, now: float) -> bool:
         """Return whether no message has arrived for so long that this member decides on its own."""
@@ -359,7 +361,7 @@
 
     def status(self, now: float) -> dict[str, object]:
         """Return the state for operators: shares from 0 to 1, ages in ms."""
-        cut = (
+        shares = (
             {}
             if self.last_admission is None
             else {kind: round(share, 3) for kind, share in self.last_admission.shares}
@@ -367,7 +369,7 @@
         return {
             "phase": self.level.phase.name.lower(), "admitted": round(self.level.admitted, 3),
             "lasting": round(self.level.baseline, 3), "pressure": round(self.level.pressure, 3),
-            "storms": self.level.storms, "alone": self.is_isolated(now), "shares": cut,
+            "storms": self.level.storms, "alone": self.is_isolated(now), "shares": shares,
             "pressed": {
                 name: [round(hold, 3), round(now - at)] for name, (hold, at) in self.hold_backs.items()
             },
@@ -424,8 +426,8 @@
     # ---- output -------------------------------------------------------------------------------------------
 
     def _next_admission(self, now: float) -> Admission | None:
-        assert self.epoch_start is not None
-        turn = int((now - self.epoch_start) / TURN_LENGTH)
+        assert self.turn_0_at is not None
+        turn = int((now - self.turn_0_at) / TURN_LENGTH)
         shares = admitted_shares(
             self.level.admitted, self.worths, self.class_mix or dict.fromkeys(self.worths, 1.0)
         )
@@ -436,11 +438,11 @@
         all_admitted = min(shares.values(), default=1.0) >= 1.0
         if last is not None and last.floor == floor and (all_admitted or turn == last.turn):
             last_shares = dict(last.shares)
-            limit_reached = any(
+            reaches_or_leaves_limit = any(
                 (last_shares.get(kind) in (0.0, 1.0)) != (share in (0.0, 1.0))
                 for kind, share in shares.items()
             )
-            if not limit_reached and all(
+            if not reaches_or_leaves_limit and all(
                 abs(share - last_shares.get(kind, 2.0)) < MIN_SHARE_CHANGE for kind, share in shares.items()
             ):
                 return None
@@ -470,7 +472,7 @@
         self._update_class_mix(offered)
         if active:
             self.pressure_reported_at = now
-        assert self.epoch_start is not None
+        assert self.turn_0_at is not None
         recent_claims = [
             (name, one) for name, one in self.own_claims.items() if now - one[1] <= MAX_CLAIM_AGE
         ]
@@ -482,7 +484,7 @@
         received_transfers = [
             (sender, process_id, number) for sender, (process_id, number) in self.escrow.last_received.items()
         ]
-        elapsed = now - self.epoch_start
+        elapsed = now - self.turn_0_at
         while True:
             message = write_load(
                 Load(
@@ -500,7 +502,7 @@
 
 def poll(
     membership: Membership, overload: Overload, now: float, servers: Collection[str], allotment: float
-) -> tuple[Outcome, int]:
+) -> tuple[PollResult, int]:
     """Poll ``overload`` with the member's state entries; also return how many of them were unreadable."""
     received: list[tuple[str, int, int, Load, float]] = []
     unreadable = 0
--- a/martentide/overload/escrow.py
+++ b/martentide/overload/escrow.py
@@ -1,4 +1,4 @@
-"""A retry budget shared by the fleet, held in accounts whose sum never exceeds what was earned.
+"""A retry budget shared by the fleet, with one account per process; the sum never exceeds what was earned.
 
 Follows O'Neil's escrow method (1986) with movable shares as in Barbará-Millá and Garcia-Molina, "The
 demarcation protocol" (1994). Each first try earns its proxy a fraction of a token; a retry spends one token.
@@ -82,7 +82,7 @@
         ]
 
     def receive(self, sender: str, sender_process_id: int, transfer: Transfer, age: float) -> int:
-        """Credit a transfer published at most ``age`` ms ago; return the tokens credited."""
+        """Credit a transfer published at most ``age`` ms ago, if it is valid; return the tokens credited."""
         if (
             transfer.to != self.name
             or transfer.process_id != self.process_id
@@ -91,7 +91,7 @@
             return 0
         last_process_id, last = self.last_received.get(sender, (0, 0))
         if sender_process_id == last_process_id and transfer.number <= last:
-            return 0  # a duplicate, or overtaken by a later one: its sender may have settled it
+            return 0  # a duplicate, or older than the last one credited: its sender may have settled it
         if sender not in self.last_received and len(self.last_received) >= MAX_SENDERS:
             return 0
         self.last_received[sender] = (sender_process_id, transfer.number)
--- a/martentide/overload/level.py
+++ b/martentide/overload/level.py
@@ -15,10 +15,8 @@
 from enum import IntEnum
 
 PRESSURE_THRESHOLD = 0.12  # requested share below which the proportional part sheds nothing
-PROPORTIONAL_GAIN, PROPORTIONAL_GAIN_LARGE = (
-    1.0,
-    4.0,
-)  # exponent per unit of pressure above it, in small and large fleets
+# Exponent per unit of pressure above the threshold, in small and in large fleets.
+PROPORTIONAL_GAIN, PROPORTIONAL_GAIN_LARGE = 1.0, 4.0
 # Members: between these sizes the gain rises, since messages arrive later and queues grow meanwhile.
 SMALL_FLEET, LARGE_FLEET = 12.0, 200.0
 PRESSURE_SETPOINT = 0.5  # requested share above which the baseline falls and below which it rises
@@ -30,9 +28,10 @@
 SMOOTHING_TIME = 250.0  # ms over which pressure is smoothed, because single reports are noisy
 MERGE_WEIGHT = 0.3  # of the distance to a received baseline
 MAX_MERGE_STEP = 0.05  # per message: limits the effect of a faulty member
-STORM_REDIAL_RATIO = 0.5  # redials per first try above which a storm sustains itself, together with
-STORM_STANDING_SHARE = 0.6  # ... a share of set-ups that stand below this
-COUNTED_SERVER_SHARE = 0.7  # of the servers, the least loaded: calls are redrawn, so these count
+# An overload sustains itself (a storm) if both limits are crossed.
+STORM_REDIAL_RATIO = 0.5  # redials per first try: a storm has more
+STORM_STANDING_SHARE = 0.6  # share of set-ups that stand: a storm has less
+COUNTED_SERVER_SHARE = 0.7  # of the servers: only the least loaded count, since calls are redrawn to them
 
 
 class Phase(IntEnum):
@@ -45,13 +44,13 @@
 
 @dataclass
 class Level:
-    """The admitted share and the state of its controller; times in ms."""
+    """Controller of the admitted share; times in ms."""
 
     baseline: float = 1.0
     pressure: float = 0.0
     updated_at: float | None = None
     storms: int = 0
-    pressed_at: float = -1e9
+    last_pressure_at: float = -1e9
     gain: float = PROPORTIONAL_GAIN
 
     def refuses_late_redials(self, now: float) -> bool:
@@ -59,7 +58,7 @@
 
         Callers that wait after a surge would otherwise return all at once and cause the next one.
         """
-        return now - self.pressed_at < LATE_REDIAL_HOLD
+        return now - self.last_pressure_at < LATE_REDIAL_HOLD
 
     @property
     def admitted(self) -> float:
@@ -76,19 +75,19 @@
 
     def update(self, now: float, pressure: float, storm: bool) -> None:
         """Update the share from ``pressure`` (0 to 1, by ``fleet_pressure``) and the presence of a storm."""
-        # Limited, so that a process gets no recovery for the time it was suspended.
+        # Limited, so that the share does not recover by the time for which the process was suspended.
         span = 0.0 if self.updated_at is None else min(500.0, now - self.updated_at)
         self.updated_at = now
         self.pressure += (pressure - self.pressure) * (1.0 - math.exp(-span / SMOOTHING_TIME))
         if self.pressure > PRESSURE_THRESHOLD:
-            self.pressed_at = now
+            self.last_pressure_at = now
         seconds = span / 1_000.0
         drift = INTEGRAL_GAIN * (PRESSURE_SETPOINT - self.pressure)
         if storm:
             self.storms += 1
             drift -= STORM_GAIN
-        raised = min(self.baseline * math.exp(drift * seconds), self.baseline + MAX_RECOVERY_RATE * seconds)
-        self.baseline = max(MIN_ADMITTED, min(1.0, raised))
+        updated = min(self.baseline * math.exp(drift * seconds), self.baseline + MAX_RECOVERY_RATE * seconds)
+        self.baseline = max(MIN_ADMITTED, min(1.0, updated))
 
     def merge(self, baseline: float) -> None:
         """Move the baseline towards another member's, taken from a recent message."""
--- a/martentide/overload/messages.py
+++ b/martentide/overload/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-LOAD_KIND = 3  # kind of gossiped state entry
+LOAD_KIND = 3  # kind of the gossiped state entries that carry load messages
 SCHEMA = 1  # version of the format
 LOAD_EXPIRY = 4_000  # ms after which a message is ignored
 MAX_SERVERS = 24  # reported in one message
@@ -40,8 +40,9 @@
 class Load(msgspec.Struct, array_like=True, frozen=True):
     """One member's load message.
 
-    ``baseline`` is the slow part of the admitted share, in thousandths of the first tries; ``offered`` the
-    first tries by class, in hundredths per second; ``tokens_wanted`` the retry tokens that it is short of;
+    ``baseline`` is the slow part of the admitted share, in thousandths of the first tries; ``turn`` the
+    turn of the admission threshold, begun ``turn_age`` ms ago; ``offered`` the first tries by class, in
+    hundredths per second; ``tokens_wanted`` the retry tokens that it is short of;
     ``received_transfers`` the last transfer received, as sender, the sender's process id and its number.
     """
 
@@ -66,9 +67,9 @@
 
 
 def read_load(body: bytes) -> Load:
-    """Decode a message; raises msgspec.DecodeError or ValidationError, also for figures out of range."""
+    """Decode a message; raises msgspec.DecodeError or ValidationError, also for values out of range."""
     load = _DECODER.decode(body)
-    sound = (
+    in_range = (
         0 <= load.baseline <= 1_000
         and 0 <= load.turn < 1 << 48
         and load.turn_age >= 0
@@ -80,6 +81,6 @@
         and all(one.tokens > 0 and one.number > 0 and one.age >= 0 for one in load.transfers)
         and 0 <= load.tokens_wanted < 1 << 16
     )
-    if not sound:
-        raise msgspec.ValidationError("figures out of range")
+    if not in_range:
+        raise msgspec.ValidationError("a value in the load message is out of range")
     return load
--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -51,16 +51,16 @@
 # ---- health ---------------------------------------------------------------------------------------------
 UNANSWERED_SHARE = 0.6  # of the tolerable wait: a server with an older unanswered set-up gets no more
 OVERTAKE_MARGIN = 60.0  # ms; a set-up sent this long before one that stands is lost: jitter is smaller
-MAX_UNANSWERED = 2  # unanswered set-ups per server, or this multiple of those offered in one SLOW_LAG
+MAX_UNANSWERED = 2  # unanswered set-ups per server, or, if more, this multiple of those offered per SLOW_LAG
 BACKLOG_SHARE = 0.8  # limit on unanswered set-ups in a large fleet: part of those served in UNANSWERED_SHARE
-SLOW_LAG = 150.0  # ms; a slower server gets in one such lag what it would usually get in SLOW_LAG
+SLOW_LAG = 150.0  # ms; a slower server gets, in each of its lags, only its usual set-ups per SLOW_LAG
 TRIAL_GAP = 300.0  # ms before the first half-open probe of a suspect server; doubles with each failure
 COLD_AFTER_SILENCE = 6000.0  # ms without a connection after which a recovered server is treated as cold
 MAX_TRIAL_GAP = 2000.0  # ms between two half-open probes
 FAULT_WEIGHT = 0.3  # weight of one outcome in a server's moving average of faults
 MAX_ERRORS = 2  # error answers after which the call itself is taken to be at fault
 FAULT_THRESHOLD = 0.4  # fault average above which a server is suspect: two errors in a row, not a single one
-TRIAL_REFERENCE_WAIT = 600.0  # ms of tolerable wait that probe times refer to; a shorter wait scales them
+TRIAL_REFERENCE_WAIT = 600.0  # ms; a shorter tolerable wait scales the TRIAL_ times down in proportion
 TRIAL_SHARE = 0.3  # of a server's usual load from this proxy: rate of half-open probes in a large fleet
 MAX_TRIAL_TURN = 30.0  # s that a proxy waits at most for its turn to send a half-open probe
 TRIAL_SPREAD = 600.0  # ms of random delay that prevents synchronised probes from several proxies
@@ -118,16 +118,16 @@
 
     entry: ServerEntry
     image: Image | None = None
-    offered: deque[float] = field(default_factory=deque)
-    stood: deque[float] = field(default_factory=deque)
-    unanswered: dict[tuple[int, int], float] = field(default_factory=dict)
-    wait: float = 0.0
+    offered: deque[float] = field(default_factory=deque)  # times at which first set-ups were offered
+    stood: deque[float] = field(default_factory=deque)  # times at which calls began to stand
+    unanswered: dict[tuple[int, int], float] = field(default_factory=dict)  # by call and attempt: time sent
+    wait: float = 0.0  # for the weights; replaced by any wait above its decayed value
     wait_at: float = 0.0
-    seen_wait: float = 0.0
+    seen_wait: float = 0.0  # latest wait seen here or received, for gossip
     seen_at: float | None = None
-    least_lag: float | None = None
+    least_lag: float | None = None  # shortest observed lag, taken as the lag without load
     free_lines: float | None = None
-    lag: float = 0.0
+    lag: float = 0.0  # latest time to an answer
     lag_at: float = 0.0
     next_send_at: float = 0.0
     lines_paused_until: float = 0.0
@@ -135,15 +135,15 @@
     silent: bool = False  # an attempt got no answer or no connection since it became suspect
     faults: float = 0.0
     suspect_from: float = 0.0
-    trial_gap: float = 0.0
+    trial_gap: float = 0.0  # ms before the next half-open probe; doubles with each failure
     failed_at: float = 0.0
-    heard_at: float = 0.0
+    heard_at: float = 0.0  # when its latest message arrived here or at a peer
     trial_due: float = 0.0
-    trial_turn: float = 0.0
+    trial_turn: float = 0.0  # ms of further delay in a large fleet: its proxies probe one after another
     cold_from: float | None = None
     cold_tokens: float = 1.0
     cold_filled: float = 0.0
-    cold_trust: float = 1.0
+    cold_trust: float = 1.0  # factor on the budget, grows with quick answers
     cold_spread: float = 0.0  # 0 to 1: when, among the proxies, this one ends its ramp
     probe_pending: bool = False
     probe_due: float = 0.0
@@ -185,18 +185,18 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.tries_of: dict[str, deque[float]] = {}
+        self.tries_of: dict[str, deque[float]] = {}  # by tenant: times of its first tries
         self.cold_budget_share = 1.0  # of a cold server's budget, during an upgrade with two processes
         self._apply_settings(settings)
-        self.first_tries: dict[str, float] = {}
-        self.peer_rates: dict[int, tuple[float, list[float]]] = {}
-        self.inside_share: dict[str, float] = {}
+        self.first_tries: dict[str, float] = {}  # by number of a failed call: when it was first tried
+        self.peer_rates: dict[int, tuple[float, list[float]]] = {}  # by peer: time, tenants' rates
+        self.inside_share: dict[str, float] = {}  # by tenant: share of its calls within its allowance
         self.tenants_due = self.gossip_due = 0.0
         self.tick_scheduled = False
         self.servers: dict[str, Server] = {}
         self.calls: dict[int, Call] = {}
-        self.recent: dict[tuple[int, int], float] = {}
-        self.assignment = TestDuty(frozenset(), frozenset())  # without a fleet: this proxy checks all
+        self.recent: dict[tuple[int, int], float] = {}  # by call and attempt: time sent, if unanswered
+        self.assignment = TestDuty(frozenset(), frozenset())  # without a fleet: this proxy checks all servers
         self.admission: Admission | None = None
         self.retry_tokens, self.retry_tokens_expire_at = math.inf, math.inf  # no limit without a budget
         self.throughput = 0.0
@@ -307,10 +307,10 @@
             hold_until=min(now + event.time_left - ANSWER_MARGIN, began + kind.aim - self._reserve(kind)),
         )
         if self.admission is not None and self._is_shed(self.admission, call, now):
-            back = (self.admission.return_from, self.admission.return_to)
-            self._answer_finally(call, now, self.rng.uniform(*back))
+            hold_off_range = (self.admission.return_from, self.admission.return_to)
+            self._answer_finally(call, now, self.rng.uniform(*hold_off_range))
         else:
-            self._try(call, now)
+            self._send_or_hold(call, now)
 
     def _is_shed(self, admission: Admission, call: Call, now: float) -> bool:
         """Return whether the fleet sheds the call, by its number; a late call also by its remaining worth."""
@@ -380,8 +380,8 @@
     def _charge_errors(self, now: float, call: Call, stood_at: str) -> None:
         """Count errors against the servers that returned them, now that the call stands elsewhere.
 
-        Counting them at once let a caller whose calls no server accepts make all servers suspect and lock out
-        all other callers. Drawback: a server that answers everything with errors gets a few more calls.
+        If they counted at once, a caller whose calls no server accepts would make all servers suspect and
+        lock out all other callers. Drawback: a server that answers only with errors gets a few more calls.
         """
         for name in call.errors_from:
             server = self.servers.get(name)
@@ -411,16 +411,16 @@
             call.may_have_run = True
         if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
             call.not_before = now + call.settings.release
-        room = call.attempts < call.settings.max_attempts and len(call.errors_from) < MAX_ERRORS
-        again = room and (call.kind.repeat is Repeat.HARMLESS or not call.may_have_run)
-        again = again and self._retry_tokens_left(now) >= 1.0
-        last = call.deadline - ANSWER_MARGIN
-        if not again or max(now, call.not_before) >= last:
+        below_limits = call.attempts < call.settings.max_attempts and len(call.errors_from) < MAX_ERRORS
+        retry = below_limits and (call.kind.repeat is Repeat.HARMLESS or not call.may_have_run)
+        retry = retry and self._retry_tokens_left(now) >= 1.0
+        answer_by = call.deadline - ANSWER_MARGIN
+        if not retry or max(now, call.not_before) >= answer_by:
             self._answer_finally(call, now)
         else:
-            limit = max(call.not_before, call.first_tried_at + call.kind.aim - self._reserve(call.kind))
-            call.hold_until = min(last, limit)
-            self._try(call, now)
+            hold_limit = max(call.not_before, call.first_tried_at + call.kind.aim - self._reserve(call.kind))
+            call.hold_until = min(answer_by, hold_limit)
+            self._send_or_hold(call, now)
 
     def _update_health(self, now: float, server: Server, event: AttemptEnded, waiting: bool) -> None:
         """Update the state of the server from the result of an attempt."""
@@ -466,19 +466,19 @@
         held = [call for call in self.calls.values() if call.current_server is None]
         held.sort(key=lambda c: (-self._worth(c, now), c.first_tried_at, c.ref))
         for call in held[:MAX_HELD_CALLS_PER_TICK]:
-            self._try(call, now)
+            self._send_or_hold(call, now)
         for call in held[MAX_HELD_CALLS_PER_TICK:]:
             if now >= call.hold_until:
                 self._answer_finally(call, now)
             else:
                 self._schedule_tick()
 
-    def _try(self, call: Call, now: float) -> None:
+    def _send_or_hold(self, call: Call, now: float) -> None:
         """Send the call if a server has room; answer it once ``hold_until`` has passed."""
         if now < call.not_before:
             self._schedule_tick()
             return
-        server = None if self._window_full(now) else self._route(call, now)
+        server = None if self._window_full(now) else self._choose_server(call, now)
         if server is not None:
             self._send(call, server, now)
         elif now >= call.hold_until:
@@ -502,10 +502,10 @@
             if self.recent[first := next(iter(self.recent))] > now - UNANSWERED_SHARE * self.tolerable_wait:
                 break
             del self.recent[first]
-        most = len(self.servers) * self.scale / max(1e-9, 1.0 - self.scale)  # no limit in a small fleet
+        minimum = len(self.servers) * self.scale / max(1e-9, 1.0 - self.scale)  # no limit in a small fleet
         size = sum(server.entry.size for server in self.servers.values())
-        own = BACKLOG_SHARE * self.throughput * size * UNANSWERED_SHARE * self.tolerable_wait / 1000.0
-        return len(self.recent) >= max(1.0, most, own)
+        served = BACKLOG_SHARE * self.throughput * size * UNANSWERED_SHARE * self.tolerable_wait / 1000.0
+        return len(self.recent) >= max(1.0, minimum, served)
 
     def _send(self, call: Call, server: Server, now: float) -> None:
         self.recent[(call.ref, call.attempts)] = now
@@ -543,14 +543,14 @@
                 servers.append(server)
         return servers
 
-    def _route(self, call: Call, now: float) -> Server | None:
+    def _choose_server(self, call: Call, now: float) -> Server | None:
         """Return the first choice while it has free lines, else draw by weight; skip gapped servers."""
         servers = self._eligible(call)
         untried = [server for server in servers if server.entry.name not in call.tried] or servers
         for server in self._draw(call, untried, now):
             new = server.entry.name not in call.considered and not call.attempts
             counted = new and (not call.considered or self.scale == 1.0 or self.rng.random() < self.scale)
-            call.considered.add(server.entry.name)  # redraws count in part: else each u is all traffic
+            call.considered.add(server.entry.name)  # a redraw counts in part, else each u covers all traffic
             if counted:
                 server.offered.append(now)
             if self._admits(server, call, now):
@@ -580,9 +580,9 @@
             return False
         if server.suspect and self.settings.may_probe and server.heard_at < server.failed_at:
             return False  # a health check tests reachability at lower cost than a caller's set-up
-        unanswered = UNANSWERED_SHARE * self.tolerable_wait + min(MAX_NETWORK_LAG, server.least_lag or 0.0)
-        late = server.unanswered and now - min(server.unanswered.values()) > unanswered
-        if late and (len(server.unanswered) > self.scale or server.remembered_lag(now) > SLOW_LAG):
+        max_age = UNANSWERED_SHARE * self.tolerable_wait + min(MAX_NETWORK_LAG, server.least_lag or 0.0)
+        overdue = server.unanswered and now - min(server.unanswered.values()) > max_age
+        if overdue and (len(server.unanswered) > self.scale or server.remembered_lag(now) > SLOW_LAG):
             return False
         usual = self._offered_rate(now, server) * SLOW_LAG / 1000.0  # set-ups offered in one SLOW_LAG
         if len(server.unanswered) >= max(1.0 + (MAX_UNANSWERED - 1.0) * self.scale, MAX_UNANSWERED * usual):
@@ -657,8 +657,8 @@
     def _offered_rate(self, now: float, server: Server) -> float:
         while server.offered and server.offered[0] <= now - self.offered_window:
             server.offered.popleft()
-        seen = min(self.offered_window, max(OFFERED_WINDOW, now - (self.started or 0.0)))
-        return len(server.offered) * 1000.0 / seen
+        span = min(self.offered_window, max(OFFERED_WINDOW, now - (self.started or 0.0)))
+        return len(server.offered) * 1000.0 / span
 
     # ---- health -----------------------------------------------------------------------------------------
 
@@ -682,7 +682,7 @@
     # ---- cold servers -----------------------------------------------------------------------------------
 
     def _cold_tokens_left(self, server: Server, now: float, first: bool = True) -> float | None:
-        """Return a cold server's tokens, by whether it is the call's first choice; None if it is warm."""
+        """Return a cold server's tokens, None if it is warm; ``first``: it is the call's first choice."""
         if server.cold_from is None:
             return None
         age, listed = now - server.cold_from, server.entry.started == server.cold_from
@@ -704,8 +704,8 @@
 
     def _take_probe_tokens(self, server: Server, now: float) -> bool:
         """Return whether a probe may be sent; on a cold server, charge its work to the budget."""
-        room = self._cold_tokens_left(server, now)
-        if allowed := room is None or room >= slow_start.PROBE_WORK:
+        tokens = self._cold_tokens_left(server, now)
+        if allowed := tokens is None or tokens >= slow_start.PROBE_WORK:
             server.cold_tokens -= slow_start.PROBE_WORK
         return allowed
 
@@ -747,15 +747,15 @@
     def _update_tenant_shares(self, now: float) -> None:
         """Compute the share of each tenant's traffic within its allowance, which covers all proxies together.
 
-        Peers exchange rates, since own traffic times the number of proxies is a poor estimate; it stands in
-        for missing peers. Drawback: without peers, a tenant that calls mostly through this proxy is taken to
-        exceed its allowance; its calls are then sent later, but still sent.
+        Peers exchange rates, since own traffic times the number of proxies is a poor estimate; a peer that
+        sent none is assumed to have the mean rate. Drawback: without peers, a tenant that calls mostly here
+        is taken to exceed its allowance; its calls are then sent later, but still sent.
         """
         self.tenants_due = now + TENANT_INTERVAL
         own = [self._tenant_rate(times, now) for times in self.tries_of.values()]
         received = [rates for at, rates in self.peer_rates.values() if now - at <= TENANT_WINDOW]
-        for place, tenant in enumerate(self.settings.tenants):
-            total = own[place] + sum(rates[place] for rates in received)
+        for index, tenant in enumerate(self.settings.tenants):
+            total = own[index] + sum(rates[index] for rates in received)
             total *= self.settings.proxies / (1 + len(received))
             self.inside_share[tenant.name] = min(1.0, tenant.allowance / total) if total > 0 else 1.0
 
@@ -767,7 +767,7 @@
     # ---- peers ------------------------------------------------------------------------------------------
 
     def _gossip(self, now: float) -> None:
-        """Send own tenant rates and the latest known waits, also those received from others, to a few peers.
+        """Send own tenant rates and the latest known waits, including those from other peers, to a few peers.
 
         Without it, images form too late at a proxy with few answers from a server. Drawback: a wait is up to
         WAIT_MAX_AGE old; own answers replace it as they arrive, so a wrong figure lasts no longer.
--- a/martentide/settings.py
+++ b/martentide/settings.py
@@ -15,7 +15,7 @@
 REPORT_BY_NAME = {"answers": ReportBy.ANSWERS, "probe": ReportBy.PROBES, "none": ReportBy.NEVER}
 
 
-MISSING = object()
+MISSING = object()  # marks an absent key; ``null`` is read as None
 
 
 class SettingsError(ValueError):
@@ -72,7 +72,7 @@
 
 
 def key_paths(raw: Mapping[str, Any], prefix: str = "") -> frozenset[str]:
-    """Return the key paths of an object and its nested objects; for lists, those common to all items."""
+    """Return the paths of all keys, such as ``limits.probes``; for list items, of the keys common to all."""
     paths: set[str] = set()
     for key, value in raw.items():
         path = f"{prefix}{key}"
@@ -93,7 +93,7 @@
     except KeyError as error:
         raise SettingsError(f"{error.args[0]} is missing or not valid") from None
     except (TypeError, ValueError, AttributeError, IndexError):
-        raise SettingsError("a value has the wrong form") from None
+        raise SettingsError("a value has the wrong type or is not valid") from None
 
 
 def _build_settings(raw: dict[str, Any]) -> Settings:
--- a/tests/overload/test_level.py
+++ b/tests/overload/test_level.py
@@ -45,7 +45,7 @@
     assert level.phase is Phase.SHEDDING and level.baseline < 0.85
 
 
-def test_recovery_is_a_ramp() -> None:
+def test_recovery_rate_is_limited() -> None:
     level = Level()
     run_updates(level, [0.9] * 40)
     recovery = run_updates(level, [0.0] * 40, begin=40 * POLL_INTERVAL)
@@ -65,13 +65,13 @@
 def test_late_redials_are_refused_until_some_time_after_the_last_pressure() -> None:
     level = Level()
     run_updates(level, [0.5] * 8)
-    last = level.pressed_at
+    last = level.last_pressure_at
     assert level.refuses_late_redials(last + LATE_REDIAL_HOLD - 1.0) and not level.refuses_late_redials(
         last + LATE_REDIAL_HOLD + 1.0
     )
 
 
-def test_suspended_process_does_not_recover_meanwhile() -> None:
+def test_admitted_share_does_not_recover_while_the_process_is_suspended() -> None:
     level = Level()
     run_updates(level, [0.9] * 40)
     before = level.baseline
@@ -101,12 +101,12 @@
 
 
 @pytest.mark.parametrize(("members", "large"), [(0, 0.0), (1, 0.0), (12, 0.0), (200, 1.0), (5_000, 1.0)])
-def test_size_factor_bounds(members: int, large: float) -> None:
+def test_size_factor_grows_from_0_to_1_with_the_fleet(members: int, large: float) -> None:
     assert size_factor(members) == large
     assert size_factor(max(1, members - 1)) <= large <= size_factor(members + 1)
 
 
-def test_large_fleet_sheds_more_and_recovers_as_soon() -> None:
+def test_large_fleet_sheds_more_than_a_small_one_and_recovers_as_soon() -> None:
     small, large = Level(gain=PROPORTIONAL_GAIN), Level(gain=PROPORTIONAL_GAIN_LARGE)
     pressures = [0.4] * 8 + [0.0] * 12
     small_shares, large_shares = run_updates(small, pressures), run_updates(large, pressures)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -613,14 +613,14 @@
     first = [driver.offer() for _ in range(3 * rules.MAX_HELD_CALLS_PER_TICK)]
     held_calls = driver.ref - sum(bool(sends(actions)) for actions in first)
     tried = 0
-    original_route = driver.controller._route
+    choose_server = driver.controller._choose_server
 
-    def count_route(call: rules.Call, now: float) -> rules.Server | None:
+    def count_choice(call: rules.Call, now: float) -> rules.Server | None:
         nonlocal tried
         tried += 1
-        return original_route(call, now)
+        return choose_server(call, now)
 
-    driver.controller._route = count_route  # type: ignore[method-assign]
+    driver.controller._choose_server = count_choice  # type: ignore[method-assign]
     actions = driver.advance(60.0)
     assert 0 < tried <= 2 * rules.MAX_HELD_CALLS_PER_TICK and not finals(actions)
     actions += driver.advance(2000.0)
