--- a/tests/failover/test_evidence.py
+++ b/tests/failover/test_evidence.py
@@ -9,7 +9,7 @@
 from martentide.failover.evidence import Cause, State, Thresholds, ZoneCensus, ZoneFailureDetector
 
 HEALTHY, SILENT = ZoneCensus(4, 0, 2, 0), ZoneCensus(4, 4, 2, 2)
-TERMS = Thresholds()
+THRESHOLDS = Thresholds()
 
 
 def observe_zone(
@@ -43,9 +43,9 @@
     assert detector.zones["varna"].cause is cause and (states[-1] is State.LOST) is lost
 
 
-def test_short_silence_makes_a_zone_suspect_only() -> None:
+def test_short_silence_makes_a_zone_suspect_but_not_lost() -> None:
     detector = ZoneFailureDetector("sofia")
-    assert set(observe_zone(detector, SILENT, 0.0, TERMS.lost_after - 250.0)) == {State.SUSPECT}
+    assert set(observe_zone(detector, SILENT, 0.0, THRESHOLDS.lost_after - 250.0)) == {State.SUSPECT}
     assert observe_zone(detector, HEALTHY, 2_000.0, 250.0) == [State.UP]
 
 
@@ -59,15 +59,15 @@
 
 def test_flaps_delay_the_return_and_expire() -> None:
     detector = ZoneFailureDetector("sofia")
-    at, spans = 0.0, []
+    at, return_delays = 0.0, []
     for _ in range(4):
         observe_zone(detector, SILENT, at, 3_000.0)
         back = observe_zone(detector, HEALTHY, at + 3_000.0, 60_000.0)
         first_up = back.index(State.UP) * 250.0
-        spans.append(first_up)
+        return_delays.append(first_up)
         at += 3_000.0 + first_up + 1_000.0
         detector.zones["varna"].returned_at = at - 1_000.0
-    assert spans[0] < spans[1] < spans[2] < spans[3]
+    assert return_delays[0] < return_delays[1] < return_delays[2] < return_delays[3]
     observe_zone(detector, HEALTHY, at, 400_000.0)
     assert detector.zones["varna"].flaps == 0
 
@@ -83,9 +83,9 @@
         detector.update(now, {"sofia": HEALTHY, "plovdiv": HEALTHY, "varna": census})
         after = detector.zones["varna"].state
         if before is not State.LOST and after is State.LOST:
-            assert before is State.RETURNING or now - up_at >= TERMS.lost_after
+            assert before is State.RETURNING or now - up_at >= THRESHOLDS.lost_after
             lost_at = now
         if before is State.RETURNING and after is State.UP:
-            assert now - lost_at >= TERMS.back_after
+            assert now - lost_at >= THRESHOLDS.back_after
         if after is State.UP:
             up_at = now
--- a/tests/failover/test_plan.py
+++ b/tests/failover/test_plan.py
@@ -42,38 +42,38 @@
     return Problem(zones, demands, worths, cost, forbidden, parameters=HALVES)
 
 
-def by_brute_force(question: Problem) -> float:
+def by_brute_force(problem: Problem) -> float:
     """Return the best objective of all assignments of whole calls to allowed slices or to none."""
-    slices = capacity_slices(question)
-    routes = candidate_routes(question, slices)
-    ways = [
+    slices = capacity_slices(problem)
+    routes = candidate_routes(problem, slices)
+    options = [
         [(one.slice_index, one.weight) for one in routes if one.demand_index == at]
-        for at in range(len(question.demands))
+        for at in range(len(problem.demands))
     ]
-    calls = [at for at, demand in enumerate(question.demands) for _ in range(int(demand.rate))]
+    calls = [at for at, demand in enumerate(problem.demands) for _ in range(int(demand.rate))]
 
     @functools.lru_cache(None)
-    def best(place: int, room: tuple[int, ...]) -> float:
-        if place == len(calls):
+    def best(next_call: int, room: tuple[int, ...]) -> float:
+        if next_call == len(calls):
             return 0.0
-        most = best(place + 1, room)
-        for number, weight in ways[calls[place]]:
+        most = best(next_call + 1, room)
+        for number, weight in options[calls[next_call]]:
             if room[number]:
                 left = (*room[:number], room[number] - 1, *room[number + 1 :])
-                most = max(most, weight + best(place + 1, left))
+                most = max(most, weight + best(next_call + 1, left))
         return most
 
     return best(0, tuple(int(one.size) for one in slices))
 
 
 @pytest.mark.parametrize("block", range(10))
-def test_the_plan_is_as_good_as_brute_force(block: int) -> None:
+def test_plan_is_as_good_as_brute_force(block: int) -> None:
     for seed in range(block * 100, block * 100 + 100):
-        question = small_problem(seed)
-        assert solve(question).objective == pytest.approx(by_brute_force(question), rel=1e-9, abs=1e-3), seed
+        problem = small_problem(seed)
+        assert solve(problem).objective == pytest.approx(by_brute_force(problem), rel=1e-9, abs=1e-3), seed
 
 
-THREE = Problem(
+THREE_ZONES = Problem(
     (Zone("plovdiv", 100.0), Zone("sofia", 100.0), Zone("varna", 100.0)),
     tuple(Demand(zone, kind, rate) for zone in ("plovdiv", "sofia", "varna")
           for kind, rate in (("sign", 10.0), ("status", 50.0))),
@@ -83,35 +83,37 @@
 
 
 def with_capacity(**more: float) -> Problem:
-    """Return THREE with other capacities, by zone."""
-    zones = tuple(dataclasses.replace(one, capacity=more.get(one.name, one.capacity)) for one in THREE.zones)
-    return dataclasses.replace(THREE, zones=zones)
+    """Return THREE_ZONES with other capacities, by zone."""
+    zones = tuple(
+        dataclasses.replace(one, capacity=more.get(one.name, one.capacity)) for one in THREE_ZONES.zones
+    )
+    return dataclasses.replace(THREE_ZONES, zones=zones)
 
 
 def test_calls_stay_in_their_zone_below_the_near_load() -> None:
-    plan = solve(THREE)
-    assert all(plan.shares[(one.zone, one.call_class)] == ((one.zone, 1.0),) for one in THREE.demands)
+    plan = solve(THREE_ZONES)
+    assert all(plan.shares[(one.zone, one.call_class)] == ((one.zone, 1.0),) for one in THREE_ZONES.demands)
     assert plan.served == pytest.approx(1.0)
 
 
-def test_lost_zone_spills_the_highest_worth_first_and_no_zone_exceeds_its_limit() -> None:
+def test_calls_of_a_lost_zone_are_diverted_by_worth_and_no_zone_exceeds_its_limit() -> None:
     lost = with_capacity(varna=0.0)
     plan = solve(lost)
     assert all(plan.load[zone] <= 95.0 + 1e-6 for zone in plan.load)
     assert sum(share for _, share in plan.shares[("varna", "sign")]) == pytest.approx(1.0)
-    poor = solve(with_capacity(varna=0.0, sofia=40.0, plovdiv=40.0))
-    served = {kind: sum(share for (_, k), parts in poor.shares.items() if k == kind for _, share in parts) / 3
+    scarce_plan = solve(with_capacity(varna=0.0, sofia=40.0, plovdiv=40.0))
+    served = {kind: sum(s for (_, k), parts in scarce_plan.shares.items() if k == kind for _, s in parts) / 3
               for kind in ("sign", "status")}  # fmt: skip
     assert served["sign"] == pytest.approx(1.0) and served["status"] < 0.5
 
 
-def test_ties_are_broken_the_same_way_whatever_the_order_of_the_zones() -> None:
+def test_plan_does_not_depend_on_the_order_of_the_zones() -> None:
     lost = with_capacity(varna=0.0)
-    mixed = dataclasses.replace(lost, zones=tuple(reversed(lost.zones)))
-    assert solve(lost).shares == solve(mixed).shares == solve(lost).shares
+    reordered = dataclasses.replace(lost, zones=tuple(reversed(lost.zones)))
+    assert solve(lost).shares == solve(reordered).shares == solve(lost).shares
 
 
-def test_a_small_change_moves_few_calls() -> None:
+def test_small_change_of_capacity_moves_few_calls() -> None:
     before = solve(with_capacity(varna=0.0))
     after = solve(with_capacity(varna=0.0, sofia=99.0), before)
     moved = sum(
@@ -120,37 +122,39 @@
             - before.share(one.zone, one.call_class, zone.name)
         )
         * one.rate
-        for one in THREE.demands
-        for zone in THREE.zones
+        for one in THREE_ZONES.demands
+        for zone in THREE_ZONES.zones
     )
     assert moved <= 4.0  # set-ups/s, of 180
 
 
 def test_infeasible_minimum_shares_are_reported() -> None:
-    poor = with_capacity(varna=0.0, sofia=40.0, plovdiv=40.0)
+    scarce = with_capacity(varna=0.0, sofia=40.0, plovdiv=40.0)
     with pytest.raises(
         Infeasible,
         match="no plan satisfies the minimum shares status 90%: all zones together handle 80 set-ups/s",
     ):
-        solve(dataclasses.replace(poor, min_shares={"status": 0.9}))
-    kept = solve(dataclasses.replace(poor, min_shares={"status": 0.3}))
+        solve(dataclasses.replace(scarce, min_shares={"status": 0.9}))
+    kept = solve(dataclasses.replace(scarce, min_shares={"status": 0.3}))
     assert (
         sum(s for (_, k), parts in kept.shares.items() if k == "status" for _, s in parts) / 3 >= 0.3 - 1e-6
     )
-    nothing = with_capacity(varna=0.0, sofia=0.0, plovdiv=0.0)
-    assert solve(nothing).served == 0.0
+    no_capacity = with_capacity(varna=0.0, sofia=0.0, plovdiv=0.0)
+    assert solve(no_capacity).served == 0.0
     with pytest.raises(Infeasible):
-        solve(dataclasses.replace(nothing, min_shares={"sign": 0.1}))
+        solve(dataclasses.replace(no_capacity, min_shares={"sign": 0.1}))
 
 
-def test_plan_explains_a_share_in_words() -> None:
+def test_explanation_names_the_reason_for_each_share() -> None:
     lost = with_capacity(varna=0.0)
     plan = solve(lost)
     lines = explain(lost, plan, "varna", "status")
     assert any("diverted from varna, which has no capacity now, at a cost of 10 ms" in line for line in lines)
-    poor = with_capacity(varna=0.0, sofia=40.0, plovdiv=40.0)
-    assert "refused: no allowed zone has capacity left" in explain(poor, solve(poor), "varna", "status")[-1]
-    assert explain(THREE, solve(THREE), "sofia", "sign") == [
+    scarce = with_capacity(varna=0.0, sofia=40.0, plovdiv=40.0)
+    assert (
+        "refused: no allowed zone has capacity left" in explain(scarce, solve(scarce), "varna", "status")[-1]
+    )
+    assert explain(THREE_ZONES, solve(THREE_ZONES), "sofia", "sign") == [
         "sign at sofia: 100% to sofia: within the zone, planned load 60%"
     ]
 
@@ -173,8 +177,8 @@
 
 
 def test_twelve_zones_and_five_classes_are_planned() -> None:
-    question = large_problem()
+    problem = large_problem()
     begin = time.perf_counter()
-    plan: Plan = solve(question)
+    plan: Plan = solve(problem)
     assert 0.5 < plan.served <= 1.0 and time.perf_counter() - begin < 10.0  # a benchmark measures the speed
-    assert solve(question, plan).shares.keys() == plan.shares.keys()
+    assert solve(problem, plan).shares.keys() == plan.shares.keys()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -62,7 +62,7 @@
             selected_by_name = any(path in argument and "::" in argument for argument in config.args)
             whole_file = any(one.startswith(f"{path}::") for one in tests) and not selected_by_name
             if test not in tests and (whole_file or not (config.rootpath / path).is_file()):
-                raise pytest.UsageError(f"{LIST_NAME}: expected a test, found {test!r}, which there is not")
+                raise pytest.UsageError(f"{LIST_NAME}: expected a test, found {test!r}, which does not exist")
             for item in items:
                 if item.nodeid == test:
                     item.add_marker(
--- a/tests/overload/test_core.py
+++ b/tests/overload/test_core.py
@@ -47,10 +47,10 @@
     return Overload(name, LIVING[name], WORTHS, 2_000.0, 600.0, seed=1)
 
 
-def load_message(hold: float, lasting: float = 1.0, servers: list[str] = SERVERS, **more: object) -> Load:
+def load_message(hold: float, baseline: float = 1.0, servers: list[str] = SERVERS, **more: object) -> Load:
     """Return another member's message in which each server requests ``hold`` to be held back."""
     pressed = [ServerPressure(name, round(1_000 * hold), 1) for name in servers]
-    return Load(round(1_000 * lasting), 0, 0, 0, {"status": 900, "sign": 100}, pressed, **more)  # type: ignore[arg-type]
+    return Load(round(1_000 * baseline), 0, 0, 0, {"status": 900, "sign": 100}, pressed, **more)  # type: ignore[arg-type]
 
 
 class Driver:
@@ -93,8 +93,8 @@
     for _ in range(8):
         driver.poll({"m1": load_message(0.6), "m2": load_message(0.5)})
     assert driver.admission is not None and driver.overload.level.phase is Phase.SHEDDING
-    cut = dict(driver.admission.shares)
-    assert cut["status"] < 0.9 and cut["sign"] == 1.0
+    shares = dict(driver.admission.shares)
+    assert shares["status"] < 0.9 and shares["sign"] == 1.0
     assert driver.admission.floor == 1.0  # a late redial of the lowest class is worth less
     assert 0 < driver.admission.return_from <= driver.admission.return_to <= 2_000.0
 
@@ -113,7 +113,7 @@
     assert driver.overload.status(driver.now)["alone"] is True
 
 
-def test_first_answer_out_of_a_queue_counts_as_a_wait() -> None:
+def test_slow_first_answers_count_as_a_wait_until_the_lag_proves_usual() -> None:
     overload = member()
     for at, (server, delay) in enumerate([("s0", 20.0), ("s1", 900.0), ("s1", 950.0)]):
         overload.observe(100.0 * at, Stands(at, 0, server, delay))
@@ -129,8 +129,8 @@
     driver = Driver(member())
     for _ in range(20):
         others = {f"m{at}": load_message(true_share) for at in (1, 2, 3)}
-        late = [ServerPressure(name, round(1_000 * false_claim), 0) for name in SERVERS]
-        faulty = Load(round(1_000 * (1.0 - false_claim)), 0, 0, 0, {}, late)
+        newest_claims = [ServerPressure(name, round(1_000 * false_claim), 0) for name in SERVERS]
+        faulty = Load(round(1_000 * (1.0 - false_claim)), 0, 0, 0, {}, newest_claims)
         driver.poll({**others, "m4": faulty})
     held = [hold for hold, _ in driver.overload.hold_backs.values()]
     assert held and all(abs(hold - true_share) <= MAX_CLAIM_DEVIATION + 1e-9 for hold in held)
@@ -179,21 +179,21 @@
         )
     assert 0 < driver.overload.escrow.tokens == earned <= MAX_BALANCE
     later = SetUpOffered(61, "status", None, "1", 3_000.0, -1, False, False)
-    driver.overload.observe(REDIAL_WINDOW + 1.0, later)  # by then the number is called for another reason
+    driver.overload.observe(REDIAL_WINDOW + 1.0, later)  # by then it counts as a new call
     assert driver.overload.escrow.tokens > earned
 
 
 def test_tokens_are_transferred_to_members_in_need_and_credited_once() -> None:
-    rich, poor = Driver(member("m0")), Driver(member("m1"))
-    rich.overload.escrow.tokens = MAX_BALANCE
+    sender, recipient = Driver(member("m0")), Driver(member("m1"))
+    sender.overload.escrow.tokens = MAX_BALANCE
     for _ in range(4):
-        rich.poll({"m1": load_message(0.0, tokens_wanted=2)})
-    transfers_sent = rich.overload.escrow.pending_transfers(rich.now)
+        sender.poll({"m1": load_message(0.0, tokens_wanted=2)})
+    transfers_sent = sender.overload.escrow.pending_transfers(sender.now)
     assert transfers_sent and transfers_sent[0].to == "m1" and transfers_sent[0].process_id == LIVING["m1"]
     message = load_message(0.0, transfers=transfers_sent)
     for _ in range(3):
-        poor.poll({"m0": message}, allotment=0.0)
-    assert poor.tokens == transfers_sent[0].tokens
+        recipient.poll({"m0": message}, allotment=0.0)
+    assert recipient.tokens == transfers_sent[0].tokens
 
 
 def test_message_about_many_servers_with_long_names_fits_a_state_entry() -> None:
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -82,7 +82,7 @@
     assert finals(driver.end_attempt(third.ref, third.server, Ending.CUT)) == [Fail(third.ref)]
 
 
-def test_without_a_retry_budget_only_max_attempts_limits() -> None:
+def test_without_a_retry_budget_only_max_attempts_limits_retries() -> None:
     driver = driver_with()
     [send] = sends(driver.offer(number="1"))
     for attempt in range(SETTINGS.max_attempts - 1):
--- a/tests/overload/test_slow_start.py
+++ b/tests/overload/test_slow_start.py
@@ -25,8 +25,8 @@
     """With any trust if the server warms up linearly; without trust if it stays at its initial share."""
     share = slow_start.allowed_share(age, trust, True, SETTINGS)
     cold, multiple = SETTINGS.cold_share, SETTINGS.fall_multiple
-    steady = cold + (1.0 - cold) * min(1.0, age / SETTINGS.cold_time)
-    assert 0.0 < share * (1.0 + slow_start.REDRAW_GRANT_LIFETIME) <= multiple * steady
+    linear = cold + (1.0 - cold) * min(1.0, age / SETTINGS.cold_time)
+    assert 0.0 < share * (1.0 + slow_start.REDRAW_GRANT_LIFETIME) <= multiple * linear
     assert (
         slow_start.allowed_share(age, 1.0, True, SETTINGS)
         <= slow_start.MAX_UTILISATION * multiple * cold + 1e-9
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(("count", "over"), [(40, False), (80, True)])
-def test_cold_sum_checker_detects_a_violation(count: int, over: bool) -> None:
+def test_cold_start_checker_detects_a_violation(count: int, over: bool) -> None:
     server = SessionServer(0, ServerBehavior(rate=16.0, cold_start_at=0.0))
     server.received_set_ups = [
         ReceivedSetUp(bytes(8), b"", at * OVERLOAD_TIME_MS / count) for at in range(count)
@@ -87,7 +87,7 @@
 
 
 @given(AGES, TRUSTS)
-def test_assumed_start_is_ramped_by_trust_alone(age: float, trust: float) -> None:
+def test_server_with_an_assumed_start_is_limited_by_trust_alone(age: float, trust: float) -> None:
     """A server that was unreachable and is warm must not be limited for the whole warm-up time."""
     known, assumed = (
         slow_start.allowed_share(age, trust, start_known, SETTINGS) for start_known in (True, False)
--- a/tests/test_call_ledger.py
+++ b/tests/test_call_ledger.py
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize(
     ("events", "fault"),
     [
-        ("wf", None),
+        ("wf", None),  # w: set-up written; f: final answer; x: expiry check
         ("wfx", None),  # the answer arrived before the expiry check
         ("wx", CallFault.LOST),
         ("wxf", CallFault.LATE),
@@ -22,7 +22,7 @@
         ("fx", None),  # the set-up was never written completely
     ],
 )
-def test_faults(events: str, fault: CallFault | None) -> None:
+def test_sequence_of_events_yields_the_expected_fault(events: str, fault: CallFault | None) -> None:
     ledger = CallLedger()
     for event in events:
         match event:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -91,7 +91,7 @@
     return min(1.5, tokens + rate * elapsed / 1000.0)
 
 
-def test_a_whole_initial_token_per_proxy_would_overload_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_whole_initial_token_per_proxy_would_overload_a_cold_server(monkeypatch: pytest.MonkeyPatch) -> None:
     """The check above can fail: with one initial token per proxy that never expires, 240 exceed the limit."""
     monkeypatch.setattr(slow_start, "refill", refill_without_expiry)
     monkeypatch.setattr(rules.Controller, "_mark_cold", mark_cold_with_a_token)
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("proxies", [1, 6, 12])
-def test_small_fleets_have_full_minimum_allowances(proxies: int) -> None:
+def test_proxy_of_a_small_fleet_has_the_full_rate_floor_and_initial_token(proxies: int) -> None:
     driver = driver_in_fleet(proxies)
     driver.report_hold_back("s0", 0.99)
     image = driver.controller.servers["s0"].image
@@ -127,7 +127,7 @@
     assert image is not None and image.rate * proxies == pytest.approx(rules.SMALL_FLEET * rules.BOUND_FLOOR)
 
 
-def test_a_tightened_image_keeps_only_part_of_its_bucket() -> None:
+def test_image_whose_rate_falls_keeps_only_part_of_its_tokens() -> None:
     driver = driver_in_fleet(300)
     driver.report_hold_back("s0", 0.2)
     image = driver.controller.servers["s0"].image
@@ -162,7 +162,7 @@
     assert [len(servers[name].offered) for name in ("s0", "s1", "s2")] == [1, 0, 1]
 
 
-def test_half_open_probe_waits_its_turn_until_other_proxies_are_answered() -> None:
+def test_half_open_probe_waits_for_its_turn_only_until_another_proxy_reports_an_answer() -> None:
     driver = driver_in_fleet(300, may_tell_peers=True)
     [send] = sends(driver.offer())
     driver.end_attempt(send.ref, "s0", Ending.TIMED_OUT)
@@ -205,7 +205,7 @@
     )
 
 
-def test_line_pause_ends_for_as_many_proxies_as_lines_are_free() -> None:
+def test_line_pause_ends_at_about_as_many_proxies_as_lines_are_free() -> None:
     ended = 0
     for seed in range(200):
         driver = ControllerDriver(settings=replace(SETTINGS, proxies=200), servers=1, seed=seed)
@@ -216,7 +216,7 @@
     assert 30 <= ended <= 70
 
 
-def test_timers_run_only_while_calls_wait() -> None:
+def test_tick_timer_runs_only_while_calls_are_held() -> None:
     driver = driver_in_fleet(6)
     idle_timers = [action for action in driver.advance(10_000.0) if isinstance(action, SetTimer)]
     assert len(idle_timers) == 10_000.0 / rules.MAINTENANCE_PERIOD
@@ -251,7 +251,7 @@
     assert bool(later) is continues and driver.controller.servers[send.server].suspect
 
 
-def test_window_grows_with_throughput() -> None:
+def test_limit_on_unanswered_set_ups_grows_with_throughput() -> None:
     def count_sent(throughput: float) -> int:
         driver = ControllerDriver(settings=replace(SETTINGS, proxies=200), servers=24)
         driver.controller.throughput = throughput  # set-ups/s of a server of size 1
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -80,7 +80,7 @@
         ),
     ],
 )
-def test_the_list_of_known_failures(
+def test_list_of_known_failures_sets_exit_code_and_output(
     tmp_path: Path, listed: str | None, words: tuple[str, ...], expected_code: int, expected_output: str
 ) -> None:
     code, output = run_pytest(tmp_path, listed, *words)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -31,13 +31,13 @@
 
 @dataclass
 class CallRecord:
-    """What an external observer knows about one call."""
+    """What the Observer knows about one call from events and actions."""
 
     deadline: float
     attempts: int = 0
     current_server: str | None = None
     finished: bool = False
-    resend_from: float = 0.0
+    may_retry_from: float = 0.0
     may_have_run: bool = False
 
 
@@ -47,7 +47,7 @@
     def __init__(self, driver: ControllerDriver) -> None:
         self.driver = driver
         self.calls: dict[int, CallRecord] = {}
-        self.open = {"s0", "s1"}
+        self.open_servers = {"s0", "s1"}
 
     def check(self, actions: list[Action]) -> None:
         """Check the Controller's actions on one event."""
@@ -57,8 +57,8 @@
                 case SendSetUp():
                     call = self.calls[action.ref]
                     assert not call.finished and call.current_server is None
-                    assert action.server in self.open
-                    assert self.driver.now >= call.resend_from
+                    assert action.server in self.open_servers
+                    assert self.driver.now >= call.may_retry_from
                     assert call.attempts < own.max_attempts
                     assert not (call.may_have_run and own.classes[0].repeat is not Repeat.HARMLESS)
                     call.attempts += 1
@@ -117,7 +117,11 @@
 
 
 def step(driver: ControllerDriver, observer: Observer, kind: int, pick: int, share: float) -> None:
-    """Deliver one event, which ``kind`` and ``pick`` choose, and check the actions."""
+    """Deliver one event and check the actions.
+
+    ``kind`` (0 to 9) selects the kind of event, ``pick`` (0 to 60) its call, server and options, ``share`` (0
+    to 1) its times and figures.
+    """
     live = [ref for ref, call in observer.calls.items() if call.current_server is not None]
     if kind <= 2:
         left = share * 4000.0 - 50.0
@@ -140,7 +144,9 @@
     elif kind == 6:
         name = NAMES[pick % 3]
         state = list(ServerState)[pick % 3 if pick % 5 == 0 else 0]
-        observer.open = observer.open | {name} if state is ServerState.OPEN else observer.open - {name}
+        observer.open_servers = (
+            observer.open_servers | {name} if state is ServerState.OPEN else observer.open_servers - {name}
+        )
         started = driver.now if pick % 4 == 0 else None
         change = entry(name, NAMES.index(name), state, started)
         observer.check(driver.feed(ServerList(ListKind.CHANGES, (change,))))
@@ -157,7 +163,7 @@
             for deadline, ref in sorted(item for item in unanswered if item[0] <= end):
                 driver.now = max(
                     driver.now, deadline
-                )  # an attempt timeout limited by the call deadline fires with it
+                )  # an attempt timeout limited by the call's deadline fires at it
                 finish(driver, observer, ref, Ending.TIMED_OUT, None)
             observer.check(driver.advance(end - driver.now))
 
@@ -179,5 +185,5 @@
         Ending.ERROR,
     )
     if ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
-        call.resend_from = driver.now + driver.settings.release
+        call.may_retry_from = driver.now + driver.settings.release
     observer.check(driver.end_attempt(ref, server, ending, call.attempts - 1, report, settled))
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 
-def test_readme_example() -> None:
+def test_readme_example_prints_its_action() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     example = re.search(r"```python\n(.*?)```", text, re.S)
     assert example is not None
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The decisions: one rule of the platform or one failure per test."""
+"""The decisions: each test covers one rule of the platform or guards against one failure."""
 
 from __future__ import annotations
 
@@ -63,13 +63,13 @@
     image = driver.controller.servers["s0"].image
     assert image is not None
     assert image.rate == pytest.approx(5.0, abs=0.3)
-    passed = 0
+    sent = 0
     for _ in range(40):  # 4 s at 10 calls/s, with a report after each call
         for send in sends(driver.offer() + driver.advance(100.0)):
             driver.stand(send)
-            passed += 1
+            sent += 1
         driver.report_hold_back("s0", 0.5)
-    assert 15 <= passed <= 22
+    assert 15 <= sent <= 22
 
 
 def test_image_is_refreshed_by_each_report_and_expires() -> None:
@@ -149,7 +149,7 @@
     assert answers[0][0] <= start + max(left, 0.0) + SETTINGS.answer_slack
 
 
-def test_final_time_out_is_answered_with_a_failure() -> None:
+def test_call_whose_last_attempt_timed_out_is_answered_with_a_failure() -> None:
     driver = ControllerDriver(servers=1)
     [send] = sends(driver.offer(left=900.0))
     driver.advance(send.patience)
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
-def test_drains_and_removals_take_effect_at_once(state: ServerState) -> None:
+def test_draining_or_removed_server_gets_no_more_calls(state: ServerState) -> None:
     driver = ControllerDriver()
     driver.feed(ServerList(ListKind.CHANGES, (entry("s0", 0, state),)))
     assert {send.server for send in offer_steadily(driver, 20, first=0)} == {"s1"}
@@ -213,7 +213,7 @@
     assert sends(driver.offer())
 
 
-def test_drain_before_a_retry_is_respected() -> None:
+def test_retry_is_not_sent_to_a_server_that_drains_meanwhile() -> None:
     driver = ControllerDriver()
     [send] = sends(driver.offer(first=0))
     driver.end_attempt(send.ref, "s0", Ending.TIMED_OUT)
@@ -233,8 +233,8 @@
         sent_to_new += len(
             [s for s in sends(driver.offer(first=2) + driver.advance(50.0)) if s.server == "new"]
         )
-    warm_pace = 10.0
-    assert 0 < sent_to_new <= SETTINGS.fall_multiple * SETTINGS.cold_share * warm_pace * 2.0
+    warm_rate = 10.0  # set-ups/s of the warm server
+    assert 0 < sent_to_new <= SETTINGS.fall_multiple * SETTINGS.cold_share * warm_rate * 2.0
 
 
 def test_quick_answers_raise_the_cold_budget_and_slow_ones_lower_it() -> None:
@@ -243,9 +243,9 @@
     server = driver.controller.servers["new"]
     for _ in range(5):
         driver.feed(Stands(1, 0, "new", 40.0))
-    trusted = server.cold_trust
+    trust_after_quick_answers = server.cold_trust
     driver.feed(Stands(1, 0, "new", 900.0))
-    assert 1.0 <= server.cold_trust < trusted
+    assert 1.0 <= server.cold_trust < trust_after_quick_answers
 
 
 def set_ups_to_cold_server(share: float | None) -> int:
@@ -265,7 +265,7 @@
     assert set_ups_to_cold_server(1.0) == whole_budget
 
 
-def test_a_restart_in_the_list_is_cold_again() -> None:
+def test_server_with_a_new_start_time_in_the_list_is_cold_again() -> None:
     driver = ControllerDriver()
     driver.feed(ServerList(ListKind.CHANGES, (entry("s0", 0, started=driver.now - 500.0),)))
     assert driver.controller.servers["s0"].cold_from == driver.now - 500.0
@@ -290,7 +290,7 @@
 # ---- regressions ----------------------------------------------------------------------------------------
 
 
-def test_nothing_is_added_while_a_set_up_stays_unanswered() -> None:
+def test_only_one_more_set_up_is_sent_while_one_is_overdue() -> None:
     driver = ControllerDriver(servers=1)
     assert sends(driver.offer())
     driver.advance(rules.UNANSWERED_SHARE * driver.controller.tolerable_wait + 60.0)
@@ -298,7 +298,7 @@
     assert not sends(driver.offer())
 
 
-def test_nothing_is_added_at_all_where_the_last_answer_was_slow() -> None:
+def test_no_more_set_ups_are_sent_while_one_is_overdue_if_the_last_answer_was_slow() -> None:
     driver = ControllerDriver(servers=1)
     [send] = sends(driver.offer())
     driver.stand(send, delay=400.0)
@@ -318,7 +318,7 @@
     assert {send.server for send in offer_steadily(driver, 5, gap=100.0, first=0)} == {"s1"}
 
 
-def test_calls_that_no_server_accepts_make_none_suspect_and_fail_after_two() -> None:
+def test_call_that_no_server_accepts_fails_after_two_errors_and_makes_none_suspect() -> None:
     """A caller whose calls all servers answer with an error must not lock out other callers."""
     driver = ControllerDriver()
     for _ in range(5):
@@ -366,28 +366,28 @@
     assert not driver.controller.servers["s0"].suspect
 
 
-def test_quick_half_open_probe_ends_the_suspicion() -> None:
+def test_quickly_answered_half_open_probe_ends_the_suspicion() -> None:
     driver = ControllerDriver(servers=1)
     [send] = sends(driver.offer())
     driver.end_attempt(send.ref, "s0", Ending.UNREACHABLE)
     assert driver.controller.servers["s0"].suspect
-    [trial] = sends(driver.advance(rules.TRIAL_GAP + rules.TRIAL_SPREAD) + driver.offer())
+    [probe] = sends(driver.advance(rules.TRIAL_GAP + rules.TRIAL_SPREAD) + driver.offer())
     assert not sends(driver.offer())
-    driver.stand(trial, attempt=int(trial.ref == send.ref))
+    driver.stand(probe, attempt=int(probe.ref == send.ref))
     assert not driver.controller.servers["s0"].suspect
 
 
 def test_half_open_probes_of_a_silent_server_back_off() -> None:
     driver = ControllerDriver(servers=1)
-    start, trials = driver.now, []
+    start, sent_at = driver.now, []
     attempts: Counter[int] = Counter()
     while driver.now < start + 20_000.0:
         for send in sends(driver.offer() + driver.advance(50.0)):
-            trials.append(driver.now)
+            sent_at.append(driver.now)
             driver.end_attempt(send.ref, "s0", Ending.UNREACHABLE, attempts[send.ref])
             attempts[send.ref] += 1
-    gaps = [later - earlier for earlier, later in pairwise(trials)]
-    assert 7 <= len(trials) <= 14
+    gaps = [later - earlier for earlier, later in pairwise(sent_at)]
+    assert 7 <= len(sent_at) <= 14
     assert gaps[-1] > gaps[0] and gaps[-1] <= rules.MAX_TRIAL_GAP + rules.TRIAL_SPREAD + 100.0
 
 
@@ -409,7 +409,7 @@
 )
 
 
-def test_traffic_above_an_allowance_counts_less_and_rates_are_gossiped() -> None:
+def test_tenant_above_its_allowance_is_recognised_and_rates_are_gossiped() -> None:
     driver = ControllerDriver(settings=TENANT_SETTINGS)
     for _ in range(50):
         driver.offer(tenant="t")
@@ -428,9 +428,9 @@
         driver.advance(200.0)
         for peer in range(1, TENANT_SETTINGS.proxies):
             driver.feed(PeerMessage(peer, bytes(4)))
-    guessed = 2.0 / (5.0 * TENANT_SETTINGS.proxies)
+    estimate_from_own_traffic = 2.0 / (5.0 * TENANT_SETTINGS.proxies)
     assert driver.controller.inside_share["t"] == pytest.approx(2.0 / 5.0, rel=0.1)
-    assert driver.controller.inside_share["t"] > guessed
+    assert driver.controller.inside_share["t"] > estimate_from_own_traffic
 
 
 def test_malformed_peer_message_is_ignored() -> None:
@@ -473,7 +473,7 @@
     assert not [action for action in driver.stand(later) if isinstance(action, CancelAttempt)]
 
 
-def test_no_free_line_pauses_the_server_for_a_moment() -> None:
+def test_server_without_a_free_line_gets_no_set_ups_for_a_short_pause() -> None:
     driver = ControllerDriver(servers=1)
     [send] = sends(driver.offer())
     actions = driver.feed(AttemptEnded(send.ref, 0, "s0", Ending.FULL, False, True, 20.0, None))
@@ -508,25 +508,25 @@
 # ---- restart, probes, unusual input ---------------------------------------------------------------------
 
 
-def test_restarted_proxy_works_with_its_remembered_list() -> None:
+def test_restarted_proxy_sends_calls_by_its_remembered_list() -> None:
     driver = ControllerDriver(servers=1)
     assert sends(driver.offer())
 
 
-def test_probes_only_where_allowed_and_paced() -> None:
+def test_health_checks_are_sent_only_if_allowed_and_once_per_interval() -> None:
     driver = ControllerDriver(settings=replace(SETTINGS, may_probe=True, report_by=ReportBy.PROBES))
     probes = [a for a in driver.advance(1500.0) if isinstance(a, Probe)]
     assert sorted(a.server for a in probes) == ["s0", "s1"]
     assert not [a for a in ControllerDriver().advance(5000.0) if isinstance(a, Probe)]
 
 
-def test_classes_go_only_to_their_pools() -> None:
+def test_calls_of_a_class_are_sent_only_to_its_pools() -> None:
     plain = replace(SETTINGS.classes[0], pools=(1,))
     driver = ControllerDriver(settings=replace(SETTINGS, classes=(plain,)))
     assert {send.server for send in offer_steadily(driver, 10, first=0)} == {"s1"}
 
 
-def test_a_call_in_transit_goes_to_its_destination_or_nowhere() -> None:
+def test_call_in_transit_is_sent_only_to_its_first_choice() -> None:
     driver = ControllerDriver(servers=3)
     driver.report_hold_back("s0", 1.0)
     for _ in range(10):
@@ -552,7 +552,7 @@
     assert first.actions == second.actions
 
 
-# ---- short aims: limits must scale down from aims of a second or more -------------------------------------
+# ---- aims below a second: times and limits must scale down with the aim -----------------------------------
 
 SHORT_AIM_SETTINGS = replace(
     SETTINGS,
@@ -586,7 +586,7 @@
     assert send.patience >= 300.0
 
 
-def test_a_slow_answer_spaces_a_busy_servers_set_ups_by_its_rate() -> None:
+def test_after_a_slow_answer_set_ups_to_a_busy_server_are_spaced_by_its_usual_rate() -> None:
     driver = ControllerDriver(SHORT_AIM_SETTINGS, servers=1)
     offer_steadily(driver, 80, gap=25.0)
     [send] = sends(driver.offer())
@@ -610,8 +610,8 @@
     """One pass over the held calls must not take longer than their deadlines allow."""
     driver = ControllerDriver(servers=1)
     driver.report_hold_back("s0", 0.98)
-    first = [driver.offer() for _ in range(3 * rules.MAX_HELD_CALLS_PER_TICK)]
-    held_calls = driver.ref - sum(bool(sends(actions)) for actions in first)
+    offers = [driver.offer() for _ in range(3 * rules.MAX_HELD_CALLS_PER_TICK)]
+    held_calls = driver.ref - sum(bool(sends(actions)) for actions in offers)
     tried = 0
     choose_server = driver.controller._choose_server
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire protocol and the hosting of instances, tested on text."""
+"""The simulator's wire protocol and the hosting of instances, tested with text input and output."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
 CALL = "JOB_IN 9 c - dn.x 900.0 - 0 1 -1 0 0 0 0"
 
 
-def run(text: str) -> list[str]:
+def serve_text(text: str) -> list[str]:
     """Serve these input lines; return the output lines."""
     sink = io.StringIO()
     serve(io.StringIO(text), sink)
@@ -177,37 +177,37 @@
 
 
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
-    own = read_settings(json.dumps(PROFILE))
-    assert own.report_by is ReportBy.ANSWERS and own.classes[0].pools == (0, 1)
-    assert own.tenants[0].allowance == 4.0 and own.max_hold_off == 1000.0
+    settings = read_settings(json.dumps(PROFILE))
+    assert settings.report_by is ReportBy.ANSWERS and settings.classes[0].pools == (0, 1)
+    assert settings.tenants[0].allowance == 4.0 and settings.max_hold_off == 1000.0
 
 
 @pytest.mark.parametrize("key", ["classes", "extra", "limits", "rules", "n_instances", "feedback"])
 def test_missing_settings_are_named(key: str) -> None:
-    less = {name: value for name, value in PROFILE.items() if name != key}
+    incomplete = {name: value for name, value in PROFILE.items() if name != key}
     with pytest.raises(SettingsError, match=key):
-        read_settings(json.dumps(less))
+        read_settings(json.dumps(incomplete))
 
 
 def test_call_is_sent_and_instances_are_independent() -> None:
-    replies = run(f"BATCH 1000.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nFOR 4\n{CREATE}\n{LIST}\nEND\n")
+    replies = serve_text(f"BATCH 1000.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nFOR 4\n{CREATE}\n{LIST}\nEND\n")
     assert replies[0] == "SOURCE 3" and replies[-1] == "READY"
     assert [line for line in replies if line.startswith("PLACE 9 a ")]
     assert replies[replies.index("SOURCE 4") + 1 :][0].startswith("WAKE_ME")
 
 
 def test_empty_batches_and_end_of_input() -> None:
-    assert run("BATCH 1.0\nEND\n\nBATCH 2.0\nEND\n") == ["READY", "READY"]
+    assert serve_text("BATCH 1.0\nEND\n\nBATCH 2.0\nEND\n") == ["READY", "READY"]
 
 
 def test_list_number_refers_to_the_latest_earlier_list() -> None:
-    again = "CATALOG 0 1\nSERVER k healthy z - b 10 1\nMEMBERSHIP all 1 0"
-    replies = run(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{again}\n{CALL}\nEND\n")
+    later_list = "CATALOG 0 1\nSERVER k healthy z - b 10 1\nMEMBERSHIP all 1 0"
+    replies = serve_text(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{later_list}\n{CALL}\nEND\n")
     assert [line.split()[2] for line in replies if line.startswith("PLACE")] == ["b"]
 
 
 def test_restart_within_a_batch_discards_earlier_actions() -> None:
-    replies = run(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nRETIRE\n{CREATE}\n{LIST}\nEND\n")
+    replies = serve_text(f"BATCH 1.0\nFOR 3\n{CREATE}\n{LIST}\n{CALL}\nRETIRE\n{CREATE}\n{LIST}\nEND\n")
     assert not [line for line in replies if line.startswith("PLACE")]
     assert [line for line in replies if line.startswith("WAKE_ME")]
 
@@ -250,17 +250,17 @@
     assert done.stdout == ""
 
 
-def test_module_limits() -> None:
-    """Limits the lines, columns and imports of the decision module."""
+def test_decision_module_stays_within_its_limits_of_size_and_imports() -> None:
+    """Limits the lines, columns and imports of ``martentide/rules.py``; it must not read a clock."""
     package = Path(__file__).parent.parent / "martentide"
     text = (package / "rules.py").read_text()
     lines = text.splitlines()
     assert sum(1 for line in lines if line.strip()) <= 750
     assert max(len(line) for line in lines) <= 110
     assert "martentide/interface.py" in lines[0]
-    roots = {line.split()[1].split(".")[0] for line in lines if line.startswith(("import ", "from "))}
-    assert roots <= set(sys.stdlib_module_names) | {"martentide"}
-    assert "time" not in roots and "datetime" not in roots
+    imported = {line.split()[1].split(".")[0] for line in lines if line.startswith(("import ", "from "))}
+    assert imported <= set(sys.stdlib_module_names) | {"martentide"}
+    assert "time" not in imported and "datetime" not in imported
 
 
 @pytest.mark.parametrize("text", ["-1,-1,-1", "nan,nan,nan", "inf,inf,inf", "-,-,-"])
