--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -89,7 +89,7 @@
 TICK = 50.0  # ms between two passes over held calls, while there are any; less where aims are short
 MAINTENANCE_PERIOD = 250.0  # ms between two updates of throughput, tenants and probes
 PROBE_INTERVAL = 1000.0  # ms between two probes of a server in a small fleet
-TICK_TOKEN = 1
+TICK_TOKEN = 1  # token of the tick's SetTimer and TimerDue
 MAINTENANCE_TOKEN = 2
 
 
@@ -97,10 +97,10 @@
 class Image:
     """A gap image: bound rate, expiry and the token bucket that enforces the rate."""
 
-    hold_back: float
+    hold_back: float  # share of the offered set-ups that is held back
     rate: float
     expires: float
-    reported: float
+    reported: float  # time of the latest report
     tokens: float
     filled_at: float
 
@@ -118,7 +118,7 @@
 
     entry: ServerEntry
     image: Image | None = None
-    offered: deque[float] = field(default_factory=deque)  # times at which first set-ups were offered
+    offered: deque[float] = field(default_factory=deque)  # times at which first set-ups were offered to it
     stood: deque[float] = field(default_factory=deque)  # times at which calls began to stand
     unanswered: dict[tuple[int, int], float] = field(default_factory=dict)  # by call and attempt: time sent
     wait: float = 0.0  # for the weights; replaced by any wait above its decayed value
@@ -170,14 +170,14 @@
     number: str | None
     first_tried_at: float
     deadline: float
-    hold_until: float
+    hold_until: float  # from then on it is answered if no server has room
     attempts: int = 0
     current_server: Server | None = None
-    not_before: float = 0.0
+    not_before: float = 0.0  # end of the release wait
     may_have_run: bool = False
     errors_from: list[str] = field(default_factory=list)  # servers that answered with an error
-    considered: set[str] = field(default_factory=set)
-    tried: set[str] = field(default_factory=set)
+    considered: set[str] = field(default_factory=set)  # servers drawn for it, also those without room
+    tried: set[str] = field(default_factory=set)  # servers to which a set-up was sent
 
 
 class Controller:
@@ -199,7 +199,7 @@
         self.assignment = TestDuty(frozenset(), frozenset())  # without a fleet: this proxy checks all servers
         self.admission: Admission | None = None
         self.retry_tokens, self.retry_tokens_expire_at = math.inf, math.inf  # no limit without a budget
-        self.throughput = 0.0
+        self.throughput = 0.0  # calls/s that come to stand at a warm server of size 1 through this proxy
         self.has_warm_server = True  # at the last measurement of throughput
         self.started: float | None = None
         self.actions: list[Action] = []
@@ -718,8 +718,8 @@
         if warm and self.started is not None:
             span = max(min(THROUGHPUT_WINDOW, now - self.started), 1000.0)
             stood = slow_start.lower_estimate(sum(len(s.stood) for s in warm))
-            seen = stood * 1000.0 / span / sum(s.entry.size for s in warm)
-            self.throughput = max(seen, self.throughput * 0.5 ** (MAINTENANCE_PERIOD / THROUGHPUT_HALF_LIFE))
+            rate = stood * 1000.0 / span / sum(s.entry.size for s in warm)
+            self.throughput = max(rate, self.throughput * 0.5 ** (MAINTENANCE_PERIOD / THROUGHPUT_HALF_LIFE))
 
     # ---- timers -----------------------------------------------------------------------------------------
 
--- a/martentide/simhost.py
+++ b/martentide/simhost.py
@@ -62,7 +62,7 @@
     "expired": Ending.TIMED_OUT, "dial_failed": Ending.UNREACHABLE, "dropped": Ending.CUT,
     "revoked": Ending.CANCELLED, "unused": Ending.NOT_SENT,
 }  # fmt: skip
-NOTE_NO_LINE = 1
+NOTE_NO_LINE = 1  # the low four bits of a REPLY's note if no line was free
 
 
 def _convert(kind: Callable[[str], Any], text: str, what: str) -> Any:
--- a/tests/failover/test_evidence.py
+++ b/tests/failover/test_evidence.py
@@ -13,12 +13,12 @@
 
 
 def observe_zone(
-    detector: ZoneFailureDetector, census: ZoneCensus, begin: float, lasts: float
+    detector: ZoneFailureDetector, census: ZoneCensus, begin: float, duration: float
 ) -> list[State]:
     """Return the states of varna, updated every 250 ms while the other zones are healthy."""
     seen = []
     at = begin
-    while at < begin + lasts:
+    while at < begin + duration:
         detector.update(at, {"sofia": HEALTHY, "plovdiv": HEALTHY, "varna": census})
         seen.append(detector.zones["varna"].state)
         at += 250.0
