--- a/martentide/agreement/core.py
+++ b/martentide/agreement/core.py
@@ -247,7 +247,7 @@
         self.now = now
         self.raft: Raft | None = None
         self.known_voters: set[NodeId] = set()  # from which a message of the log was received
-        # By voter: whether it ever received a message of the log from this one; "": own state was lost.
+        # By voter: whether it ever received a message of the log from this one; "": own state isn't durable.
         self.prior_state_answers: dict[NodeId, bool] = {}
         self.state = EMPTY_STATE
         self.leases: OrderedDict[NodeId, MemberLease] = OrderedDict()
--- a/martentide/cli.py
+++ b/martentide/cli.py
@@ -35,7 +35,9 @@
         metavar="FILE",
         help="file that enables optional subsystems (KDL); default: $MARTENTIDE_EXTRAS",
     )(command)
-    return click.option("--config", metavar="FILE", help="configuration; default: $PROXY_CONFIG")(command)
+    return click.option("--config", metavar="FILE", help="configuration file; default: $PROXY_CONFIG")(
+        command
+    )
 
 
 @click.group(cls=DefaultGroup, invoke_without_command=False, help="Signalling proxy with shared decisions.")
@@ -60,7 +62,7 @@
         click.echo(read.extras.summary())
 
 
-@top.command("serve", help="Serve calls until SIGTERM (the default).")
+@top.command("serve", help="Serve calls until SIGTERM; this is the default command.")
 @config_options
 @click.option("--log-level", type=click.Choice(list(log.LEVELS)), default="info", show_default=True)
 @click.option("--log-format", type=click.Choice(log.FORMATS), default="text", show_default=True)
@@ -82,7 +84,7 @@
 
 
 @top.command("control", help="Run a control node of a large fleet, as configured in the extras file.")
-@click.option("--extras", metavar="FILE", required=True, help="file with a node control-node (KDL)")
+@click.option("--extras", metavar="FILE", required=True, help="extras file (KDL) with a control-node node")
 @click.option("--log-level", type=click.Choice(list(log.LEVELS)), default="info", show_default=True)
 @click.option("--log-format", type=click.Choice(log.FORMATS), default="text", show_default=True)
 def control_command(extras: str, log_level: str, log_format: str) -> None:
@@ -148,7 +150,7 @@
 
 @state.command("show", help="Print the contents of a file.")
 @click.argument("file")
-@click.option("--json", "as_json", is_flag=True, help="as JSON")
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
 def state_show(file: str, as_json: bool) -> None:
     """Print a learned-state file."""
     import msgspec
@@ -170,10 +172,12 @@
         click.echo(f"{line}  {' '.join(flags) or 'open'}")
 
 
-@state.command("diff", help="Print the differences between two files; exit code 0 if there are none, else 1.")
+@state.command(
+    "diff", help="Print the differences between two files; exit code 0 if there are none, 1 if any."
+)
 @click.argument("old")
 @click.argument("new")
-@click.option("--json", "as_json", is_flag=True, help="as JSON")
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
 def state_diff(old: str, new: str, as_json: bool) -> None:
     """Compare two learned-state files; exits with 1 if they differ."""
     import msgspec
@@ -185,7 +189,7 @@
     sys.exit(1 if lines else 0)
 
 
-@top.group("fleet", help="Inspect the fleet that a running proxy is a member of.")
+@top.group("fleet", help="Inspect the fleet that a running proxy is a member of, and change its rules.")
 def fleet() -> None:
     """Group of commands on the fleet."""
     pass
@@ -193,7 +197,7 @@
 
 @fleet.command("show", help="Print the members, their states, ages and facets, as the proxy knows them.")
 @OPERATOR_OPTION
-@click.option("--json", "as_json", is_flag=True, help="as JSON")
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
 def fleet_show(operator: str, as_json: bool) -> None:
     """Print the fleet's members as a running proxy knows them."""
     from martentide.net.fleet.show import QueryError, query, table
--- a/martentide/failover/evidence.py
+++ b/martentide/failover/evidence.py
@@ -68,7 +68,7 @@
     silent_threshold: float = 0.7  # of a zone's servers or members; from this silent share on it is suspect
     recovered_threshold: float = 0.4  # of a zone's servers; below this silent share it has recovered
     lost_after: float = 1_500.0  # from suspect to lost
-    back_after: float = 3_000.0  # from returning to up; doubles with each flap
+    back_after: float = 3_000.0  # for which a returning zone must answer; doubles with each flap
 
 
 @dataclass(slots=True)
--- a/martentide/fleet/health_check_assignment.py
+++ b/martentide/fleet/health_check_assignment.py
@@ -328,8 +328,7 @@
                 and observed.observed_at > self.delivered_at.get(key, -1e9) + 50.0
             ):
                 self.delivered_at[key] = observed.observed_at
-                # A queueing time measured by a peer is no basis for a gap image here; only the absence of a
-                # queue is passed on.
+                # A wait measured by a peer is no basis for a gap image here; only its absence is passed on.
                 wait = 0.0 if 0 <= observed.wait < PROMPT_WAIT_MS else None
                 events.append(PeerNews(key[0], now - observed.observed_at, wait))
         return events
--- a/martentide/interface.py
+++ b/martentide/interface.py
@@ -21,7 +21,7 @@
 class ReportBy(Enum):
     """How pressure reports reach this proxy."""
 
-    ANSWERS = "answers"  # with the ends of attempts
+    ANSWERS = "answers"  # with the results of attempts
     PROBES = "probes"  # with the results of probes
     NEVER = "never"
 
--- a/martentide/net/__init__.py
+++ b/martentide/net/__init__.py
@@ -1,1 +1,1 @@
-"""The signalling proxy on real sockets: asyncio actors around the decisions."""
+"""The signalling proxy on real sockets: asyncio actors around the decision module."""
--- a/martentide/net/dispatcher.py
+++ b/martentide/net/dispatcher.py
@@ -65,7 +65,7 @@
 MAX_REMEMBERED_IDS = 4096  # ids of recently answered calls; a set-up that repeats one is a duplicate
 ITEMS_PER_TURN = 64  # items handled before other tasks get their turn
 CLOCK_JUMP_THRESHOLD = 1_000.0  # ms; a larger difference of wall clock and monotonic clock counts as a jump
-OVERDUE_MARGIN = 10.0  # ms after the deadline of the decisions until the call fails as overdue
+OVERDUE_MARGIN = 10.0  # ms after the deadline of the decision module until the call fails as overdue
 ANSWER_MARGIN = 40.0  # ms before the caller's deadline by which a call must have its final answer
 ANSWER_MARGIN_SHARE = 0.25  # of the time left, where that is less, so that short calls still get an attempt
 MIN_ANSWER_MARGIN = 10.0  # ms, for a timer, a turn of the event loop and the delivery of the answer
@@ -98,10 +98,10 @@
 class Offer:
     """A new call.
 
-    Fields of type bytes are passed on unchanged; the others are input of the decisions. ``time_left`` is in
-    ms, ``received_at`` is the Unix time in ms at which the set-up was received. ``client`` is the connection
-    on which it arrived, checked before each attempt, or None if it can't be checked. ``carrier`` carries the
-    call's attempts; with None the actors of the session servers do, over their own connections.
+    Fields of type bytes are passed on unchanged; the others are input of the decision module. ``time_left``
+    is in ms, ``received_at`` is the Unix time in ms at which the set-up was received. ``client`` is the
+    connection on which it arrived, checked before each attempt, or None if it can't be checked. ``carrier``
+    carries the call's attempts; with None the actors of the session servers do, over their own connections.
     """
 
     caller: Caller
@@ -208,12 +208,12 @@
 
 
 def time_for_answer(time_left: float) -> float:
-    """Return the ms that the decisions may take for a call whose caller waits ``time_left`` ms more.
+    """Return the ms that the decision module may take for a call whose caller waits ``time_left`` ms more.
 
     A result of 0 or less means that no time is left. The margin keeps answers from crossing their caller's
-    give-up: an attempt may run to the end of the time that the decisions know. The handling of its timeout,
-    the delivery of the answer, and the time for which the set-up lay unread while the process was busy are
-    added to that, and callers on sockets wait no longer than the time they state.
+    give-up: an attempt may run to the end of the time that the decision module knows. The handling of
+    its timeout, the delivery of the answer, and the time for which the set-up lay unread while the process
+    was busy are added to that, and callers on sockets wait no longer than the time they state.
     """
     return time_left - max(MIN_ANSWER_MARGIN, min(ANSWER_MARGIN, ANSWER_MARGIN_SHARE * time_left))
 
@@ -254,7 +254,7 @@
         self.mailbox: asyncio.Queue[Item] = asyncio.Queue()
         self.loop = asyncio.get_running_loop()
         self.now = self.monotonic_at = 0.0  # ms (Unix, monotonic) at the last reading of the clocks
-        self.call_being_decided: bytes | None = None  # id of the call that the decisions are asked about
+        self.call_being_decided: bytes | None = None  # id of the call that the decision module is asked about
         self.refs = itertools.count(1)
         self.calls: dict[int, Call] = {}
         self.by_id: dict[bytes, Call] = {}
@@ -265,7 +265,7 @@
         self.listed: dict[str, Listed] = {}
         self.servers: dict[str, ServerActor] = {}
         self.list_observers: list[Callable[[tuple[Listed, ...]], None]] = []
-        # Called with each event after the decisions have handled it.
+        # Called with each event after the decision module has handled it.
         self.event_observers: list[Callable[[float, Event], None]] = []
         self.local_settings = controller.settings  # without the rules that the fleet agreed on
         self.agreed_rules: AgreedRules | None = None  # None where the fleet agrees on no rules
@@ -293,7 +293,7 @@
             try:
                 self._handle(item)
             except Exception:
-                # After an error in the decisions the affected call is failed, and all others continue.
+                # After an error in the decision module the affected call is failed, and all others continue.
                 LOG.exception("internal-error", item=logged_name(item))
                 self._fail_call_after_error(item)
             self.call_being_decided = None
@@ -333,7 +333,7 @@
                 self._feed(item)
 
     def handle_now(self, event: Event) -> None:
-        """Pass an event to the decisions at once; used at the start, before the mailbox is read."""
+        """Pass an event to the decision module at once; used at the start, before the mailbox is read."""
         self._feed(event)
 
     def apply_agreed_rules(self, in_force: AgreedRules) -> None:
@@ -345,7 +345,7 @@
         self.refresh_listed_states()
 
     def refresh_listed_states(self) -> None:
-        """Update the decisions' servers whose entries differ under the rules that are in force now."""
+        """Update the decision module's servers whose entries differ under the rules now in force."""
         held = self.controller.servers
         entries = self._effective_entries(tuple(listed.entry for listed in self.listed.values()))
         changed = tuple(entry for entry in entries if entry.name in held and held[entry.name].entry != entry)
@@ -365,7 +365,7 @@
         return self.agreed_rules.restrict_entries(entries, answered)
 
     def _clock(self) -> float:
-        """Return the Unix time in ms for the decisions, which never runs backwards.
+        """Return the Unix time in ms for the decision module, which never runs backwards.
 
         It follows the wall clock as long as that agrees with the monotonic clock. After a jump of the wall
         clock it advances with the monotonic clock, so that it does not stand still until the wall clock has
@@ -382,8 +382,8 @@
         try:
             self.controller.handle(self._clock(), event)
         finally:
-            # Carry out the actions even after an error: the decisions have recorded them as done. Above all,
-            # without their next timer they would never check waiting calls again.
+            # Carry out the actions even after an error: the decision module has recorded them as done.
+            # Above all, without its next timer it would never check waiting calls again.
             actions = self.controller.actions
             LOG.debug("decide", now=self.now, heard=event, actions=actions)
             for action in actions:
@@ -391,7 +391,7 @@
         for observer in tuple(self.event_observers):
             observer(self.now, event)
 
-    # ---- actions of the decisions -----------------------------------------------------------------------
+    # ---- actions of the decision module -----------------------------------------------------------------
 
     def _perform(self, action: Action) -> None:
         match action:
@@ -506,7 +506,7 @@
             self._feed(CallerGone(call.ref))
 
     def _overdue(self, ref: int) -> None:
-        """Fail a call that the decisions have not answered in time, while its caller still waits."""
+        """Fail a call that the decision module has not answered in time, while its caller still waits."""
         call = self.calls.get(ref)
         if call is None or call.closed or call.stands:
             return
@@ -579,9 +579,9 @@
     # ---- server list ------------------------------------------------------------------------------------
 
     def apply_list(self, notice: Notice, kind: ListKind | None = None) -> None:
-        """Apply a server list: first to the servers' actors, then to the decisions.
+        """Apply a server list: first to the servers' actors, then to the decision module.
 
-        Every attempt that the decisions order after the list then finds the actors up to date. ``kind``
+        Every attempt that the decision module orders after the list finds the actors up to date. ``kind``
         overrides the kind that the list states.
         """
         if self.merge_lists is not None:
--- a/martentide/net/learned.py
+++ b/martentide/net/learned.py
@@ -371,7 +371,10 @@
         log_event("state-moved", folder=self.path)
 
     async def stop(self) -> None:
-        """Save once more within FINAL_SAVE_TIMEOUT_S and stop the worker, after ``run`` was cancelled."""
+        """Save once more within FINAL_SAVE_TIMEOUT_S and stop the worker.
+
+        Call after ``run`` was cancelled.
+        """
         if self.timer is not None:
             self.timer.cancel()
         if self.folder is None:
--- a/martentide/net/servers.py
+++ b/martentide/net/servers.py
@@ -37,7 +37,9 @@
 # s in which a message must be complete once its first byte was received from a server; short enough that
 # the set-up can still be retried elsewhere in time.
 MESSAGE_TIMEOUT = 0.06
-SUSPECT_AFTER = 0.12  # s without a byte on a connection after a set-up was sent until another one is opened
+# s without a byte on a connection since a set-up was sent on it; after that the connection is suspect, and
+# another one is opened if all are.
+SUSPECT_AFTER = 0.12
 # s; a connection that closed sooner is not replaced at once, so that no server is dialled in a tight loop.
 MIN_CONNECTION_LIFETIME = 0.5
 KEEPALIVE_TIMEOUT = 2.5  # s without a byte since a message was sent before the machine counts as cut off
--- a/martentide/overload/core.py
+++ b/martentide/overload/core.py
@@ -68,7 +68,7 @@
 MIX_WEIGHT = 0.1  # weight of one message in the average mix of classes
 TURN_LENGTH = 5_000.0  # ms; the verdict on a number holds for TURNS_PER_VERDICT turns
 MAX_TURN_OFFSET = 700.0  # ms by which the own turns may differ from the median of those received
-MIN_SHARE_CHANGE = 0.01  # smaller changes of a class's share are not passed to the decisions
+MIN_SHARE_CHANGE = 0.01  # smaller changes of a class's share are not passed to the decision module
 RETRY_RATIO = 0.15  # retry tokens earned per first try
 ALLOTMENT = 3  # retry tokens up to which the decision module is supplied
 ALLOTMENT_LIFETIME = 1_500.0  # ms after which unspent tokens of the allotment expire
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollResult:
-    """Result of one poll: events for the decisions and the encoded message to publish, if one is due."""
+    """Result of one poll: events for the decision module and the encoded message to publish, if due."""
 
     events: tuple[Admission | RepeatBudget, ...]
     message: bytes | None
@@ -171,7 +171,7 @@
     # ---- own observations -------------------------------------------------------------------------------
 
     def observe(self, now: float, event: Event) -> None:
-        """Record an event that the local decisions received at ``now`` (ms)."""
+        """Record an event that the local decision module received at ``now`` (ms)."""
         match event:
             case SetUpOffered(call_class=kind, number=number, redial=redial):
                 again = redial or (
@@ -244,11 +244,11 @@
         living: Mapping[str, int],
         allotment: float,
     ) -> PollResult:
-        """Update the admitted share and return events for the decisions and the message to publish.
+        """Update the admitted share and return events for the decision module and the message to publish.
 
         ``received`` holds owner, its process id, counter, message and age in ms; ``living`` the process id of
-        each living member by name, including this one; ``allotment`` the tokens that the decisions still
-        hold.
+        each living member by name, including this one; ``allotment`` the tokens that the decision
+        module still holds.
         """
         stalled = self.polled_at is not None and now - self.polled_at > MAX_POLL_GAP
         self.polled_at = now
--- a/martentide/overload/escrow.py
+++ b/martentide/overload/escrow.py
@@ -46,7 +46,7 @@
         self.tokens = min(self.max_balance, self.tokens + max(0.0, tokens))
 
     def withdraw(self, most: float) -> int:
-        """Debit up to ``most`` whole tokens for the decisions and return their number; none comes back."""
+        """Debit up to ``most`` whole tokens for the decision module; return their number. None comes back."""
         tokens = int(max(0.0, min(most, self.tokens)))
         self.tokens -= tokens
         return tokens
--- a/martentide/overload/level.py
+++ b/martentide/overload/level.py
@@ -75,7 +75,7 @@
 
     def update(self, now: float, pressure: float, storm: bool) -> None:
         """Update the share from ``pressure`` (0 to 1, by ``fleet_pressure``) and the presence of a storm."""
-        # Limited, so that the share does not recover by the time for which the process was suspended.
+        # Limited, so that the time for which the process was suspended does not count as recovery time.
         span = 0.0 if self.updated_at is None else min(500.0, now - self.updated_at)
         self.updated_at = now
         self.pressure += (pressure - self.pressure) * (1.0 - math.exp(-span / SMOOTHING_TIME))
--- a/martentide/rules.py
+++ b/martentide/rules.py
@@ -60,7 +60,7 @@
 FAULT_WEIGHT = 0.3  # weight of one outcome in a server's moving average of faults
 MAX_ERRORS = 2  # error answers after which the call itself is taken to be at fault
 FAULT_THRESHOLD = 0.4  # fault average above which a server is suspect: two errors in a row, not a single one
-TRIAL_REFERENCE_WAIT = 600.0  # ms; a shorter tolerable wait scales the TRIAL_ times down in proportion
+TRIAL_REFERENCE_WAIT = 600.0  # ms; a shorter tolerable wait scales TICK, trial gaps and TRIAL_SPREAD down
 TRIAL_SHARE = 0.3  # of a server's usual load from this proxy: rate of half-open probes in a large fleet
 MAX_TRIAL_TURN = 30.0  # s that a proxy waits at most for its turn to send a half-open probe
 TRIAL_SPREAD = 600.0  # ms of random delay that prevents synchronised probes from several proxies
@@ -188,7 +188,7 @@
         self.tries_of: dict[str, deque[float]] = {}  # by tenant: times of its first tries
         self.cold_budget_share = 1.0  # of a cold server's budget, during an upgrade with two processes
         self._apply_settings(settings)
-        self.first_tries: dict[str, float] = {}  # by number of a failed call: when it was first tried
+        self.first_tries: dict[str, float] = {}  # by number of a refused or failed call: first try
         self.peer_rates: dict[int, tuple[float, list[float]]] = {}  # by peer: time, tenants' rates
         self.inside_share: dict[str, float] = {}  # by tenant: share of its calls within its allowance
         self.tenants_due = self.gossip_due = 0.0
@@ -748,8 +748,8 @@
         """Compute the share of each tenant's traffic within its allowance, which covers all proxies together.
 
         Peers exchange rates, since own traffic times the number of proxies is a poor estimate; a peer that
-        sent none is assumed to have the mean rate. Drawback: without peers, a tenant that calls mostly here
-        is taken to exceed its allowance; its calls are then sent later, but still sent.
+        sent none is assumed to have the mean rate of the others. Drawback: without peers, a tenant that calls
+        mostly through this proxy is taken to exceed its allowance; its calls are sent later, but still sent.
         """
         self.tenants_due = now + TENANT_INTERVAL
         own = [self._tenant_rate(times, now) for times in self.tries_of.values()]
--- a/martentide/settings.py
+++ b/martentide/settings.py
@@ -1,4 +1,4 @@
-"""Reads and checks the initial settings of an instance from JSON, for every host of the decisions."""
+"""Reads and checks the initial settings of an instance from JSON, for every host of the decision module."""
 
 from __future__ import annotations
 
--- a/martentide/versions.py
+++ b/martentide/versions.py
@@ -14,12 +14,12 @@
 BAD_FILE, CANNOT_ASK, REFUSED = 2, 1, 3
 OPERATOR_OPTION = click.option(
     "--operator", metavar="HOST:PORT", envvar="PROXY_OPERATOR", required=True,
-    help="where the proxy's operator's calls come in; default: $PROXY_OPERATOR",
+    help="address at which the proxy accepts operator calls; default: $PROXY_OPERATOR",
 )  # fmt: skip
-JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="as JSON")
-BY_OPTION = click.option("--by", default="", help="who proposes it; default: $USER")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="print JSON")
+BY_OPTION = click.option("--by", default="", help="name of the proposer; default: $USER")
 PATIENCE_OPTION = click.option(
-    "--patience", default=20.0, show_default=True, help="s to wait for its verdict"
+    "--patience", default=20.0, show_default=True, help="seconds to wait for the verdict"
 )
 
 
@@ -69,12 +69,12 @@
     sys.exit(0 if verdict["done"] else REFUSED)
 
 
-@click.command("propose", help="Propose the rules in FILE as the next version, wait until it is in force.")
+@click.command("propose", help="Propose the rules in FILE as the next version and wait until it is in force.")
 @click.argument("file")
 @OPERATOR_OPTION
-@click.option("--base", default=-1, help="the version that it builds on; default: whatever is in force")
+@click.option("--base", default=-1, help="version that the proposal builds on; default: the one in force")
 @BY_OPTION
-@click.option("--why", default="", help="what for")
+@click.option("--why", default="", help="reason for the proposal")
 @PATIENCE_OPTION
 def propose(file: str, operator: str, base: int, by: str, why: str, patience: float) -> None:
     """Propose the rules in a file and wait for the verdict.
@@ -93,7 +93,9 @@
     propose_and_exit(operator, rules, file, base, by, why, patience)
 
 
-@click.command("versions", help="The version in force, one being brought into force, and the last ones.")
+@click.command(
+    "versions", help="Print the version in force, one being brought into force, and the latest earlier ones."
+)
 @OPERATOR_OPTION
 @JSON_OPTION
 def versions(operator: str, as_json: bool) -> None:
@@ -104,7 +106,10 @@
     click.echo(status if as_json else table(status))
 
 
-@click.command("status", help="By what each member acts, since when, and which list of servers it has.")
+@click.command(
+    "status",
+    help="Print the version each member acts on, since when, and the digest of its server list.",
+)
 @OPERATOR_OPTION
 @JSON_OPTION
 def status(operator: str, as_json: bool) -> None:
@@ -115,7 +120,10 @@
     click.echo(json.dumps(json.loads(text)["members"]) if as_json else members_table(text))
 
 
-@click.command("rules", help="The rules of version NUMBER as a file that can be proposed; default: in force.")
+@click.command(
+    "rules",
+    help="Print the rules of version NUMBER as a file that can be proposed; default: the one in force.",
+)
 @click.argument("number", type=int, required=False)
 @OPERATOR_OPTION
 def rules(number: int | None, operator: str) -> None:
@@ -126,7 +134,10 @@
     )
 
 
-@click.command("diff", help="What differs between versions ONE and OTHER: 0 nothing, 1 something.")
+@click.command(
+    "diff",
+    help="Print the differences between versions ONE and OTHER; exit code 0 if there are none, 1 if any.",
+)
 @click.argument("one", type=int)
 @click.argument("other", type=int)
 @OPERATOR_OPTION
@@ -160,7 +171,7 @@
     )
 
 
-@click.command("replace-voter", help="Have member NEW vote in the place of voter OLD, which lost its state.")
+@click.command("replace-voter", help="Replace voter OLD, which lost its state, by member NEW.")
 @click.argument("old")
 @click.argument("new")
 @OPERATOR_OPTION
