--- a/martentide/control/client.py
+++ b/martentide/control/client.py
@@ -164,7 +164,7 @@
                 self._due(now)
         return self.actions
 
-    # ---- state for the decision module ------------------------------------------------------------------
+    # ---- received state ---------------------------------------------------------------------------------
 
     def age(self, key: DetailKey, now: float) -> float:
         """Return the ms since the entry was last known to be current; infinite for an unknown key."""
--- a/martentide/control/terms.py
+++ b/martentide/control/terms.py
@@ -28,7 +28,7 @@
     max_queue_wait: float = 1_500.0  # queueing time after which a change is sent first
     window: int = 32  # unacknowledged updates to one subscriber
     resend_after: float = 1_500.0  # for which an update may stay unacknowledged before it is sent again
-    entry_ttl: float = 8_000.0  # age from which the decision module ignores a state entry
+    entry_ttl: float = 8_000.0  # age from which a state entry is no longer used
     peer_timeout: float = 6_000.0  # without a summary of a node, after which its entries are dropped
     pressure_step: int = 50  # thousandths; smaller changes of pressure are not published
     max_subscriptions: int = 64  # services per proxy
