--- a/tests/extproc/test_client_state.py
+++ b/tests/extproc/test_client_state.py
@@ -68,7 +68,7 @@
     assert table.counts["two_out"] == 1
 
 
-def test_messages_that_cross_a_cancel_are_not_delivered() -> None:
+def test_messages_that_cross_a_cancel_are_not_delivered_and_a_route_is_reported_unsent() -> None:
     table = table_with_request()
     table.cancel(1)
     assert take_sent_messages(table)[1:] == [Cancel(1)]
--- a/tests/extproc/test_limits.py
+++ b/tests/extproc/test_limits.py
@@ -70,7 +70,7 @@
     assert admission.admit("f", 6.0, NOW + 100.0) is None
 
 
-def test_front_over_its_fair_share_is_refused_when_the_total_limit_is_nearly_reached() -> None:
+def test_front_over_its_fair_share_is_refused_near_the_total_limit_while_another_is_admitted() -> None:
     admission = new_admission(pending_all=10, pending_each=10)
     assert admission.admit("small", 6.0, NOW) is None
     greedy = 0
--- a/tests/extproc/test_services.py
+++ b/tests/extproc/test_services.py
@@ -233,7 +233,7 @@
     run_scenario(scenario)
 
 
-def test_client_reconnects_after_a_reset_and_each_call_gets_one_final() -> None:
+def test_client_reconnects_after_a_reset_and_delivers_no_verdict_twice() -> None:
     async def scenario(env: Environment) -> None:
         relay = Relay(env.proxy.external_processor_address)
         await relay.start()
@@ -339,7 +339,7 @@
                         await front.cancel(verdict.request)
                         routes[verdict.request] += 1
                     else:
-                        # On a slow CPU, a routed request may also end here, at its deadline.
+                        # On a slow CPU also a routed request, if its deadline passed before the cancel.
                         finals[verdict.request] += 1
                         reasons[verdict.why] += verdict.request not in routes
                     received.set()
@@ -428,8 +428,8 @@
             await stream.done()
             full = EnvoyStream(channel)
             await full.request(REQUEST_HEADERS)
-            failed = await full.response(503)
-            assert headers_set_by(failed) == {"x-martentide-why": "decided"}
+            refused = await full.response(503)
+            assert headers_set_by(refused) == {"x-martentide-why": "decided"}
 
     run_scenario(scenario)
 
@@ -501,7 +501,7 @@
     run_scenario(scenario)
 
 
-def test_stalled_server_delays_no_decision_and_each_call_gets_one_final() -> None:
+def test_at_least_half_of_the_calls_stand_beside_a_stalled_server_and_each_gets_one_final() -> None:
     async def scenario(env: Environment) -> None:
         server_connections = UpstreamConnections()
         env.servers[0].stall(500.0)
--- a/tests/learned/test_learned.py
+++ b/tests/learned/test_learned.py
@@ -421,7 +421,7 @@
     assert set(hints.servers) == {"s1"}, "no evidence on the other server yet"
 
 
-def test_redial_is_recognized_after_a_restart_until_the_give_up_time() -> None:
+def test_redial_is_recognized_after_a_restart_within_the_longest_deadline() -> None:
     before = ControllerDriver()
     before.report_hold_back("s0", 0.98)
     before.report_hold_back("s1", 0.98)
--- a/tests/lifecycle/test_settings.py
+++ b/tests/lifecycle/test_settings.py
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("value", ["2.5", "1e3", "0.001"])
-def test_positive_numbers_in_any_notation_are_accepted(tmp_path: Path, value: str) -> None:
+def test_positive_numbers_with_a_fraction_or_an_exponent_are_accepted(tmp_path: Path, value: str) -> None:
     config = load(tmp_path, with_value("classes.0.deadline_ms", value))
     assert config.settings.classes[0].deadline == float(value)
 
--- a/tests/net/test_gone_clients.py
+++ b/tests/net/test_gone_clients.py
@@ -65,7 +65,7 @@
 
 
 @WAYS_TO_LEAVE
-def test_no_retry_for_a_caller_gone_when_the_release_wait_ends(
+def test_no_retry_for_a_caller_that_left_in_the_turn_in_which_the_release_wait_ends(
     tmp_path: Path, leave: Callable[[Wire], None]
 ) -> None:
     with Program(
--- a/tests/overload/test_core.py
+++ b/tests/overload/test_core.py
@@ -179,7 +179,7 @@
         )
     assert 0 < driver.overload.escrow.tokens == earned <= MAX_BALANCE
     later = SetUpOffered(61, "status", None, "1", 3_000.0, -1, False, False)
-    driver.overload.observe(REDIAL_WINDOW + 1.0, later)  # by then it counts as a new call
+    driver.overload.observe(REDIAL_WINDOW + 1.0, later)  # by then called for another reason: a new call
     assert driver.overload.escrow.tokens > earned
 
 
