--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -71,8 +71,11 @@
         )
     site.run(START_MS + REPLACED_AFTER_MS)
     cold = SimulatedServer("cold", 0, rate, started_at=site.now)
-    list_delays = {"late": lambda index: 3_000.0, "apart": lambda index: site.rng.uniform(0.0, 5_000.0)}
-    site.replace("s0", cold, list_delays.get(case, lambda index: 500.0))
+    notice_delay_by_case = {
+        "late": lambda index: 3_000.0,
+        "apart": lambda index: site.rng.uniform(0.0, 5_000.0),
+    }
+    site.replace("s0", cold, notice_delay_by_case.get(case, lambda index: 500.0))
     if case == "restarts":  # one tenth of the proxies each second, all within the ramp
         for index in range(proxies):
             restart_at = site.now + 1_000.0 + 1_000.0 * math.floor(10.0 * index / proxies)
@@ -162,8 +165,8 @@
     """Measures the set-ups that all proxies together send a cold server."""
     if processes:
         outcomes = [
-            asyncio.run(run_processes(processes, limit, seed))
-            for limit in (10.0, 30.0)
+            asyncio.run(run_processes(processes, allowed_set_ups, seed))
+            for allowed_set_ups in (10.0, 30.0)
             for seed in range(seeds)
         ]
         rows = [f"{ratio:.2f} of the bound, service {served:.2f}" for ratio, served in outcomes]
@@ -174,9 +177,9 @@
             "RESULT", json.dumps({"plays": len(outcomes), "over": over, "cold_sum_worst": round(highest, 3)})
         )
         raise SystemExit(1 if over else 0)
-    fleet_sizes, limits = ((20,), (3.0, 30.0)) if short else ((20, 30, 200), (3.0, 10.0, 30.0, 100.0))
+    fleet_sizes, set_up_limits = ((20,), (3.0, 30.0)) if short else ((20, 30, 200), (3.0, 10.0, 30.0, 100.0))
     case_arguments = [
-        (*combination, 2 if short else seeds) for combination in product(CASES, fleet_sizes, limits)
+        (*combination, 2 if short else seeds) for combination in product(CASES, fleet_sizes, set_up_limits)
     ]
     over, runs, highest = 0, 0, 0.0
     print("| case | proxies | N | worst window over N + 2 sqrt(N) + 2: mean, highest | ramp's service |")
--- a/benchmarks/extproc.py
+++ b/benchmarks/extproc.py
@@ -155,11 +155,11 @@
 class MixedFronts:
     """Front proxies on the proxy's own service that send real set-ups to the session servers.
 
-    ``breaks``: probability per request that the stream of its front proxy is reset.
+    ``break_probability``: probability per request that the stream of its front proxy is reset.
     """
 
-    def __init__(self, address: str, fronts: int, seed: int, breaks: float) -> None:
-        self.address, self.breaks, self.warm_up_ends_at = address, breaks, 0.0
+    def __init__(self, address: str, fronts: int, seed: int, break_probability: float) -> None:
+        self.address, self.break_probability, self.warm_up_ends_at = address, break_probability, 0.0
         self.rng, self.seed = random.Random(seed), seed
         self.observations = Observations()
         self.checkers = [ExternalProcessorChecker() for _ in range(fronts)]
@@ -188,11 +188,11 @@
     ) -> None:
         """Follows the proxy's verdicts until the call stands or has failed, then releases it."""
         client = call.client
-        breaks, was_connected = client.breaks, client.connected.is_set()
+        breaks_before, was_connected = client.breaks, client.connected.is_set()
         verdict = await call.next()
         if started_at >= self.warm_up_ends_at:
             self.observations.record_verdict(
-                verdict, started_at, time.monotonic(), not was_connected or client.breaks > breaks
+                verdict, started_at, time.monotonic(), not was_connected or client.breaks > breaks_before
             )
         established: list[tuple[str, bytes]] = []
 
@@ -224,7 +224,7 @@
         for index, (relay, checker) in enumerate(zip(self.relays, self.checkers, strict=True)):
             await relay.start()
             observe = functools.partial(self._observe, checker)
-            address = relay.address if self.breaks else self.address
+            address = relay.address if self.break_probability else self.address
             self.clients.append(await Client([address], f"front-{self.seed}-{index}", observe).__aenter__())
         for client in self.clients:
             await client.connected.wait()
@@ -236,7 +236,7 @@
             if (delay := started_at - time.monotonic()) > 0:
                 await asyncio.sleep(delay)
             index = number % len(self.clients)
-            if self.rng.random() < self.breaks:
+            if self.rng.random() < self.break_probability:
                 self.relays[index].reset_connections()  # with all pending requests
             task = asyncio.create_task(self.place_call(index, started_at, f"n{self.seed:x}-{number:x}"))
             running.add(task)
@@ -318,7 +318,7 @@
 
 
 async def run_worker(
-    address: str, kind: str, requests: int, concurrency: int, name: str, rate: float, breaks: float
+    address: str, kind: str, requests: int, concurrency: int, name: str, rate: float, break_probability: float
 ) -> None:
     """Generates load in a worker process.
 
@@ -351,20 +351,20 @@
             await stream.done()
 
     if kind == "mixed":
-        mixed = MixedFronts(address, 2, int(name), breaks)
+        mixed = MixedFronts(address, 2, int(name), break_probability)
         await mixed.run(requests, rate)
         counts: Counter[str] = Counter()
         for checker in mixed.checkers:
             counts += checker.finish()
         violations = [violation for checker in mixed.checkers for violation in checker.violations]
-        breaks_seen = sum(client.breaks for client in mixed.clients)
+        broken_streams = sum(client.breaks for client in mixed.clients)
         print(
             json.dumps(
                 {
                     **mixed.observations.as_dict(),
                     "counts": counts,
                     "stories": violations[:5],
-                    "breaks": breaks_seen,
+                    "breaks": broken_streams,
                 }
             )
         )
@@ -394,7 +394,7 @@
         )
         for index in range(workers)
     ]  # fmt: skip
-    observations, counts, violations, breaks = Observations(), Counter[str](), list[str](), 0
+    observations, counts, violations, broken_streams = Observations(), Counter[str](), list[str](), 0
     for process in processes:
         output, _ = await process.communicate()
         if process.returncode:
@@ -403,8 +403,8 @@
         observations.merge(raw)
         counts += Counter(raw["counts"])
         violations += raw["stories"]
-        breaks += raw["breaks"]
-    return observations, counts, violations, breaks
+        broken_streams += raw["breaks"]
+    return observations, counts, violations, broken_streams
 
 
 async def measure_throughput(
@@ -440,7 +440,7 @@
     result: dict[str, Any] = {"requests": requests}
     async with ProxyProcess(site.discovery, site.servers, EXTRA_SETTINGS) as proxy:
         fault_task = asyncio.create_task(site.inject_faults(min(3.0, requests / rate / 5)))
-        observations, counts, violations, breaks = await run_mixed_workers(
+        observations, counts, violations, broken_streams = await run_mixed_workers(
             proxy, requests, rate, WORKER_COUNT, seed
         )
         envoy_connections = UpstreamConnections(99)
@@ -473,7 +473,7 @@
             held=observations.held.get_total_count(),
             broken_p99_ms=round(percentile(observations.after_break, 99), 1),
             broken=observations.after_break.get_total_count(),
-            broken_streams=breaks,
+            broken_streams=broken_streams,
             finals=dict(observations.final_counts),
             why=dict(observations.refusal_reasons),
             envoy_p50_ms=round(percentile(envoy_observations.direct, 50), 2),
--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -34,11 +34,13 @@
 SURGE_FACTOR, SURGE_BEGIN_S, SURGE_SPAN_S, END_S = 1.7, 10.0, 6.0, 34.0  # multiple of the planned load; s
 CLASS_WORTHS = {name: worth for name, worth, _, _ in CLASSES}
 CLASS_AIMS_MS = {name: aim for name, _, aim, _ in CLASSES}
+# Settings of the fleet node; None: no fleet. "duty" is a fleet without overload control: it only assigns the
+# health checks to its members.
 VARIANTS = {
     "alone": None,
     "duty": "",
     "fleet": "overload #true",
-}  # settings of the fleet node; None: no fleet
+}
 MAX_REDIALS = 3
 
 
@@ -167,8 +169,8 @@
         if fleet_settings is not None:
             await rig.wait_until(rig.is_converged, 60.0)
         await rig.play()
-        clock_shift = rig.loop.time() * 1000.0 - rig.now()
-        surge_begin = rig.scenario_started_at + clock_shift + 1000 * SURGE_BEGIN_S
+        log_to_loop_ms = rig.loop.time() * 1000.0 - rig.now()
+        surge_begin = rig.scenario_started_at + log_to_loop_ms + 1000 * SURGE_BEGIN_S
         await asyncio.sleep(0.5)
         placed_calls = [
             (name, call) for name, load in rig.all_load_generators for call in load.redialed_calls
@@ -314,9 +316,9 @@
     if short:
         processes, servers, seeds, variants, sizes, parts = 4, 3, 1, "fleet", "8", 0
     result: dict[str, Any] = {"processes": processes, "servers": servers, "seeds": seeds}
-    chosen = variants.split(",")
+    variant_names = variants.split(",")
     for size in filter(None, sizes.split(",")):
-        for variant in chosen:
+        for variant in variant_names:
             count = 1 if short else 2 if int(size) > 100 else 5
             runs = [run_simulated(int(size), 8, variant, seed) for seed in range(1, count + 1)]
             means = result[f"simulated-{size}-{variant}"] = summarize(*zip(*runs, strict=True))
@@ -329,7 +331,7 @@
     served: dict[str, list[ServedByProxy]] = {}
     figures_by_name: dict[str, list[dict[str, float]]] = {}
     run_arguments = [(fault, seed, variant) for fault in faults.split(",") for seed in range(1, seeds + 1)
-                for variant in chosen]  # fmt: skip
+                for variant in variant_names]  # fmt: skip
     for fault, seed, variant in run_arguments if processes else ():
         run_figures, worth_series, served_run = asyncio.run(
             run_processes(processes, servers, VARIANTS[variant], seed, fault)
--- a/benchmarks/fleet_rules.py
+++ b/benchmarks/fleet_rules.py
@@ -71,7 +71,7 @@
     }
 
 
-SERVER_NAMES: list[str] = []
+SERVER_NAMES: list[str] = []  # by index of the server; set by run_processes
 
 
 async def propose_version(
@@ -168,7 +168,7 @@
 
 def safe_spans(rig: Rig) -> dict[str, list[tuple[float, float]]]:
     """By member, the intervals (Unix ms) on safe rules, each until the member acted on a version again."""
-    clock_shift = unix_ms() - rig.now()
+    log_to_unix_ms = unix_ms() - rig.now()
     spans: dict[str, list[tuple[float, float]]] = {name: [] for name in rig.scenario.names()}
     since: dict[str, float | None] = dict.fromkeys(spans)
     for event in rig.log:
@@ -177,9 +177,9 @@
         safe = event.kind == "started" or event.fields["rules"] == "safe"
         begin = since[event.observer]
         if safe and begin is None:
-            since[event.observer] = event.at + clock_shift
+            since[event.observer] = event.at + log_to_unix_ms
         elif not safe and begin is not None:
-            spans[event.observer].append((begin, event.at + clock_shift + 50.0))
+            spans[event.observer].append((begin, event.at + log_to_unix_ms + 50.0))
             since[event.observer] = None
     for name, begin in since.items():
         if begin is not None:
@@ -199,11 +199,11 @@
     delays_ms: list[float] = []
     safe_intervals = safe_spans(rig)
     member_by_call = {call: name for name, load in rig.all_load_generators for call in load.calls}
-    arrivals_by_call: dict[bytes, list[float]] = {}
+    arrival_times_by_call: dict[bytes, list[float]] = {}
     for server in rig.servers:
-        for arrival in server.received_set_ups:
-            arrivals_by_call.setdefault(arrival.call, []).append(arrival.received_at)
-    repeated_at = [min(times) for times in arrivals_by_call.values() if len(times) > 1]
+        for set_up in server.received_set_ups:
+            arrival_times_by_call.setdefault(set_up.call, []).append(set_up.received_at)
+    retried_call_times = [min(times) for times in arrival_times_by_call.values() if len(times) > 1]
     for proposal in [proposal for proposal in proposals if proposal.in_force]:
         # What a version forbids stays forbidden until a version that allows it again is proposed.
         later_proposals = [later for later in proposals if later.proposed_at > proposal.proposed_at]
@@ -214,19 +214,19 @@
         if proposal.attempts == 1:
             delays_ms += [
                 received_at - proposal.answered_at
-                for received_at in repeated_at
+                for received_at in retried_call_times
                 if proposal.answered_at < received_at < valid_until
             ]
         valid_until = min(
             (later.proposed_at for later in later_proposals if later.server != proposal.server),
             default=unix_ms(),
         )
-        for arrival in rig.servers[proposal.server].received_set_ups:
-            intervals = safe_intervals.get(member_by_call.get(arrival.call, ""), [])
-            if proposal.answered_at < arrival.received_at < valid_until and not any(
-                begin <= arrival.received_at <= end for begin, end in intervals
+        for set_up in rig.servers[proposal.server].received_set_ups:
+            intervals = safe_intervals.get(member_by_call.get(set_up.call, ""), [])
+            if proposal.answered_at < set_up.received_at < valid_until and not any(
+                begin <= set_up.received_at <= end for begin, end in intervals
             ):
-                delays_ms.append(arrival.received_at - proposal.answered_at)
+                delays_ms.append(set_up.received_at - proposal.answered_at)
     return (
         max(delays_ms, default=0.0),
         sum(delay > BOUND_MS for delay in delays_ms),
@@ -255,10 +255,10 @@
 def time_until_used_ms(rig: Rig, number: int, since: float) -> float:
     """ms from the proposal until the last running member acted on the version; -1 if one never did."""
     first_used: dict[str, float] = {}
-    clock_shift = unix_ms() - rig.now()
+    log_to_unix_ms = unix_ms() - rig.now()
     for event in rig.log:
         if event.kind == "version" and event.fields["number"] == number and not event.fields["joint"]:
-            first_used.setdefault(event.observer, event.at + clock_shift - since)
+            first_used.setdefault(event.observer, event.at + log_to_unix_ms - since)
     return max(first_used.values()) if set(first_used) >= set(rig.proxies) else -1.0
 
 
@@ -309,18 +309,20 @@
 
 
 async def run_processes(
-    processes: int, voters: int, count: int, calm_versions: int, seed: int
+    processes: int, voters: int, fault_count: int, calm_versions: int, seed: int
 ) -> dict[str, Any]:
     """Runs real processes: versions without faults, versions under faults, then one member cut off."""
     rng = random.Random(seed)
     scenario = Scenario(proxies=processes, servers=SERVER_COUNT, zones=3, seed=seed, rate=12.0 * processes)
     folder = Path(tempfile.mkdtemp(prefix="martentide-rules-"))
     names = scenario.names()
-    listed = " ".join(f'"{name}"' for name in names[:voters])
-    extra_settings = {name: f'agreement {{ voters {listed}; folder "{folder}/{name}" }}' for name in names}
-    clocks = dict.fromkeys(names, 0.0)
+    voter_list = " ".join(f'"{name}"' for name in names[:voters])
+    extra_settings = {
+        name: f'agreement {{ voters {voter_list}; folder "{folder}/{name}" }}' for name in names
+    }
+    clock_offsets = dict.fromkeys(names, 0.0)
     async with Rig(
-        scenario, extra_settings=extra_settings, clock_offsets=clocks, redials=2, base=Link(jitter=2.0)
+        scenario, extra_settings=extra_settings, clock_offsets=clock_offsets, redials=2, base=Link(jitter=2.0)
     ) as rig:
         SERVER_NAMES[:] = [server.name for server in rig.servers]
         for server in rig.servers:
@@ -339,14 +341,14 @@
                 time_until_used_ms(rig, proposal.number, proposal.proposed_at) if proposal.in_force else -1.0
             )
         faults_began, faults_began_loop = rig.now(), rig.loop.time() * 1_000.0
-        proposing = asyncio.create_task(keep_proposing(rig, proposals, rng))
-        kinds = await inject_faults(rig, count, rng)
+        proposing_task = asyncio.create_task(keep_proposing(rig, proposals, rng))
+        kinds = await inject_faults(rig, fault_count, rng)
         faults_ended, worth_under_faults = rig.now(), served_worth(
             [call for _, load in rig.all_load_generators for call in load.redialed_calls], faults_began_loop,
             rig.loop.time() * 1_000.0)  # fmt: skip
         await asyncio.sleep(6.0)
-        proposing.cancel()
-        await asyncio.gather(proposing, return_exceptions=True)
+        proposing_task.cancel()
+        await asyncio.gather(proposing_task, return_exceptions=True)
         await rig.wait_until(rig.is_converged, TIMEOUT_S)
         await rig.execute_step(Step(0.0, "server", ("s0", "well")))
         # Measures what safe rules serve: one member is cut off from the other members only.
@@ -377,7 +379,7 @@
             cut_off_until,
         )
         await rig.execute_step(Step(0.0, "heal"))
-        calls = [arrival.call for server in rig.servers for arrival in server.received_set_ups]
+        calls = [set_up.call for server in rig.servers for set_up in server.received_set_ups]
         lost_versions, duplicate_numbers = count_lost_versions(rig, proposals)
         violations = rig.violations()
         # Blocks the event loop, and with it the callers, for seconds.
@@ -391,7 +393,7 @@
                 proposal.refused or (bool(proposal.answered_at) and not proposal.in_force)
                 for proposal in proposals
             ),
-            "faults": count,
+            "faults": fault_count,
             "kinds": dict(kinds), "contradiction_max_ms": round(longest_ms), "bound_ms": BOUND_MS,
             "against_in_force": against_in_force,
             "further_attempts": len(calls) - len(set(calls)), "stale_sends": stale_sends,
--- a/benchmarks/fleet_tests_duty.py
+++ b/benchmarks/fleet_tests_duty.py
@@ -40,22 +40,22 @@
 def time_until_all_return(rig: Rig, server: SessionServer, since: float) -> tuple[float, int]:
     """ms until the last proxy sent the server a call (-1: none did), and the number of proxies that did."""
     first_call_after: dict[str, float] = {}
-    for arrival in server.received_set_ups:
-        if arrival.received_at >= since:
+    for set_up in server.received_set_ups:
+        if set_up.received_at >= since:
             member = next(
-                (name for name, load in rig.load_generators.items() if arrival.call in load.calls), None
+                (name for name, load in rig.load_generators.items() if set_up.call in load.calls), None
             )
             if member is not None:
-                first_call_after.setdefault(member, arrival.received_at - since)
+                first_call_after.setdefault(member, set_up.received_at - since)
     return (max(first_call_after.values()) if first_call_after else -1.0), len(first_call_after)
 
 
-async def run_processes(processes: int, fleet: bool, counted_s: float, seed: int) -> dict[str, Any]:
+async def run_processes(processes: int, with_fleet: bool, counted_s: float, seed: int) -> dict[str, Any]:
     """Runs real processes with a hung, a mute and a cold server; the hung one recovers at the end."""
     scenario = Scenario(proxies=processes, servers=5, rate=TOTAL_RATE, seed=seed)
-    async with Rig(scenario, with_fleet=fleet) as rig:
+    async with Rig(scenario, with_fleet=with_fleet) as rig:
         hung, mute, cold = rig.servers[0], rig.servers[1], rig.servers[2]
-        if fleet:
+        if with_fleet:
             await rig.wait_until(rig.is_converged, 60.0)
         await asyncio.sleep(2.0)
         await rig.execute_step(Step(0, "server", ("s0", "hung")))
@@ -92,12 +92,12 @@
         }
 
 
-def run_simulated(proxies: int, fleet: bool, seed: int) -> dict[str, Any]:
+def run_simulated(proxies: int, with_fleet: bool, seed: int) -> dict[str, Any]:
     """Runs a hung and a mute server in simulated time."""
     settings = dataclasses.replace(settings_from(site_settings(8)), proxies=proxies)
     servers = [SimulatedServer(f"s{index}", index, 20.0) for index in range(8)]
     site = SimulatedSite(settings, proxies, servers, seed)
-    if fleet:
+    if with_fleet:
         site.join_fleet(SimulatedFleet(proxies, seed, encode_datagrams=False))
     site.offer_calls(30_000.0, 90.0, (0.74, 0.05, 0.21))
     site.run(5_000.0)
@@ -121,15 +121,15 @@
     if short:
         sizes, simulated_sizes, counted_s = "4,8", "8,40", 6.0
     result: dict[str, Any] = {"real": {}, "simulated": {}}
-    for kind, chosen in (("simulated", simulated_sizes), ("real", sizes)):
-        for size in filter(None, chosen.split(",")):
-            for fleet in (False, True):
+    for kind, chosen_sizes in (("simulated", simulated_sizes), ("real", sizes)):
+        for size in filter(None, chosen_sizes.split(",")):
+            for with_fleet in (False, True):
                 if kind == "real":
-                    figures = asyncio.run(run_processes(int(size), fleet, counted_s, seed))
+                    figures = asyncio.run(run_processes(int(size), with_fleet, counted_s, seed))
                 else:
-                    figures = run_simulated(int(size), fleet, seed)
-                result[kind][f"{size}-{'fleet' if fleet else 'alone'}"] = figures
-                print(json.dumps({"size": size, "kind": kind, "fleet": fleet, **figures}), flush=True)
+                    figures = run_simulated(int(size), with_fleet, seed)
+                result[kind][f"{size}-{'fleet' if with_fleet else 'alone'}"] = figures
+                print(json.dumps({"size": size, "kind": kind, "fleet": with_fleet, **figures}), flush=True)
     if short:
         for name in ("4-fleet", "8-fleet"):
             assert not result["real"][name]["rules_broken"], result
--- a/benchmarks/learned_benefit.py
+++ b/benchmarks/learned_benefit.py
@@ -33,8 +33,8 @@
 START_MS = 1_000_000.0  # Unix ms at which a run starts; 0 as a start of a server would mean "long ago"
 
 
-def run_simulated(seed: int, keep: bool) -> dict[str, float]:
-    """One run; ``keep``: the restarted proxies restore the saved state."""
+def run_simulated(seed: int, restore_saved: bool) -> dict[str, float]:
+    """Runs the site with a restart of all proxies; ``restore_saved``: they restore the saved state."""
     servers = [SimulatedServer(f"s{index}", index, SERVER_RATE) for index in range(4)]
     servers[0].slowdown = 4.0
     site = SimulatedSite(SETTINGS, SETTINGS.proxies, servers, seed)
@@ -53,7 +53,7 @@
     for index in range(SETTINGS.proxies):
 
         def restore_state(_: Controller, new: Controller, index: int = index) -> None:
-            if keep:
+            if restore_saved:
                 aged = age_state(read_state(saved_states[index], fingerprint(SETTINGS)), site.now)
                 restore(new, aged, site.now, random.Random(seed * 100 + index))
 
@@ -84,15 +84,18 @@
     for _ in range(5):
         for server in list(controller.servers.values())[::10]:
             server.wait += 1.0  # a tenth of the records changes between saves
-        slices, run_total, run_longest = snapshots.slices(controller, START_MS), 0.0, 0.0
+        slices, save_total_s, save_longest_s = snapshots.slices(controller, START_MS), 0.0, 0.0
         while True:
             started_at = time.perf_counter()
             learned = next(slices)
             elapsed = time.perf_counter() - started_at
-            run_total, run_longest = run_total + elapsed, max(run_longest, elapsed)
+            save_total_s, save_longest_s = save_total_s + elapsed, max(save_longest_s, elapsed)
             if learned is not None:
                 break
-        longest_s, total_s = run_longest, run_total  # of the last save: the first one copies every record
+        longest_s, total_s = (
+            save_longest_s,
+            save_total_s,
+        )  # of the last save: the first one copies every record
     assert learned is not None
     started_at = time.perf_counter()
     data = write_state(learned, fingerprint(SETTINGS))
--- a/benchmarks/learned_kills.py
+++ b/benchmarks/learned_kills.py
@@ -1,9 +1,9 @@
 """Learned state and kills: ``python -m benchmarks.learned_kills [--kills N] [--short]``.
 
 A real process under load is killed at random points, some 60% of the times while a save is likely in
-progress, and started again on the same folder. Each start must load a good state, the last or the earlier one
-(or discard it as too old), and none only if no valid file exists: before each start the benchmark reads the
-files itself and compares. The last line is ``RESULT {json}``.
+progress, and started again on the same folder. If a valid file exists, each start must load the last or the
+earlier state, or discard it as too old; otherwise it must load none. Before each start the benchmark reads
+the files itself and compares. The last line is ``RESULT {json}``.
 """
 
 from __future__ import annotations
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -40,7 +40,7 @@
     rng, loop = random.Random(seed), asyncio.get_running_loop()
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
-    intended: dict[bytes, float] = {}
+    intended_send_times: dict[bytes, float] = {}
     latencies: list[float] = []
     send_delays: list[float] = []
 
@@ -50,8 +50,8 @@
             buffer += data
             for body in split(buffer):
                 message = read_message(body)
-                if message.type in (Type.ANSWER, Type.RELEASE) and message.call in intended:
-                    latencies.append((loop.time() - intended.pop(message.call)) * 1_000.0)
+                if message.type in (Type.ANSWER, Type.RELEASE) and message.call in intended_send_times:
+                    latencies.append((loop.time() - intended_send_times.pop(message.call)) * 1_000.0)
                     if message.type == Type.ANSWER:
                         writer.write(write_message(Type.RELEASE, message.call, {Code.CAUSE: b"\x10"}))
 
@@ -68,7 +68,7 @@
             Code.CLASS: b"status-check", Code.TIME_LEFT: TIME_LEFT_MS, Code.NUMBER: call.hex().encode(),
             Code.FIGURES: b"dest:0;width:1;via:-1", Code.DESCRIPTION: call,
         }  # fmt: skip
-        intended[call] = send_at
+        intended_send_times[call] = send_at
         send_delays.append((loop.time() - send_at) * 1_000.0)
         writer.write(write_message(Type.SET_UP, call, parameters))
         if send_at < started + WARM_UP_S:
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -58,12 +58,18 @@
             self._acknowledge(action)
 
     def _acknowledge(self, sent: Send) -> None:
-        ping = sent.datagram
-        recipient = self.by_process_id.get(ping.to)
-        if recipient is not None and ping.kind == Kind.PING:
+        datagram = sent.datagram
+        recipient = self.by_process_id.get(datagram.to)
+        if recipient is not None and datagram.kind == Kind.PING:
             self._send_to_member(
                 Datagram(
-                    Kind.ACK, recipient, self.core.me.process_id, int(self.now), ping.stamp, 0, ping.probe
+                    Kind.ACK,
+                    recipient,
+                    self.core.me.process_id,
+                    int(self.now),
+                    datagram.stamp,
+                    0,
+                    datagram.probe,
                 )
             )
 
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -80,9 +80,9 @@
 
 def fill_blocks(text: str) -> str:
     """Return the page with each block from ``<!-- NAME -->`` to ``<!-- /NAME -->`` replaced by its table."""
-    for name, make in BLOCKS.items():
+    for name, make_table in BLOCKS.items():
         pattern = re.compile(rf"(<!-- {name} -->\n).*?(<!-- /{name} -->)", re.DOTALL)
-        text = pattern.sub(lambda match, make=make: f"{match[1]}{make()}\n{match[2]}", text)  # type: ignore[misc]
+        text = pattern.sub(lambda match, make_table=make_table: f"{match[1]}{make_table()}\n{match[2]}", text)  # type: ignore[misc]
     return text
 
 
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -65,7 +65,7 @@
     await discovery.start()
     proxies_without_tier = await start_proxies(count, discovery, server, None)
     await asyncio.sleep(2.0)
-    base_share, base_resident = await mean_usage(proxies_without_tier)
+    share_without_tier, resident_without_tier = await mean_usage(proxies_without_tier)
     for proxy in proxies_without_tier:
         await proxy.kill()
     nodes = ControlNodes(node_count)
@@ -120,10 +120,10 @@
         "proxies": count,
         "control_nodes": node_count,
         "bytes_per_s_proxy": round(byte_rate, 1),
-        "cpu_share_proxy": round(share - base_share, 5),
-        "cpu_share_proxy_without": round(base_share, 5),
+        "cpu_share_proxy": round(share - share_without_tier, 5),
+        "cpu_share_proxy_without": round(share_without_tier, 5),
         "rss_mb_proxy": round(resident, 1),
-        "rss_mb_proxy_without": round(base_resident, 1),
+        "rss_mb_proxy_without": round(resident_without_tier, 1),
         "cpu_share_control": round(node_share, 5),
         "rss_mb_control": round(node_resident, 1),
         "whole_after_kill_s": round(after_kill_s, 1),
--- a/benchmarks/scale/tier.py
+++ b/benchmarks/scale/tier.py
@@ -78,14 +78,14 @@
         """
         for name, killed_at in list(self.undetected.items()):
             killed = self.tier.proxies[name]
-            holding = False
+            still_held = False
             for proxy in self.sample:
                 core = proxy.client
                 if core is None or killed.info.service not in core.info.services:
                     continue
                 held = core.state(killed.info.service, self.tier.now)
-                holding |= any(member.name == name for entry in held for member in entry.members)
-            if not holding or killed.client is not None:
+                still_held |= any(member.name == name for entry in held for member in entry.members)
+            if not still_held or killed.client is not None:
                 del self.undetected[name]
                 self.detection_times.append(self.tier.now - killed_at)
 
@@ -191,10 +191,10 @@
         tier.start_proxy(proxy)
     day.run_until_attached("restarts in one wave", 30.0)
     day.run(6.0)
-    zone = [proxy for proxy in proxies if proxy.info.zone == "z1" and proxy.client is not None]
-    day.kill(zone)
+    zone_proxies = [proxy for proxy in proxies if proxy.info.zone == "z1" and proxy.client is not None]
+    day.kill(zone_proxies)
     day.run(12.0)
-    for proxy in zone:
+    for proxy in zone_proxies:
         tier.start_proxy(proxy)
     day.run_until_attached("zone back", 60.0)
     day.run(2.0)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -36,17 +36,17 @@
 TIME_LEFT_S = 2.5  # time that a caller waits for an answer
 LATE_WAIT_S = 0.5  # further wait that separates late from missing answers; also for a release acknowledgement
 IGNORED_SHARE = 0.1  # share of the set-ups that a session server leaves unanswered
-KEPT_CALLERS, FRESH_CALLERS = 6, 4  # callers with a persistent connection, and with one for each call
+PERSISTENT_CALLERS, RECONNECTING_CALLERS = 6, 4  # with one connection, and with a new one for each call
 RELEASE_WAIT_S = 8.0  # for the release of a call that its server ended
 
 
 class Caller:
-    """Places one call at a time; ``kept``: on one persistent connection."""
+    """Places one call at a time; ``persistent``: all on one connection, otherwise each on its own."""
 
     def __init__(
-        self, address: str, number: int, kept: bool, counts: Counter[str], ledger: CallLedger
+        self, address: str, number: int, persistent: bool, counts: Counter[str], ledger: CallLedger
     ) -> None:
-        self.address, self.kept, self.counts, self.ledger = address, kept, counts, ledger
+        self.address, self.persistent, self.counts, self.ledger = address, persistent, counts, ledger
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random(number)
         self.number = number
@@ -70,7 +70,7 @@
                 self._close_failed(call, "unread")
             except TimeoutError:
                 self._close_failed(call, "missing")
-            if not self.kept and self.streams is not None:
+            if not self.persistent and self.streams is not None:
                 self.streams[1].close()
                 self.streams = None
             await asyncio.sleep(self.rng.uniform(0.0, 0.02))
@@ -204,8 +204,8 @@
     proxy = ProxyProcess(discovery, servers, None, with_operator=True, with_temporary_directory=not shared)
     await proxy.start()
     callers = [
-        Caller(proxy.caller_address, index + 1, index < KEPT_CALLERS, counts, ledger)
-        for index in range(KEPT_CALLERS + FRESH_CALLERS)
+        Caller(proxy.caller_address, index + 1, index < PERSISTENT_CALLERS, counts, ledger)
+        for index in range(PERSISTENT_CALLERS + RECONNECTING_CALLERS)
     ]
     tasks = [asyncio.create_task(caller.run()) for caller in callers]
     end_tasks = [asyncio.create_task(end_calls(server, rng)) for server in servers]
--- a/martentide_lab/callers.py
+++ b/martentide_lab/callers.py
@@ -35,7 +35,7 @@
 class OfferedCall:
     """One dialled call; times in ms of the event loop's clock."""
 
-    final_at: float = 0.0
+    final_at: float = 0.0  # final answer; 0: none yet
     stood: bool = False
     redialed_call: RedialedCall | None = None
 
--- a/martentide_lab/checker.py
+++ b/martentide_lab/checker.py
@@ -194,7 +194,7 @@
 def check_servers(
     servers: Iterable[SessionServer], drain_announced_at: dict[str, float]
 ) -> tuple[Counter[str], list[str]]:
-    """Check that no set-up arrived after the grace period of a drain and that no request had two at a time.
+    """Check that no set-up arrived after a drain's grace period and that attempts of a request don't overlap.
 
     ``drain_announced_at`` is the time, in Unix ms, at which the discovery service announced a server's
     drain, by server name. Set-ups of one request have the same called number. Return counts and descriptions
--- a/martentide_lab/control/invariants.py
+++ b/martentide_lab/control/invariants.py
@@ -128,9 +128,11 @@
             return False
         return now - self.missing_since.setdefault(key, now) > self.bounds.detection
 
-    def _record_violation(self, rule: str, now: float, proxy: SimulatedProxy, other: SimulatedProxy) -> None:
+    def _record_violation(
+        self, invariant: str, now: float, proxy: SimulatedProxy, other: SimulatedProxy
+    ) -> None:
         text = f"{other.info.name} changed state {now - other.changed_at:.0f} ms ago"
-        self.violations.append(TierViolation(rule, now, proxy.info.name, text))
+        self.violations.append(TierViolation(invariant, now, proxy.info.name, text))
 
     def _check_load(self, now: float) -> None:
         by_region: dict[str, list[int]] = {}
--- a/martentide_lab/control/processes.py
+++ b/martentide_lab/control/processes.py
@@ -39,10 +39,10 @@
         ports = free_ports(2 * count)
         self.names = [f"c{index}" for index in range(count)]
         self.folder = Path(tempfile.mkdtemp(prefix="martentide-control-"))
-        pairs = zip(self.names, ports[::2], ports[1::2], strict=True)
+        node_ports = zip(self.names, ports[::2], ports[1::2], strict=True)
         self.node_settings = "\n".join(
-            f'{name} region="r0" address="127.0.0.1:{port}" gossip="127.0.0.1:{gossip}"'
-            for name, port, gossip in pairs
+            f'{name} region="r0" address="127.0.0.1:{port}" gossip="127.0.0.1:{gossip_port}"'
+            for name, port, gossip_port in node_ports
         )
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
--- a/martentide_lab/control/simulated.py
+++ b/martentide_lab/control/simulated.py
@@ -168,7 +168,7 @@
             proxy.client, proxy.changed_at, proxy.attached_at = None, self.now, None
 
     def shut_down_proxy(self, proxy: SimulatedProxy) -> None:
-        """End a proxy in order: it sends a leave to its node first."""
+        """Shut down a proxy: it sends a leave to its node before it ends."""
         if proxy.client is not None:
             self._handle_proxy_event(proxy, client.Depart())
             self.kill_proxy(proxy)
--- a/martentide_lab/fleet/hub.py
+++ b/martentide_lab/fleet/hub.py
@@ -89,7 +89,7 @@
             )  # from the sender's endpoint, so that a reply passes through the hub
 
     def inject(self, target: str, data: bytes) -> None:
-        """Send a datagram to the member past all faults: invalid data, or another fleet's datagram."""
+        """Send invalid data or another fleet's datagram to the member, unaffected by network faults."""
         address = self.member_addresses.get(target)
         transport = next(iter(self.endpoints.values())).transport
         if address is not None and transport is not None:
--- a/martentide_lab/fleet/rig.py
+++ b/martentide_lab/fleet/rig.py
@@ -209,7 +209,10 @@
         )
 
     async def _start_process(self, name: str, member_name: str | None = None, fleet: str = "rig") -> None:
-        """``member_name``: its name in the fleet if not ``name``; ``fleet``: the name of the fleet."""
+        """Start a member's process, the relay of its callers, and its load.
+
+        ``member_name`` is its name in the fleet if that isn't ``name``; ``fleet`` is the name of the fleet.
+        """
         extras = self.extras(name).replace('"rig"', f'"{fleet}"') if self.with_fleet else None
         proxy = ProxyProcess(
             self.discovery, self.servers, extras, True, name=member_name or name,
@@ -410,7 +413,7 @@
                 self.excused_periods[position] = (proxy, since, self.now() + 500.0)
 
     async def upgrade(self, name: str) -> None:
-        """Start a successor process that takes over, then send SIGTERM to the first."""
+        """Start a successor process that takes over, then send SIGTERM to the predecessor."""
         predecessor = self.proxies.get(name)
         if predecessor is None:
             return
@@ -503,10 +506,10 @@
         found += [f"error: {event}" for event in self.log if event.kind == "error"]
         _, server_violations = check_servers(self.servers, {})
         found += server_violations
-        clock_shift = self.loop.time() * 1000.0 - self.now()
+        log_to_loop_ms = self.loop.time() * 1000.0 - self.now()
         for name, load in self.all_load_generators:
             for fault, offered_at in load.faults():
-                when = offered_at - clock_shift
+                when = offered_at - log_to_loop_ms
                 excused = any(
                     proxy == name and since <= when <= until for proxy, since, until in self.excused_periods
                 )
--- a/martentide_lab/fronts.py
+++ b/martentide_lab/fronts.py
@@ -1,4 +1,4 @@
-"""Test front proxies, which send set-ups to session servers themselves and request the decisions.
+"""Test front proxies: they ask the proxy for decisions and send the set-ups to the session servers.
 
 ``UpstreamConnections`` holds a front's connections to the servers. ``RawFrontProxy`` uses the Decisions
 service frame by frame, so that a test can violate its protocol. ``EnvoyStream`` processes one request as
@@ -38,15 +38,15 @@
 class UpstreamConnections:
     """One connection to each session server, shared by all set-ups of a front.
 
-    ``seed`` keeps the call ids of several instances apart.
+    ``instance_number`` keeps the call ids of several instances apart.
     """
 
-    def __init__(self, seed: int = 1) -> None:
+    def __init__(self, instance_number: int = 1) -> None:
         self.writers: dict[str, asyncio.StreamWriter] = {}
         self.connect_locks: dict[str, asyncio.Lock] = {}
         self.pending: dict[bytes, asyncio.Future[Message]] = {}
         self.pending_addresses: dict[bytes, str] = {}  # server address of each pending set-up
-        self.ids = itertools.count(seed << 40)
+        self.ids = itertools.count(instance_number << 40)
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def _writer(self, address: str) -> asyncio.StreamWriter:
--- a/martentide_lab/servers.py
+++ b/martentide_lab/servers.py
@@ -126,7 +126,7 @@
         self.stalled_until = max(self.stalled_until, unix_ms() + duration)
 
     def report(self) -> bytes:
-        """Return the report: free places, all places and the share to be held back."""
+        """Return the report: free places, total places and the share to be held back."""
         free, hold_back, now = 500 - len(self.standing), self.behavior.hold_back, unix_ms()
         if self.behavior.rate:
             if now - self.reported_at >= REPORT_INTERVAL_MS:
--- a/martentide_lab/simulated_site.py
+++ b/martentide_lab/simulated_site.py
@@ -293,10 +293,10 @@
                 case SetTimer(token, delay):
                     self.schedule_at(
                         self.now + delay,
-                        lambda token=token: self._timer(index, incarnation, token),  # type: ignore[misc]
+                        lambda token=token: self._timer_expired(index, incarnation, token),  # type: ignore[misc]
                     )
                 case SendSetUp():
-                    self._send(index, action)
+                    self._send_set_up(index, action)
                 case Refuse() | Fail():
                     entry = self.open_calls.pop(action.ref, None)
                     if entry is not None:
@@ -310,7 +310,7 @@
                 case Probe(name):
                     self._probe(index, name)
 
-    def _timer(self, index: int, incarnation: int, token: int) -> None:
+    def _timer_expired(self, index: int, incarnation: int, token: int) -> None:
         if self.incarnations[index] == incarnation:
             self.handle_event(index, TimerDue(token))
 
@@ -332,7 +332,7 @@
                 index, ProbeEnded(name, Ending.DELIVERED, False, 2 * LINK_DELAY_MS, server.report(self.now))
             )
 
-    def _send(self, index: int, action: SendSetUp) -> None:
+    def _send_set_up(self, index: int, action: SendSetUp) -> None:
         attempt = self.attempt_counts[action.ref]
         self.attempt_counts[action.ref] += 1
         ref, key = action.ref, (action.ref, attempt)
--- a/tools/standing.py
+++ b/tools/standing.py
@@ -2,6 +2,7 @@
 
     python -m tools.standing SITE --bench LBREAL --days roll+mass,join+mass --seeds 1-10 [--nodes 30]
 
+LBREAL is the bench's executable; ``--days`` names the days by the values of the bench's ``--rough``.
 The bench writes a journal entry for each run. ``--out FOLDER`` keeps report, output and logs of each run.
 """
 
@@ -73,10 +74,13 @@
             if len(row) >= 16 and row[0].isdecimal() and re.fullmatch(r"\d+\.\d", row[-1])
         ]
         parts = [
-            counts_and_worths[len(counts_and_worths) * k // 3 : len(counts_and_worths) * (k + 1) // 3]
-            for k in range(3)
+            counts_and_worths[len(counts_and_worths) * third // 3 : len(counts_and_worths) * (third + 1) // 3]
+            for third in range(3)
+        ]
+        return [
+            sum(count * worth for count, worth in part) / 100 / max(1, sum(count for count, _ in part))
+            for part in parts
         ]
-        return [sum(n * worth for n, worth in part) / 100 / max(1, sum(n for n, _ in part)) for part in parts]
 
 
 def seed_list(text: str) -> list[int]:
